--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -284,7 +284,7 @@
 			logger,
 			pools: settings.pools,
 			turnoverMs: settings.machineTurnoverMs,
-			maxUnconfirmedMs: settings.scheduler.ownerBeliefMs,
+			maxUnconfirmedMs: settings.scheduler.ownershipTimeoutMs,
 			getLeasesConfirmedAt: leaseFollower.getConfirmedAt,
 			listWaves: () => [...waves.values()],
 			hasOwner,
--- a/packages/daemon/src/jobs/owner/owner-log.ts
+++ b/packages/daemon/src/jobs/owner/owner-log.ts
@@ -9,7 +9,7 @@
 	readonly logJobEnd: (job: string, end: string, reason: string) => void;
 	readonly logPoll: (
 		executor: scheduler.Executor,
-		changes: scheduler.LookChanges,
+		changes: scheduler.PollChanges,
 	) => void;
 	/** Runs that are certainly over without an end. */
 	readonly logFreedRuns: (
@@ -52,7 +52,7 @@
 				});
 			}
 
-			for (const key of changes.lost) {
+			for (const key of changes.vanished) {
 				logger.warn('run vanished', {run: key, executor: executor.id});
 			}
 
