--- a/packages/bench/src/benches/ownership/control.ts
+++ b/packages/bench/src/benches/ownership/control.ts
@@ -20,7 +20,7 @@
 	type World,
 } from './world.js';
 
-const settings = core.standing.membershipDefaults;
+const settings = core.membershipStatus.membershipDefaults;
 
 const controlMs = 200;
 
@@ -143,14 +143,14 @@
 			version,
 			unchangedMs: getSilentMs(control, entry, version),
 			unlistedMs: since === undefined ? 0 : now - since,
-			unheardBy: core.forget.countEntriesWithoutContact(
+			unheardBy: core.forgetEntry.countEntriesWithoutContact(
 				value,
 				observed,
 				settings,
 			),
 			quorum: value.quorum.length,
 		};
-		const result = core.forget.forgetEntry(
+		const result = core.forgetEntry.forgetEntry(
 			evidence,
 			settings,
 			state.life.entry,
--- a/packages/bench/src/benches/ownership/entry.ts
+++ b/packages/bench/src/benches/ownership/entry.ts
@@ -4,7 +4,7 @@
 	acknowledgement,
 	followedView,
 	registration,
-	standing,
+	membershipStatus,
 	viewChange,
 } from '@gullstand/core';
 import {drawExponential} from '../../frame/random.js';
@@ -19,7 +19,7 @@
 	type World,
 } from './world.js';
 
-const settings = core.standing.membershipDefaults;
+const settings = core.membershipStatus.membershipDefaults;
 
 const heartbeatMs = 2000;
 
@@ -37,7 +37,7 @@
 	readonly life: acknowledgement.EntryIncarnation;
 	readonly startedAt: number;
 	followed: followedView.FollowedView;
-	standing: standing.MembershipStatus;
+	standing: membershipStatus.MembershipStatus;
 	rowVersion: number;
 	sequence: number;
 	readonly inFlight: Map<string, number>;
@@ -150,7 +150,7 @@
 	}
 
 	state.rowVersion = committed.value.version;
-	state.standing = core.standing.changeMode('registered', askedAt);
+	state.standing = core.membershipStatus.changeMode('registered', askedAt);
 	state.isRegistered = true;
 	return true;
 };
@@ -180,10 +180,10 @@
 
 const confirm = (
 	state: EntryState,
-	source: standing.ConfirmationSource,
+	source: membershipStatus.ConfirmationSource,
 	askedAt: number,
 ) => {
-	state.standing = core.standing.confirmMembership(
+	state.standing = core.membershipStatus.confirmMembership(
 		state.standing,
 		source,
 		askedAt,
@@ -267,7 +267,10 @@
 		life: {entry: host.entry, incarnation: String(host.life)},
 		startedAt: clock.now(),
 		followed: core.followedView.emptyFollowedView,
-		standing: core.standing.changeMode('registered', Number.NEGATIVE_INFINITY),
+		standing: core.membershipStatus.changeMode(
+			'registered',
+			Number.NEGATIVE_INFINITY,
+		),
 		rowVersion: 0,
 		sequence: 0,
 		inFlight: new Map(),
@@ -306,7 +309,7 @@
 			const now = clock.now();
 			if (
 				state.isRegistered &&
-				core.standing.mayRoute(state.standing, settings, now)
+				core.membershipStatus.mayRoute(state.standing, settings, now)
 			) {
 				void send(world, state);
 			}
--- a/packages/bench/src/benches/ownership/world.ts
+++ b/packages/bench/src/benches/ownership/world.ts
@@ -104,7 +104,7 @@
 
 /** What the platform's list shows: up to 10 s old, and now and then wrong. */
 export const isListed = (world: World, host: EntryHost): boolean => {
-	const {listLagMs} = core.standing.membershipDefaults;
+	const {listLagMs} = core.membershipStatus.membershipDefaults;
 	const at = world.clock.now() - world.random() * listLagMs;
 	const isSilent = host.pausedUntil > at + 5000 || host.cutUntil > at + 5000;
 	return host.isUp && !isSilent && host.droppedUntil <= at;
--- a/packages/bench/src/benches/rollout/entry.ts
+++ b/packages/bench/src/benches/rollout/entry.ts
@@ -127,7 +127,7 @@
 	});
 	void repeat(periods.watchMs, async () => {
 		const neighbours = Math.min(
-			core.neighbours.monitoredPeerCount,
+			core.monitoredPeers.monitoredPeerCount,
 			world.entries - 1,
 		);
 		// The membership row is read with them.
--- a/packages/bench/src/benches/rollout/operator.ts
+++ b/packages/bench/src/benches/rollout/operator.ts
@@ -25,8 +25,11 @@
 	{heard}: Entry,
 	revision: number,
 ): boolean =>
-	core.lagging.listPendingAcknowledgements(registrations, heard, {revision})
-		.length === 0;
+	core.pendingAcknowledgements.listPendingAcknowledgements(
+		registrations,
+		heard,
+		{revision},
+	).length === 0;
 
 /** Offers a change to every peer again until all have acknowledged. */
 const announce = async (
--- a/packages/cli/src/commands/job-logs.test.ts
+++ b/packages/cli/src/commands/job-logs.test.ts
@@ -1,5 +1,5 @@
 /** Ledger and charts from lines as a collector keeps them. */
-import {jobLegs} from '@gullstand/core';
+import {jobPhases} from '@gullstand/core';
 import * as tap from 'tap';
 import {
 	formatLedger,
@@ -50,7 +50,7 @@
 
 const lines = parseLines(text);
 
-const all = jobLegs.readJobs(lines);
+const all = jobPhases.readJobs(lines);
 
 tap.t.test('only lines that an entry wrote are read', async (t) => {
 	t.equal(lines.length, 7);
@@ -78,7 +78,7 @@
 });
 
 tap.t.test('charts', async (t) => {
-	const causes = plotCauses(all, jobLegs.readJobs([]));
+	const causes = plotCauses(all, jobPhases.readJobs([]));
 	t.match(causes, /^<svg .*<\/svg>\n$/sv);
 	t.ok(causes.includes('no room for its first task'));
 	t.ok(causes.includes('100.0%'));
--- a/packages/cli/src/commands/job-logs.ts
+++ b/packages/cli/src/commands/job-logs.ts
@@ -1,6 +1,6 @@
 /** `gullstand job ledger|legs`: where time went, from the entries' log lines. */
 import {readFile, writeFile} from 'node:fs/promises';
-import {jobLegs} from '@gullstand/core';
+import {jobPhases} from '@gullstand/core';
 import type {Command} from 'commander';
 import {drawBars, drawLines} from '../plots/svg.js';
 import type {Io} from './io.js';
@@ -11,7 +11,7 @@
 const percent = 100;
 
 /** Collectors put a time and a host before what an entry wrote. */
-const parseLine = (text: string): readonly jobLegs.LogLine[] => {
+const parseLine = (text: string): readonly jobPhases.LogLine[] => {
 	const begin = text.indexOf('{');
 	try {
 		const fields = JSON.parse(text.slice(begin)) as Record<string, unknown>;
@@ -25,12 +25,12 @@
 };
 
 /** Lines of a text that an entry wrote; all others are left out. */
-export const parseLines = (text: string): readonly jobLegs.LogLine[] =>
+export const parseLines = (text: string): readonly jobPhases.LogLine[] =>
 	text.split('\n').flatMap((line) => parseLine(line));
 
 const readLines = async (
 	files: readonly string[],
-): Promise<readonly jobLegs.LogLine[]> => {
+): Promise<readonly jobPhases.LogLine[]> => {
 	const sources = files.length > 0 ? files : [standardInput];
 	const texts = await Promise.all(
 		sources.map(async (each) => readFile(each as string, 'utf8')),
@@ -40,26 +40,26 @@
 
 const readLogs = async (
 	files: readonly string[],
-): Promise<jobLegs.LoggedJobs> => jobLegs.readJobs(await readLines(files));
+): Promise<jobPhases.LoggedJobs> => jobPhases.readJobs(await readLines(files));
 
 const formatShare = (share: number): string =>
 	`${(percent * share).toFixed(1).padStart(5)}%`;
 
 /** The ledger as lines of text. */
-export const formatLedger = (all: jobLegs.LoggedJobs): readonly string[] =>
-	jobLegs.summarizeQueues(all).flatMap(({queue, jobs, inTime, lost}) => [
+export const formatLedger = (all: jobPhases.LoggedJobs): readonly string[] =>
+	jobPhases.summarizeQueues(all).flatMap(({queue, jobs, inTime, lost}) => [
 		`${queue === '' ? '(taken in by no owner)' : queue}: ${jobs} jobs, ${inTime} in time; lost of the work asked for`,
 		...Object.entries(lost)
 			.toSorted(([, one], [, two]) => two - one)
 			.map(
 				([cause, share]) =>
-					`  ${formatShare(share)} ${jobLegs.missCauses[cause as jobLegs.MissCause]}`,
+					`  ${formatShare(share)} ${jobPhases.missCauses[cause as jobPhases.MissCause]}`,
 			),
 	]);
 
 /** The legs of one job as lines of text. */
 export const formatLegs = (
-	all: jobLegs.LoggedJobs,
+	all: jobPhases.LoggedJobs,
 	id: string,
 ): readonly string[] => {
 	const job = all.jobs.get(id);
@@ -67,13 +67,13 @@
 		return [`${id} is in none of these lines`];
 	}
 
-	const cause = jobLegs.findMissCause(all, job);
+	const cause = jobPhases.findMissCause(all, job);
 	return [
-		`${id} ${job.queue ?? ''} ${job.end ?? 'not ended'}, objective ${Math.round(jobLegs.getObjectiveMs(job))} ms`,
-		...Object.entries(jobLegs.getPhases(job)).map(
+		`${id} ${job.queue ?? ''} ${job.end ?? 'not ended'}, objective ${Math.round(jobPhases.getObjectiveMs(job))} ms`,
+		...Object.entries(jobPhases.getPhases(job)).map(
 			([leg, ms]) => `  ${leg} ${Math.round(ms)} ms`,
 		),
-		...(cause ? [`  lost: ${jobLegs.missCauses[cause]}`] : []),
+		...(cause ? [`  lost: ${jobPhases.missCauses[cause]}`] : []),
 	];
 };
 
@@ -81,15 +81,15 @@
 
 /** A chart of what two sets of lines lost, by cause. */
 export const plotCauses = (
-	before: jobLegs.LoggedJobs,
-	after: jobLegs.LoggedJobs,
+	before: jobPhases.LoggedJobs,
+	after: jobPhases.LoggedJobs,
 ): string => {
 	const [first, second] = [before, after].map((all) =>
-		jobLegs.sumSharesByCause(all),
-	) as [jobLegs.CauseShares, jobLegs.CauseShares];
-	const causes = Object.keys(jobLegs.missCauses) as jobLegs.MissCause[];
+		jobPhases.sumSharesByCause(all),
+	) as [jobPhases.CauseShares, jobPhases.CauseShares];
+	const causes = Object.keys(jobPhases.missCauses) as jobPhases.MissCause[];
 	const rows = causes.map((cause) => ({
-		label: jobLegs.missCauses[cause],
+		label: jobPhases.missCauses[cause],
 		values: [first, second].map((each) => percent * (each[cause] ?? 0)),
 	}));
 	return drawBars(
@@ -101,12 +101,12 @@
 
 /** A chart of a pool's room, asked for and held. */
 export const plotRoom = (
-	lines: readonly jobLegs.LogLine[],
+	lines: readonly jobPhases.LogLine[],
 	pool: string,
 ): string => {
-	const room = jobLegs.readPoolCapacity(lines, pool);
+	const room = jobPhases.readPoolCapacity(lines, pool);
 	const begin = room[0]?.at ?? 0;
-	const toPoints = (get: (each: jobLegs.PoolCapacity) => number) =>
+	const toPoints = (get: (each: jobPhases.PoolCapacity) => number) =>
 		room.map((each) => [(each.at - begin) / msPerSecond, get(each)] as const);
 	return drawLines(`Machines of ${pool}`, [
 		{name: 'asked for', points: toPoints(({asked}) => asked)},
--- a/packages/core/src/spec-system.test.fixture.ts
+++ b/packages/core/src/spec-system.test.fixture.ts
@@ -299,7 +299,7 @@
 	const revision = system.history.findLastIndex(
 		(each, at) => each.get(id) !== system.history[at - 1]?.get(id),
 	);
-	const lagging = core.lagging.listPendingAcknowledgements(
+	const lagging = core.pendingAcknowledgements.listPendingAcknowledgements(
 		read.registrations,
 		read.received,
 		{
--- a/packages/core/src/spec.test.ts
+++ b/packages/core/src/spec.test.ts
@@ -313,12 +313,12 @@
 tap.t.test(
 	'forget_after: bounds with one isolation time are not sound',
 	async (t) => {
-		const settings = core.standing.membershipDefaults;
+		const settings = core.membershipStatus.membershipDefaults;
 		const {isolationMs, listLagMs, stallMarginMs} = settings;
 		const requestMs = settings.longestRequestMs;
 		const shortMs = isolationMs + listLagMs + stallMarginMs + requestMs;
 		const short = {...settings, forgetAfterMs: shortMs};
-		t.notOk(core.standing.isSafeSettings(short));
+		t.notOk(core.membershipStatus.isSafeSettings(short));
 	},
 );
 
--- a/packages/daemon/src/agreement/agreement.ts
+++ b/packages/daemon/src/agreement/agreement.ts
@@ -4,7 +4,7 @@
  */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
-import type {acknowledgement, standing} from '@gullstand/core';
+import type {acknowledgement, membershipStatus} from '@gullstand/core';
 import type {InstanceList, ObjectStore, TableService} from '@gullstand/ports';
 import type {Logger} from '../log/logger.js';
 import {createForgetRunner} from '../membership/forget-runner.js';
@@ -34,7 +34,7 @@
 	readonly movePollMs: number;
 	readonly snapshotMs: number;
 	readonly callTimeoutMs: number;
-	readonly membership: standing.MembershipSettings;
+	readonly membership: membershipStatus.MembershipSettings;
 };
 
 /** Times for a fleet of so many entries. */
--- a/packages/daemon/src/membership/forget-runner.ts
+++ b/packages/daemon/src/membership/forget-runner.ts
@@ -4,7 +4,11 @@
  */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
-import type {acknowledgement, observation, standing} from '@gullstand/core';
+import type {
+	acknowledgement,
+	observation,
+	membershipStatus,
+} from '@gullstand/core';
 import type {InstanceList, TableService} from '@gullstand/ports';
 import type {Logger} from '../log/logger.js';
 import type {Part} from '../supervisor/supervisor.js';
@@ -24,7 +28,7 @@
 	readonly getMembers: () => MembershipRows;
 	/** How long the heartbeat of a watched neighbour has stayed away. */
 	readonly getSilentMs: (entry: string) => number;
-	readonly settings: standing.MembershipSettings;
+	readonly settings: membershipStatus.MembershipSettings;
 	readonly leaseMs: number;
 	readonly pollMs: number;
 	readonly now: () => number;
@@ -41,7 +45,7 @@
 
 const listSilent = (deps: ForgetRunnerDeps): readonly string[] => {
 	const entries = [...deps.getMembers().registrations.keys()];
-	return core.neighbours
+	return core.monitoredPeers
 		.listMonitoredPeers(deps.life.entry, entries)
 		.filter((entry) => deps.getSilentMs(entry) >= deps.leaseMs);
 };
@@ -84,13 +88,13 @@
 		unchangedMs: getUnchangedMs(key),
 	}));
 	const since = state.unlistedSince.get(entry);
-	const result = core.forget.forgetEntry(
+	const result = core.forgetEntry.forgetEntry(
 		{
 			entry,
 			version: silent.version,
 			unchangedMs: getUnchangedMs(entry),
 			unlistedMs: since === undefined ? 0 : deps.now() - since,
-			unheardBy: core.forget.countEntriesWithoutContact(
+			unheardBy: core.forgetEntry.countEntriesWithoutContact(
 				silent.value,
 				rows,
 				deps.settings,
--- a/packages/daemon/src/membership/member-state.ts
+++ b/packages/daemon/src/membership/member-state.ts
@@ -2,7 +2,7 @@
 import type {
 	acknowledgement,
 	followedView,
-	standing,
+	membershipStatus,
 	View,
 	viewChange,
 } from '@gullstand/core';
@@ -28,7 +28,7 @@
 	readonly getInFlight: (instance: string) => number;
 	/** Puts the start marker and reads the snapshot; false if it failed. */
 	readonly confirmSnapshot: () => Promise<boolean>;
-	readonly settings: standing.MembershipSettings;
+	readonly settings: membershipStatus.MembershipSettings;
 	readonly heartbeatMs: number;
 	readonly listPollMs: number;
 	/** How often in-flight work is looked at for a new acknowledgement. */
@@ -47,7 +47,7 @@
 /** State of one life; changed in place by the parts of this folder. */
 export type MemberState = {
 	readonly startedAt: number;
-	standing: standing.MembershipStatus;
+	standing: membershipStatus.MembershipStatus;
 	isRegistered: boolean;
 	/** The quorum that the own committed row names. */
 	quorum: readonly string[];
--- a/packages/daemon/src/membership/member.ts
+++ b/packages/daemon/src/membership/member.ts
@@ -4,7 +4,12 @@
  * stops routing by itself when it cannot be confirmed.
  */
 import * as core from '@gullstand/core';
-import type {lagging, Result, standing, viewChange} from '@gullstand/core';
+import type {
+	pendingAcknowledgements,
+	Result,
+	membershipStatus,
+	viewChange,
+} from '@gullstand/core';
 import type {StoreError} from '@gullstand/ports';
 import type {PeerMethods} from '../peers/peer-methods.js';
 import type {Part} from '../supervisor/supervisor.js';
@@ -35,17 +40,22 @@
 	readonly mayControl: () => boolean;
 	/** The registered entries, read anew when one has joined or left. */
 	readonly getMembers: () => MembershipRows;
-	readonly getStanding: () => standing.MembershipStatus;
+	readonly getStanding: () => membershipStatus.MembershipStatus;
 	/** Acknowledgements that peers have sent here. */
-	readonly getHeard: () => lagging.ReceivedAcknowledgements;
+	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	/** Puts a new view in force and acknowledges it. */
 	readonly followView: () => void;
 	/** Hands a committed change to every peer and asks to be told. */
 	readonly announce: (delta: viewChange.ViewDelta) => void;
 	/** The registered entries that have not met a requirement yet. */
 	readonly readLagging: (
-		requirement: lagging.Requirement,
-	) => Promise<Result<readonly lagging.PendingAcknowledgement[], StoreError>>;
+		requirement: pendingAcknowledgements.Requirement,
+	) => Promise<
+		Result<
+			readonly pendingAcknowledgements.PendingAcknowledgement[],
+			StoreError
+		>
+	>;
 };
 
 const registerRetryMs = 50;
@@ -145,12 +155,14 @@
 const readLagging = async (
 	deps: MemberDeps,
 	state: MemberState,
-	requirement: lagging.Requirement,
-): Promise<Result<readonly lagging.PendingAcknowledgement[], StoreError>> => {
+	requirement: pendingAcknowledgements.Requirement,
+): Promise<
+	Result<readonly pendingAcknowledgements.PendingAcknowledgement[], StoreError>
+> => {
 	const rows = await readMembership(deps.table);
 	return rows.ok
 		? core.succeed(
-				core.lagging.listPendingAcknowledgements(
+				core.pendingAcknowledgements.listPendingAcknowledgements(
 					[...rows.value.registrations.values()].map(({value}) => value),
 					state.heard,
 					requirement,
@@ -168,7 +180,7 @@
 
 	addMemberMethods(deps, state, acknowledge);
 	const mayRoute = () =>
-		core.standing.mayRoute(state.standing, deps.settings, deps.now());
+		core.membershipStatus.mayRoute(state.standing, deps.settings, deps.now());
 
 	const tickers = [
 		createTicker(async () => beat(deps, state), deps.heartbeatMs, Math.random),
@@ -211,7 +223,11 @@
 		mayRoute,
 		mayControl: () =>
 			state.isRegistered &&
-			core.standing.mayControl(state.standing, deps.settings, deps.now()),
+			core.membershipStatus.mayControl(
+				state.standing,
+				deps.settings,
+				deps.now(),
+			),
 		getMembers: () => state.members,
 		getStanding: () => state.standing,
 		getHeard: () => state.heard,
--- a/packages/daemon/src/membership/outage-start.ts
+++ b/packages/daemon/src/membership/outage-start.ts
@@ -1,6 +1,6 @@
 /** How an entry stands while it cannot register or renew. */
 import * as core from '@gullstand/core';
-import type {standing} from '@gullstand/core';
+import type {membershipStatus} from '@gullstand/core';
 import {createAcknowledgement} from './acknowledge.js';
 import type {MemberDeps, MemberState} from './member-state.js';
 import {confirm} from './register.js';
@@ -19,11 +19,11 @@
 
 const setMode = (
 	state: MemberState,
-	mode: standing.EntryMode,
+	mode: membershipStatus.EntryMode,
 	askedAt: number,
 ) => {
 	if (state.standing.mode !== mode) {
-		state.standing = core.standing.changeMode(mode, askedAt);
+		state.standing = core.membershipStatus.changeMode(mode, askedAt);
 	}
 };
 
--- a/packages/daemon/src/membership/peer-members.ts
+++ b/packages/daemon/src/membership/peer-members.ts
@@ -44,7 +44,7 @@
 	state: MemberState,
 	ack: acknowledgement.Acknowledgement,
 ): boolean => {
-	const mayControl = core.standing.mayControl(
+	const mayControl = core.membershipStatus.mayControl(
 		state.standing,
 		deps.settings,
 		deps.now(),
--- a/packages/daemon/src/membership/register.test.ts
+++ b/packages/daemon/src/membership/register.test.ts
@@ -65,7 +65,7 @@
 		route: () => undefined,
 		getInFlight: () => held.count,
 		confirmSnapshot: async () => false,
-		settings: core.standing.membershipDefaults,
+		settings: core.membershipStatus.membershipDefaults,
 		heartbeatMs: 2000,
 		listPollMs: 3000,
 		acknowledgeMs: 100,
@@ -124,7 +124,9 @@
 	);
 	await renew(deps, state);
 	t.notOk(state.isRegistered);
-	t.notOk(core.standing.mayRoute(state.standing, deps.settings, deps.now()));
+	t.notOk(
+		core.membershipStatus.mayRoute(state.standing, deps.settings, deps.now()),
+	);
 	t.equal(await register(deps, state), 'registered');
 });
 
--- a/packages/daemon/src/membership/register.ts
+++ b/packages/daemon/src/membership/register.ts
@@ -1,7 +1,7 @@
 /** Registers this life and renews its row, whatever replies are lost. */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
-import type {registration, standing, StoreWrite} from '@gullstand/core';
+import type {registration, membershipStatus, StoreWrite} from '@gullstand/core';
 import VError from 'verror';
 import {createRegistration} from './acknowledge.js';
 import type {MemberDeps, MemberState} from './member-state.js';
@@ -14,10 +14,10 @@
 export const confirm = (
 	deps: MemberDeps,
 	state: MemberState,
-	source: standing.ConfirmationSource,
+	source: membershipStatus.ConfirmationSource,
 	askedAt: number,
 ): void => {
-	state.standing = core.standing.confirmMembership(
+	state.standing = core.membershipStatus.confirmMembership(
 		state.standing,
 		source,
 		askedAt,
@@ -41,7 +41,10 @@
 
 const setRegistered = (deps: MemberDeps, state: MemberState) => {
 	state.isRegistered = true;
-	state.standing = core.standing.changeMode('registered', state.renewedAt);
+	state.standing = core.membershipStatus.changeMode(
+		'registered',
+		state.renewedAt,
+	);
 	deps.logger.info('registered', {...deps.life});
 };
 
@@ -173,7 +176,7 @@
 /** The row is gone: nothing may be routed until it is written anew. */
 const lose = (deps: MemberDeps, state: MemberState) => {
 	state.isRegistered = false;
-	state.standing = core.standing.changeMode(
+	state.standing = core.membershipStatus.changeMode(
 		'registered',
 		Number.NEGATIVE_INFINITY,
 	);
--- a/packages/daemon/src/moves/move-runner.ts
+++ b/packages/daemon/src/moves/move-runner.ts
@@ -6,7 +6,7 @@
 import * as core from '@gullstand/core';
 import type {
 	followedView,
-	lagging,
+	pendingAcknowledgements,
 	move,
 	shardLease,
 	viewChange,
@@ -23,7 +23,7 @@
 	readonly table: TableService;
 	/** The lease under which an instance is moved, if it is held here. */
 	readonly getHeldFor: (instance: string) => shardLease.HeldShard | undefined;
-	readonly getHeard: () => lagging.ReceivedAcknowledgements;
+	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	readonly getFollowed: () => followedView.FollowedView;
 	/** What is known of entries that start in an outage. */
 	readonly readOutageStart: () => Promise<move.OutageStart>;
--- a/packages/daemon/src/operator/entries/app.ts
+++ b/packages/daemon/src/operator/entries/app.ts
@@ -12,9 +12,12 @@
 	deps: OperatorDeps,
 ) => {
 	const heard = deps.getHeard();
-	const newest = core.lagging.getNewestAcknowledgement(registration, heard);
+	const newest = core.pendingAcknowledgements.getNewestAcknowledgement(
+		registration,
+		heard,
+	);
 	const {revision} = deps.getView();
-	const [lag] = core.lagging.listPendingAcknowledgements(
+	const [lag] = core.pendingAcknowledgements.listPendingAcknowledgements(
 		[registration],
 		heard,
 		{revision},
--- a/packages/daemon/src/operator/instances/moves.ts
+++ b/packages/daemon/src/operator/instances/moves.ts
@@ -158,7 +158,7 @@
 	return c.json({
 		moves: moves.value.map(({value}) => ({
 			...value,
-			lagging: core.lagging.listPendingAcknowledgements(
+			lagging: core.pendingAcknowledgements.listPendingAcknowledgements(
 				registrations,
 				deps.getHeard(),
 				{
--- a/packages/daemon/src/operator/objects/in-force.ts
+++ b/packages/daemon/src/operator/objects/in-force.ts
@@ -1,6 +1,10 @@
 /** Whether a revision is in force on every registered entry, and who lags. */
 import * as core from '@gullstand/core';
-import type {lagging, registration, Result} from '@gullstand/core';
+import type {
+	pendingAcknowledgements,
+	registration,
+	Result,
+} from '@gullstand/core';
 import type {client, StoreError, TableService} from '@gullstand/ports';
 import {readTable} from '../../view/tables.js';
 
@@ -9,14 +13,14 @@
 	readonly table: TableService;
 	readonly getView: () => core.View;
 	/** Acknowledgements that peers have sent to this entry. */
-	readonly getHeard: () => lagging.ReceivedAcknowledgements;
+	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	readonly env: client.Environment;
 };
 
 /** How far a revision is in force. */
 export type InForce = {
 	readonly isInForce: boolean;
-	readonly lagging: readonly lagging.PendingAcknowledgement[];
+	readonly lagging: readonly pendingAcknowledgements.PendingAcknowledgement[];
 	/** The entries could not be read. */
 	readonly isUnknown?: boolean;
 };
@@ -52,7 +56,7 @@
 		return {isInForce: false, lagging: [], isUnknown: true};
 	}
 
-	const lagging = core.lagging.listPendingAcknowledgements(
+	const lagging = core.pendingAcknowledgements.listPendingAcknowledgements(
 		rows.value.map((row) => row.registration),
 		getHeard(),
 		{revision},
--- a/packages/daemon/src/operator/types.ts
+++ b/packages/daemon/src/operator/types.ts
@@ -1,7 +1,12 @@
 /** What all domains of the operators' interface share. */
 import type {HttpBindings} from '@hono/node-server';
 import type {Hono} from 'hono';
-import type {followedView, lagging, View, viewChange} from '@gullstand/core';
+import type {
+	followedView,
+	pendingAcknowledgements,
+	View,
+	viewChange,
+} from '@gullstand/core';
 import type {client, InstanceList, TableService} from '@gullstand/ports';
 import type {Logger} from '../log/logger.js';
 import type {Metrics} from '../metrics/metrics.js';
@@ -26,7 +31,7 @@
 	/** Told of a change that this entry committed, before it is answered. */
 	readonly onCommitted: (delta: viewChange.ViewDelta) => Promise<void>;
 	/** Acknowledgements that peers have sent to this entry. */
-	readonly getHeard: () => lagging.ReceivedAcknowledgements;
+	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	readonly env: client.Environment;
 	/** Reads the view anew after a change. */
 	readonly poll: () => Promise<void>;
--- a/packages/daemon/src/shards/lease-runner.ts
+++ b/packages/daemon/src/shards/lease-runner.ts
@@ -53,7 +53,7 @@
 const observeNeighbours = async (deps: LeaseRunnerDeps, state: State) => {
 	const entries = [...deps.getMembers().registrations.keys()];
 	const versions = new Map<string, number>();
-	for (const entry of core.neighbours.listMonitoredPeers(
+	for (const entry of core.monitoredPeers.listMonitoredPeers(
 		deps.life.entry,
 		entries,
 	)) {
--- a/packages/daemon/src/waves/drain-check.ts
+++ b/packages/daemon/src/waves/drain-check.ts
@@ -4,7 +4,7 @@
  * Source: docs/design/agreement.md.
  */
 import * as core from '@gullstand/core';
-import type {lagging, move, View} from '@gullstand/core';
+import type {pendingAcknowledgements, move, View} from '@gullstand/core';
 import type {TableService, Write} from '@gullstand/ports';
 import {readRegistrations} from '../operator/objects/in-force.js';
 
@@ -14,7 +14,7 @@
 	readonly getView: () => View;
 	/** Requests in flight from this entry to an instance. */
 	readonly getInFlight: (instance: string) => number;
-	readonly getHeard: () => lagging.ReceivedAcknowledgements;
+	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	/** What is known of entries that start from the object store's snapshot. */
 	readonly readOutageStart?: () => Promise<move.OutageStart>;
 };
@@ -25,7 +25,7 @@
 	readonly getLagging: (
 		instance: string,
 		drainRevision: number,
-	) => readonly lagging.PendingAcknowledgement[];
+	) => readonly pendingAcknowledgements.PendingAcknowledgement[];
 	readonly guards: readonly Write[];
 };
 
@@ -50,10 +50,14 @@
 
 	const registrations = entries.value.map((each) => each.registration);
 	const getLagging = (instance: string, revision: number) =>
-		core.lagging.listPendingAcknowledgements(registrations, deps.getHeard(), {
-			revision,
-			instance,
-		});
+		core.pendingAcknowledgements.listPendingAcknowledgements(
+			registrations,
+			deps.getHeard(),
+			{
+				revision,
+				instance,
+			},
+		);
 	const isStartSafe = (revision: number) =>
 		outageStart.snapshotRevision >= revision &&
 		outageStart.markerUnchangedMs >= outageStart.markerWaitMs;
--- a/packages/daemon/src/waves/wave-runner.ts
+++ b/packages/daemon/src/waves/wave-runner.ts
@@ -7,7 +7,7 @@
 import {
 	waves,
 	type followedView,
-	type lagging,
+	type pendingAcknowledgements,
 	type move,
 	type viewChange,
 } from '@gullstand/core';
@@ -40,7 +40,7 @@
 	readonly poll: () => Promise<void>;
 	/** Requests in flight from this entry to an instance. */
 	readonly getInFlight: (instance: string) => number;
-	readonly getHeard: () => lagging.ReceivedAcknowledgements;
+	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	/** Absent: no entry of the fleet starts from the snapshot. */
 	readonly readOutageStart?: () => Promise<move.OutageStart>;
 	/** Present time in milliseconds of the wall clock, as rows keep it. */
