--- a/packages/core/src/instances/move.ts
+++ b/packages/core/src/instances/move.ts
@@ -53,7 +53,10 @@
 /** What to do next for a move. */
 export type MoveStep =
 	| MoveCommit
-	| {readonly kind: 'wait'; readonly pendingEntries: readonly PendingAcknowledgement[]}
+	| {
+			readonly kind: 'wait';
+			readonly pendingEntries: readonly PendingAcknowledgement[];
+	  }
 	/** The object store's snapshot does not show the drain yet. */
 	| {readonly kind: 'wait-for-snapshot'}
 	/** An entry may just have started from an older snapshot. */
--- a/packages/daemon/src/jobs/fleet/fleet-runner.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-runner.ts
@@ -70,7 +70,11 @@
 
 	const isBelieved = (): boolean =>
 		!state.isStopped &&
-		isConfirmedWithin(clock, deps.getLeasesConfirmedAt(), deps.maxUnconfirmedMs);
+		isConfirmedWithin(
+			clock,
+			deps.getLeasesConfirmedAt(),
+			deps.maxUnconfirmedMs,
+		);
 
 	const orders = createCommandLog({
 		store: deps.store,
--- a/packages/daemon/src/jobs/owner/owner-runner.ts
+++ b/packages/daemon/src/jobs/owner/owner-runner.ts
@@ -107,7 +107,11 @@
 
 	const isBelieved = (): boolean =>
 		!state.isStopped &&
-		isConfirmedWithin(clock, deps.getLeasesConfirmedAt(), cfg.ownershipTimeoutMs);
+		isConfirmedWithin(
+			clock,
+			deps.getLeasesConfirmedAt(),
+			cfg.ownershipTimeoutMs,
+		);
 
 	const lose = (reason: string, rows: readonly StoredRow[] = []) => {
 		if (!state.isStopped) {
--- a/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
+++ b/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
@@ -83,7 +83,10 @@
 		const {owner, flushVersion, storeTime} = loaded.value;
 		prepare(owner);
 		// An owner that finds another executor stores its roster.
-		scheduler.recordListedExecutor(owner, createListedExecutor(`new-${held.token}`));
+		scheduler.recordListedExecutor(
+			owner,
+			createListedExecutor(`new-${held.token}`),
+		);
 		const flusher = createFlusher({
 			store,
 			owner,
