--- a/packages/bench/src/benches/heartbeat.ts
+++ b/packages/bench/src/benches/heartbeat.ts
@@ -102,7 +102,7 @@
 	const rowsInOneRead = 500;
 	const watched =
 		scheme === 'shared'
-			? Math.min(core.neighbours.watchedEntries, daemons - 1)
+			? Math.min(core.neighbours.monitoredPeerCount, daemons - 1)
 			: rows;
 	const calls =
 		scheme === 'shared' ? watched : Math.ceil(watched / rowsInOneRead);
--- a/packages/bench/src/benches/ownership/control.ts
+++ b/packages/bench/src/benches/ownership/control.ts
@@ -109,7 +109,7 @@
 		leaseMs,
 		evidence: {
 			registeredIncarnation: row?.value.acknowledged.incarnation,
-			silentMs: row ? getSilentMs(control, holder, row.version) : 0,
+			unresponsiveMs: row ? getSilentMs(control, holder, row.version) : 0,
 		},
 	});
 	if (!result.ok) {
@@ -143,7 +143,11 @@
 			version,
 			unchangedMs: getSilentMs(control, entry, version),
 			unlistedMs: since === undefined ? 0 : now - since,
-			unheardBy: core.forget.countUnheard(value, observed, settings),
+			unheardBy: core.forget.countEntriesWithoutContact(
+				value,
+				observed,
+				settings,
+			),
 			quorum: value.quorum.length,
 		};
 		const result = core.forget.forgetEntry(
@@ -254,7 +258,7 @@
 			'shard',
 			held.shard,
 		);
-		if (core.shardLease.loseShard(held, read)) {
+		if (core.shardLease.isShardLost(held, read)) {
 			control.held.delete(held.shard);
 			continue;
 		}
--- a/packages/bench/src/benches/ownership/entry.ts
+++ b/packages/bench/src/benches/ownership/entry.ts
@@ -34,10 +34,10 @@
 /** State of one life. */
 export type EntryState = {
 	readonly host: EntryHost;
-	readonly life: acknowledgement.EntryLife;
+	readonly life: acknowledgement.EntryIncarnation;
 	readonly startedAt: number;
 	followed: followedView.FollowedView;
-	standing: standing.Standing;
+	standing: standing.MembershipStatus;
 	rowVersion: number;
 	sequence: number;
 	readonly inFlight: Map<string, number>;
@@ -66,7 +66,7 @@
 			.map(({entry}) => entry),
 		upMs: now - state.startedAt,
 		quorum: world.hosts.map(({entry}) => entry),
-		acknowledged: core.acknowledgement.acknowledgeRevision(
+		acknowledged: core.acknowledgement.createAcknowledgement(
 			state.life,
 			state.sequence,
 			{view, router},
@@ -96,7 +96,7 @@
 			state.life.entry,
 			isNewLife
 				? acknowledged
-				: core.acknowledgement.updateAcknowledgement(known, acknowledged),
+				: core.acknowledgement.chooseNewerAcknowledgement(known, acknowledged),
 		);
 	}
 };
@@ -183,7 +183,7 @@
 	source: standing.ConfirmationSource,
 	askedAt: number,
 ) => {
-	state.standing = core.standing.confirmStanding(
+	state.standing = core.standing.confirmMembership(
 		state.standing,
 		source,
 		askedAt,
--- a/packages/bench/src/benches/rollout/entry.ts
+++ b/packages/bench/src/benches/rollout/entry.ts
@@ -15,7 +15,7 @@
 	const {view} = entry.followed;
 	entry.sequence += 1;
 	const router = {routedRevision: view.revision, inFlight: new Map()};
-	const ack = core.acknowledgement.acknowledgeRevision(
+	const ack = core.acknowledgement.createAcknowledgement(
 		entry.life,
 		entry.sequence,
 		{view, router},
@@ -27,7 +27,9 @@
 			const known = peer.heard.get(ack.entry);
 			peer.heard.set(
 				ack.entry,
-				known ? core.acknowledgement.updateAcknowledgement(known, ack) : ack,
+				known
+					? core.acknowledgement.chooseNewerAcknowledgement(known, ack)
+					: ack,
 			);
 		});
 	}
@@ -91,7 +93,11 @@
 	const reply = await link(() => log.length);
 	const applied = entry.followed.view.revision;
 	if (reply.ok) {
-		const verdict = core.readCheck.checkRead(applied, applied, reply.value);
+		const verdict = core.readCheck.checkReadRevision(
+			applied,
+			applied,
+			reply.value,
+		);
 		if (verdict.kind === 'newer') {
 			await readLog(world, entry);
 		}
@@ -121,7 +127,7 @@
 	});
 	void repeat(periods.watchMs, async () => {
 		const neighbours = Math.min(
-			core.neighbours.watchedEntries,
+			core.neighbours.monitoredPeerCount,
 			world.entries - 1,
 		);
 		// The membership row is read with them.
--- a/packages/bench/src/benches/rollout/operator.ts
+++ b/packages/bench/src/benches/rollout/operator.ts
@@ -25,7 +25,8 @@
 	{heard}: Entry,
 	revision: number,
 ): boolean =>
-	core.lagging.findLagging(registrations, heard, {revision}).length === 0;
+	core.lagging.listPendingAcknowledgements(registrations, heard, {revision})
+		.length === 0;
 
 /** Offers a change to every peer again until all have acknowledged. */
 const announce = async (
--- a/packages/bench/src/benches/rollout/world.ts
+++ b/packages/bench/src/benches/rollout/world.ts
@@ -44,7 +44,7 @@
 
 /** One entry. */
 export type Entry = {
-	readonly life: acknowledgement.EntryLife;
+	readonly life: acknowledgement.EntryIncarnation;
 	followed: followedView.FollowedView;
 	sequence: number;
 	pausedUntil: number;
--- a/packages/cli/src/commands/job-logs.ts
+++ b/packages/cli/src/commands/job-logs.ts
@@ -47,13 +47,13 @@
 
 /** The ledger as lines of text. */
 export const formatLedger = (all: jobLegs.LoggedJobs): readonly string[] =>
-	jobLegs.sumLosses(all).flatMap(({queue, jobs, inTime, lost}) => [
+	jobLegs.summarizeQueues(all).flatMap(({queue, jobs, inTime, lost}) => [
 		`${queue === '' ? '(taken in by no owner)' : queue}: ${jobs} jobs, ${inTime} in time; lost of the work asked for`,
 		...Object.entries(lost)
 			.toSorted(([, one], [, two]) => two - one)
 			.map(
 				([cause, share]) =>
-					`  ${formatShare(share)} ${jobLegs.lossCauses[cause as jobLegs.LossCause]}`,
+					`  ${formatShare(share)} ${jobLegs.missCauses[cause as jobLegs.MissCause]}`,
 			),
 	]);
 
@@ -67,13 +67,13 @@
 		return [`${id} is in none of these lines`];
 	}
 
-	const cause = jobLegs.findLossCause(all, job);
+	const cause = jobLegs.findMissCause(all, job);
 	return [
 		`${id} ${job.queue ?? ''} ${job.end ?? 'not ended'}, objective ${Math.round(jobLegs.getObjectiveMs(job))} ms`,
-		...Object.entries(jobLegs.getLegs(job)).map(
+		...Object.entries(jobLegs.getPhases(job)).map(
 			([leg, ms]) => `  ${leg} ${Math.round(ms)} ms`,
 		),
-		...(cause ? [`  lost: ${jobLegs.lossCauses[cause]}`] : []),
+		...(cause ? [`  lost: ${jobLegs.missCauses[cause]}`] : []),
 	];
 };
 
@@ -85,11 +85,11 @@
 	after: jobLegs.LoggedJobs,
 ): string => {
 	const [first, second] = [before, after].map((all) =>
-		jobLegs.sumCauses(all),
+		jobLegs.sumSharesByCause(all),
 	) as [jobLegs.CauseShares, jobLegs.CauseShares];
-	const causes = Object.keys(jobLegs.lossCauses) as jobLegs.LossCause[];
+	const causes = Object.keys(jobLegs.missCauses) as jobLegs.MissCause[];
 	const rows = causes.map((cause) => ({
-		label: jobLegs.lossCauses[cause],
+		label: jobLegs.missCauses[cause],
 		values: [first, second].map((each) => percent * (each[cause] ?? 0)),
 	}));
 	return drawBars(
@@ -104,9 +104,9 @@
 	lines: readonly jobLegs.LogLine[],
 	pool: string,
 ): string => {
-	const room = jobLegs.readPoolRoom(lines, pool);
+	const room = jobLegs.readPoolCapacity(lines, pool);
 	const begin = room[0]?.at ?? 0;
-	const toPoints = (get: (each: jobLegs.PoolRoom) => number) =>
+	const toPoints = (get: (each: jobLegs.PoolCapacity) => number) =>
 		room.map((each) => [(each.at - begin) / msPerSecond, get(each)] as const);
 	return drawLines(`Machines of ${pool}`, [
 		{name: 'asked for', points: toPoints(({asked}) => asked)},
--- a/packages/core/src/blame/blame.test.ts
+++ b/packages/core/src/blame/failure-attribution.test.ts
@@ -1,42 +1,42 @@
 import fc from 'fast-check';
 import * as tap from 'tap';
 import {
-	defaultBlameConfig,
-	emptyBlame,
-	updateBlame,
-	type Blame,
-	type BlameEvent,
-	type BlameVerdict,
-} from './blame.js';
+	defaultAttributionConfig,
+	emptyAttribution,
+	updateAttribution,
+	type FailureAttribution,
+	type AttributionEvent,
+	type AttributionVerdict,
+} from './failure-attribution.js';
 
-const apply = (events: readonly BlameEvent[]) => {
-	let blame: Blame = emptyBlame;
-	const verdicts: BlameVerdict[] = [];
+const apply = (events: readonly AttributionEvent[]) => {
+	let blame: FailureAttribution = emptyAttribution;
+	const verdicts: AttributionVerdict[] = [];
 	for (const event of events) {
-		const step = updateBlame(blame, event);
-		blame = step.blame;
+		const step = updateAttribution(blame, event);
+		blame = step.attribution;
 		verdicts.push(...step.verdicts);
 	}
 
 	return {blame, verdicts};
 };
 
-const failed = (worker: string, job: string, at = 0): BlameEvent => ({
+const failed = (worker: string, job: string, at = 0): AttributionEvent => ({
 	kind: 'failed',
 	worker,
 	job,
 	at,
 });
 
-const succeeded = (worker: string, job: string): BlameEvent => ({
+const succeeded = (worker: string, job: string): AttributionEvent => ({
 	kind: 'succeeded',
 	worker,
 	job,
 });
 
-type Row = [name: string, events: BlameEvent[], verdicts: string[]];
+type Row = [name: string, events: AttributionEvent[], verdicts: string[]];
 
-const {windowMs} = defaultBlameConfig;
+const {windowMs} = defaultAttributionConfig;
 
 const table: Row[] = [
 	['two jobs fail on a worker', [failed('w', 'a'), failed('w', 'b')], []],
@@ -114,7 +114,7 @@
 	],
 ];
 
-const format = (verdict: BlameVerdict): string =>
+const format = (verdict: AttributionVerdict): string =>
 	`${verdict.kind} ${'worker' in verdict ? verdict.worker : verdict.job}`;
 
 for (const [name, events, verdicts] of table) {
--- a/packages/core/src/blame/blame.ts
+++ b/packages/core/src/blame/failure-attribution.ts
@@ -7,7 +7,7 @@
  */
 
 /** Bounds of the two verdicts. */
-export type BlameConfig = {
+export type AttributionConfig = {
 	/** Jobs, not suspect themselves, that fail on a worker until it is out. */
 	readonly jobsPerQuarantine: number;
 	/** Failures in a row, of any jobs, until a worker is out all the same. */
@@ -19,7 +19,7 @@
 };
 
 /** Bounds in force when none are given. */
-export const defaultBlameConfig: BlameConfig = {
+export const defaultAttributionConfig: AttributionConfig = {
 	jobsPerQuarantine: 3,
 	failuresPerQuarantine: 5,
 	workersPerPark: 3,
@@ -35,7 +35,7 @@
 };
 
 /** What is held against workers and jobs. Only `updateBlame` changes it. */
-export type Blame = {
+export type FailureAttribution = {
 	/** Failures on a worker since a task last succeeded there. */
 	readonly workers: ReadonlyMap<string, readonly TaskFailure[]>;
 	/** Failures of a job since it last succeeded, on workers not out. */
@@ -45,7 +45,7 @@
 };
 
 /** What became known of a task or was decided by an operator. */
-export type BlameEvent =
+export type AttributionEvent =
 	| ({readonly kind: 'failed'} & TaskFailure)
 	| {
 			readonly kind: 'succeeded';
@@ -58,7 +58,7 @@
 	| {readonly kind: 'job-released'; readonly job: string};
 
 /** What follows from an event. */
-export type BlameVerdict =
+export type AttributionVerdict =
 	| {
 			readonly kind: 'quarantine-worker';
 			readonly worker: string;
@@ -73,13 +73,13 @@
 	| {readonly kind: 'release-job'; readonly job: string};
 
 /** A new state and what follows from the event. */
-export type BlameStep = {
-	readonly blame: Blame;
-	readonly verdicts: readonly BlameVerdict[];
+export type AttributionStep = {
+	readonly attribution: FailureAttribution;
+	readonly verdicts: readonly AttributionVerdict[];
 };
 
 /** Nothing is held against anybody. */
-export const emptyBlame: Blame = {
+export const emptyAttribution: FailureAttribution = {
 	workers: new Map(),
 	jobs: new Map(),
 	quarantined: new Set(),
@@ -87,12 +87,12 @@
 };
 
 type Draft = {
-	readonly cfg: BlameConfig;
+	readonly cfg: AttributionConfig;
 	readonly workers: Map<string, readonly TaskFailure[]>;
 	readonly jobs: Map<string, readonly TaskFailure[]>;
 	readonly quarantined: Set<string>;
 	readonly parked: Set<string>;
-	readonly verdicts: BlameVerdict[];
+	readonly verdicts: AttributionVerdict[];
 };
 
 const listDistinct = (names: readonly string[]): readonly string[] => [
@@ -201,7 +201,7 @@
 	);
 };
 
-const applyEvent = (draft: Draft, event: BlameEvent) => {
+const applyEvent = (draft: Draft, event: AttributionEvent) => {
 	switch (event.kind) {
 		case 'failed': {
 			const {worker, job, at} = event;
@@ -229,11 +229,11 @@
 };
 
 /** Applies one event. */
-export const updateBlame = (
-	blame: Blame,
-	event: BlameEvent,
-	cfg: BlameConfig = defaultBlameConfig,
-): BlameStep => {
+export const updateAttribution = (
+	blame: FailureAttribution,
+	event: AttributionEvent,
+	cfg: AttributionConfig = defaultAttributionConfig,
+): AttributionStep => {
 	const draft: Draft = {
 		cfg,
 		workers: new Map(blame.workers),
@@ -244,11 +244,11 @@
 	};
 	applyEvent(draft, event);
 	const {verdicts, cfg: _, ...next} = draft;
-	return {blame: next, verdicts};
+	return {attribution: next, verdicts};
 };
 
 /** Workers that a job has failed on lately: its next try goes elsewhere. */
 export const listFailedWorkers = (
-	blame: Blame,
+	blame: FailureAttribution,
 	job: string,
 ): readonly string[] => listWorkers(blame.jobs.get(job) ?? []);
--- a/packages/core/src/fleet/machine-wave.test.ts
+++ b/packages/core/src/fleet/machine-wave.test.ts
@@ -35,23 +35,23 @@
 ) =>
 	fleet.stepMachineWave(
 		wave,
-		{machines, emptying: new Set(), getLoad: noLoad, turnMs},
+		{machines, evacuating: new Set(), getLoad: noLoad, turnaroundMs: turnMs},
 		0,
 	);
 
 const begin = (ids: readonly string[]) => {
 	let wave = fleet.createMachineWave(request, 0);
 	for (const id of ids) {
-		wave = fleet.beginMachine(wave, all.get(id)!, 0);
+		wave = fleet.recordMaintenanceStart(wave, all.get(id)!, 0);
 	}
 
 	return wave;
 };
 
 tap.t.test('no more begin than may be away', async (t) => {
-	t.equal(step(begin([])).mayBegin, 1);
-	t.equal(step(begin(['a'])).mayBegin, 0);
-	t.equal(step(begin(['a', 'b'])).mayBegin, 0, 'never below none');
+	t.equal(step(begin([])).maxStarts, 1);
+	t.equal(step(begin(['a'])).maxStarts, 0);
+	t.equal(step(begin(['a', 'b'])).maxStarts, 0, 'never below none');
 });
 
 type Return = {
@@ -117,9 +117,12 @@
 for (const {name, machine, isAnswered, at, isBack} of returns) {
 	tap.t.test(`a machine that is ${name}`, async (t) => {
 		const begun = begin(['a']);
-		const wave = isAnswered ? fleet.noteAnswered(begun, 'a') : begun;
+		const wave = isAnswered ? fleet.recordCommandAccepted(begun, 'a') : begun;
 		const machines = mapOf(machine ? [machine] : []);
-		t.equal(fleet.noteMachines(wave, machines, at).begun.a!.isBack, isBack);
+		t.equal(
+			fleet.recordReturnedMachines(wave, machines, at).begun.a!.isBack,
+			isBack,
+		);
 	});
 }
 
@@ -140,8 +143,8 @@
 );
 
 tap.t.test('an order that was not carried out is pending again', async (t) => {
-	const wave = fleet.takeBackMachine(begin(['a']), 'a');
-	t.equal(step(wave).mayBegin, 1);
+	const wave = fleet.undoMaintenanceStart(begin(['a']), 'a');
+	t.equal(step(wave).maxStarts, 1);
 	t.equal(fleet.countAway(wave), 0);
 });
 
@@ -158,7 +161,12 @@
 		const choose = (emptying: readonly string[]) =>
 			fleet.stepMachineWave(
 				wave,
-				{machines: all, emptying: new Set(emptying), getLoad, turnMs},
+				{
+					machines: all,
+					evacuating: new Set(emptying),
+					getLoad,
+					turnaroundMs: turnMs,
+				},
 				0,
 			).evacuate;
 		t.same(choose([]), ['c']);
@@ -168,8 +176,11 @@
 
 tap.t.test('what runs is not waited for once the time is short', async (t) => {
 	const wave = fleet.createMachineWave(request, 0);
-	t.notOk(fleet.isPressed(wave, all, 4000, 5000));
-	t.ok(fleet.isPressed(wave, all, 4000, 9000), 'three turns of 4 s in 11 s');
+	t.notOk(fleet.isShortOfTime(wave, all, 4000, 5000));
+	t.ok(
+		fleet.isShortOfTime(wave, all, 4000, 9000),
+		'three turns of 4 s in 11 s',
+	);
 });
 
 type PaceCase = {
@@ -231,17 +242,17 @@
 			0,
 		);
 		for (const id of ids.slice(0, each.away ?? 0)) {
-			wave = fleet.beginMachine(wave, machines.get(id)!, 0);
+			wave = fleet.recordMaintenanceStart(wave, machines.get(id)!, 0);
 		}
 
 		const {evacuate} = fleet.stepMachineWave(
 			wave,
 			{
 				machines,
-				emptying,
+				evacuating: emptying,
 				getLoad: ({id}) =>
 					busy.has(id) ? {runs: 1, lasting: 0, usedCpu: 1} : undefined,
-				turnMs,
+				turnaroundMs: turnMs,
 			},
 			each.at,
 		);
--- a/packages/core/src/fleet/machine-wave.ts
+++ b/packages/core/src/fleet/machine-wave.ts
@@ -22,7 +22,7 @@
 };
 
 /** One machine whose maintenance was ordered. */
-export type BegunMachine = {
+export type MachineMaintenance = {
 	/** Its executor before; another one shows that it is back. */
 	readonly executorId: string | undefined;
 	/** Time of day when it was ordered first. */
@@ -36,7 +36,7 @@
 	readonly request: MachineWaveRequest;
 	/** Time of day when it was first seen. */
 	readonly seenAtEpochMs: number;
-	readonly begun: Readonly<Record<string, BegunMachine>>;
+	readonly begun: Readonly<Record<string, MachineMaintenance>>;
 	readonly isCompleted: boolean;
 };
 
@@ -52,7 +52,7 @@
 	/** Machines to empty, also those that are being emptied already. */
 	readonly evacuate: readonly string[];
 	/** Machines whose maintenance may begin now if they are empty. */
-	readonly mayBegin: number;
+	readonly maxStarts: number;
 	readonly isCompleted: boolean;
 };
 
@@ -68,7 +68,7 @@
 });
 
 /** Notes which of the begun machines are back. */
-export const noteMachines = (
+export const recordReturnedMachines = (
 	wave: MachineWave,
 	machines: ReadonlyMap<string, WaveMachine>,
 	epochNow: number,
@@ -89,7 +89,7 @@
 const earlierOrderMs = 8000;
 
 const hasReturned = (
-	entry: BegunMachine,
+	entry: MachineMaintenance,
 	machine: WaveMachine | undefined,
 	epochNow: number,
 ): boolean => {
@@ -146,13 +146,13 @@
 ): boolean => listPending(wave, machines).length === 0 && countAway(wave) === 0;
 
 /** What a step of a wave is decided from. */
-export type WaveSituation = {
+export type WaveStepInput = {
 	readonly machines: ReadonlyMap<string, WaveMachine>;
 	/** Machines that are being emptied for the wave. */
-	readonly emptying: ReadonlySet<string>;
+	readonly evacuating: ReadonlySet<string>;
 	readonly getLoad: (machine: WaveMachine) => MachineLoad | undefined;
 	/** Time that one machine takes, emptying included, in milliseconds. */
-	readonly turnMs: number;
+	readonly turnaroundMs: number;
 };
 
 const getLeftMs = (
@@ -169,7 +169,7 @@
 
 const countTurns = (
 	wave: MachineWave,
-	{machines, getLoad}: WaveSituation,
+	{machines, getLoad}: WaveStepInput,
 ): number => {
 	let turns = countAway(wave);
 	for (const machine of listPending(wave, machines)) {
@@ -186,12 +186,12 @@
  */
 const getPace = (
 	wave: MachineWave,
-	situation: WaveSituation,
+	situation: WaveStepInput,
 	epochNow: number,
 ): number => {
-	const {turnMs} = situation;
-	const leftMs = Math.max(1, getLeftMs(wave, epochNow) - turnMs);
-	const work = countTurns(wave, situation) * turnMs;
+	const {turnaroundMs} = situation;
+	const leftMs = Math.max(1, getLeftMs(wave, epochNow) - turnaroundMs);
+	const work = countTurns(wave, situation) * turnaroundMs;
 	return Math.min(2 * wave.request.maxAway, Math.ceil(work / leftMs));
 };
 
@@ -203,15 +203,15 @@
  */
 export const stepMachineWave = (
 	wave: MachineWave,
-	situation: WaveSituation,
+	situation: WaveStepInput,
 	epochNow: number,
 ): WaveStep => {
-	const {machines, emptying, getLoad} = situation;
+	const {machines, evacuating, getLoad} = situation;
 	const away = countAway(wave);
 	const mayBegin = Math.max(0, wave.request.maxAway - away);
 	const ranked = rankPending(wave, machines, getLoad);
-	const begunAlready = ranked.filter(({id}) => emptying.has(id));
-	const fresh = ranked.filter(({id}) => !emptying.has(id));
+	const begunAlready = ranked.filter(({id}) => evacuating.has(id));
+	const fresh = ranked.filter(({id}) => !evacuating.has(id));
 	const isIdle = (machine: WaveMachine) => getBurden(getLoad(machine)) === 0;
 	const idle = fresh
 		.filter((machine) => isIdle(machine))
@@ -225,13 +225,13 @@
 		.map(({id}) => id);
 	return {
 		evacuate,
-		mayBegin,
+		maxStarts: mayBegin,
 		isCompleted: isWaveCompleted(wave, machines),
 	};
 };
 
 /** Notes that the maintenance of a machine is about to be ordered. */
-export const beginMachine = (
+export const recordMaintenanceStart = (
 	wave: MachineWave,
 	machine: WaveMachine,
 	epochNow: number,
@@ -249,7 +249,10 @@
 });
 
 /** Notes that the platform has taken the order. */
-export const noteAnswered = (wave: MachineWave, id: string): MachineWave => {
+export const recordCommandAccepted = (
+	wave: MachineWave,
+	id: string,
+): MachineWave => {
 	const entry = wave.begun[id];
 	return entry
 		? {...wave, begun: {...wave.begun, [id]: {...entry, isAnswered: true}}}
@@ -265,13 +268,16 @@
 };
 
 /** The order was certainly not carried out: the machine is pending again. */
-export const takeBackMachine = (wave: MachineWave, id: string): MachineWave => {
+export const undoMaintenanceStart = (
+	wave: MachineWave,
+	id: string,
+): MachineWave => {
 	const {[id]: _, ...begun} = wave.begun;
 	return {...wave, begun};
 };
 
 /** Whether to stop what runs rather than wait: the wave's end is near. */
-export const isPressed = (
+export const isShortOfTime = (
 	wave: MachineWave,
 	machines: ReadonlyMap<string, WaveMachine>,
 	turnMs: number,
--- a/packages/core/src/fleet/pool-plan.test.ts
+++ b/packages/core/src/fleet/pool-plan.test.ts
@@ -25,8 +25,8 @@
 	isArriving: false,
 	cpuMillis: 1000,
 	runs: 0,
-	lasting: 0,
-	isTaken: false,
+	longRunning: 0,
+	isReserved: false,
 	...changes,
 });
 
@@ -94,8 +94,8 @@
 		name: 'a machine with a lasting task stays',
 		demands: [createDemand('p', {usedCpu: 100})],
 		machines: [
-			createMachine('a', 'p', {runs: 1, lasting: 1}),
-			createMachine('b', 'p', {runs: 2, lasting: 1}),
+			createMachine('a', 'p', {runs: 1, longRunning: 1}),
+			createMachine('b', 'p', {runs: 2, longRunning: 1}),
 		],
 		surplusMs: 1000,
 		moves: [],
@@ -114,7 +114,7 @@
 		name: 'a machine that is maintained or down stays',
 		demands: [createDemand('p')],
 		machines: [
-			createMachine('a', 'p', {isTaken: true}),
+			createMachine('a', 'p', {isReserved: true}),
 			createMachine('b', 'p', {isUp: false}),
 		],
 		surplusMs: 1000,
@@ -195,8 +195,8 @@
 		demands: [createDemand('p', {waitingCpu: 3000})],
 		machines: [
 			createMachine('a', 'p'),
-			createMachine('b', 'p', {isUp: false, isTaken: true}),
-			createMachine('c', 'p', {isTaken: true, runs: 1}),
+			createMachine('b', 'p', {isUp: false, isReserved: true}),
+			createMachine('c', 'p', {isReserved: true, runs: 1}),
 			createMachine('s1', 'standby'),
 			createMachine('s2', 'standby'),
 			createMachine('s3', 'standby'),
@@ -289,8 +289,8 @@
 		demands: [createDemand('p', {usedCpu: 1000})],
 		machines: [
 			createMachine('a', 'p', {runs: 1}),
-			createMachine('b', 'p', {isUp: false, isTaken: true}),
-			createMachine('c', 'p', {isTaken: true}),
+			createMachine('b', 'p', {isUp: false, isReserved: true}),
+			createMachine('c', 'p', {isReserved: true}),
 		],
 		surplusMs: 1000,
 		moves: [],
@@ -307,11 +307,16 @@
 			underWay: underWay ?? new Map(),
 			standbyPool: 'standby',
 		};
-		const first = fleet.planPools(situation, fleet.emptyPoolMemory, caseCfg, 0);
+		const first = fleet.planPools(
+			situation,
+			fleet.emptyPoolPlanState,
+			caseCfg,
+			0,
+		);
 		const plan =
 			surplusMs === undefined
 				? first
-				: fleet.planPools(situation, first.memory, caseCfg, surplusMs);
+				: fleet.planPools(situation, first.state, caseCfg, surplusMs);
 		t.same(
 			plan.moves.map(({machine, to}) => `${machine} to ${to}`),
 			moves,
@@ -321,7 +326,7 @@
 
 tap.t.test('a surplus that is over begins anew', async (t) => {
 	const machines = [createMachine('a', 'p'), createMachine('b', 'p')];
-	const plan = (memory: fleet.PoolMemory, waitingCpu: number, now: number) =>
+	const plan = (memory: fleet.PoolPlanState, waitingCpu: number, now: number) =>
 		fleet.planPools(
 			{
 				demands: [createDemand('p', {waitingCpu})],
@@ -333,9 +338,9 @@
 			cfg,
 			now,
 		);
-	const first = plan(fleet.emptyPoolMemory, 0, 0);
-	const busy = plan(first.memory, 2000, 900);
-	t.same(plan(busy.memory, 0, 1100).moves, []);
+	const first = plan(fleet.emptyPoolPlanState, 0, 0);
+	const busy = plan(first.state, 2000, 900);
+	t.same(plan(busy.state, 0, 1100).moves, []);
 });
 
 tap.t.test('each look at a steep rise finds machines to move', async (t) => {
@@ -360,7 +365,7 @@
 				underWay,
 				standbyPool: 'standby',
 			},
-			fleet.emptyPoolMemory,
+			fleet.emptyPoolPlanState,
 			fleet.defaultPoolConfig,
 			index * 300,
 		);
--- a/packages/core/src/fleet/pool-plan.ts
+++ b/packages/core/src/fleet/pool-plan.ts
@@ -98,13 +98,13 @@
 	/** Runs on it; absent in the standby pool. */
 	readonly runs: number;
 	/** Lasting tasks on it. */
-	readonly lasting: number;
+	readonly longRunning: number;
 	/** Something else is done with it, such as maintenance. */
-	readonly isTaken: boolean;
+	readonly isReserved: boolean;
 };
 
 /** What is remembered between two plans. */
-export type PoolMemory = {
+export type PoolPlanState = {
 	/** Since when each pool has had more than it needs. */
 	readonly surplusSince: ReadonlyMap<string, number>;
 };
@@ -122,13 +122,13 @@
 /** What to do, and what to remember. */
 export type PoolPlan = {
 	readonly moves: readonly PoolMove[];
-	readonly memory: PoolMemory;
+	readonly state: PoolPlanState;
 	/** Machines wanted by pool, for the log. */
 	readonly targets: ReadonlyMap<string, number>;
 };
 
 /** What a plan is made from. */
-export type PoolSituation = {
+export type PoolPlanInput = {
 	readonly demands: readonly PoolDemand[];
 	readonly machines: readonly PoolMachine[];
 	readonly underWay: MovesUnderWay;
@@ -136,7 +136,7 @@
 };
 
 /** Nothing remembered. */
-export const emptyPoolMemory: PoolMemory = {surplusSince: new Map()};
+export const emptyPoolPlanState: PoolPlanState = {surplusSince: new Map()};
 
 const getMachineCpu = (machines: readonly PoolMachine[]): number =>
 	machines.length === 0
@@ -146,7 +146,7 @@
 
 /** Machines that each pool keeps at the least. */
 const getLeast = (
-	{demands, machines}: PoolSituation,
+	{demands, machines}: PoolPlanInput,
 	cfg: PoolConfig,
 ): number => {
 	const evenShare = machines.length / (demands.length + 1);
@@ -186,12 +186,12 @@
  * Whether a machine serves its pool or soon will. One that is down or emptied
  * for maintenance does not: its pool would look full while its queue waits.
  */
-const isServing = ({isUp, isArriving, isTaken}: PoolMachine): boolean =>
-	(isUp || isArriving) && !isTaken;
+const isServing = ({isUp, isArriving, isReserved}: PoolMachine): boolean =>
+	(isUp || isArriving) && !isReserved;
 
 /** Machines that serve a pool, and those that are on their way to it. */
 const countMachines = (
-	{machines, underWay}: PoolSituation,
+	{machines, underWay}: PoolPlanInput,
 	pool: string,
 ): number => {
 	const staying = machines.filter(
@@ -207,10 +207,10 @@
 };
 
 const noteSurplus = (
-	memory: PoolMemory,
+	memory: PoolPlanState,
 	surplus: ReadonlyMap<string, number>,
 	now: number,
-): PoolMemory => {
+): PoolPlanState => {
 	const since = new Map<string, number>();
 	for (const [pool, machines] of surplus) {
 		if (machines > 0) {
@@ -226,7 +226,7 @@
  * with work leave once that has ended; those with lasting tasks stay.
  */
 const listGivable = (
-	{machines, underWay}: PoolSituation,
+	{machines, underWay}: PoolPlanInput,
 	pool: string,
 ): readonly PoolMachine[] =>
 	machines
@@ -234,14 +234,14 @@
 			(each) =>
 				each.pool === pool &&
 				each.isUp &&
-				!each.isTaken &&
+				!each.isReserved &&
 				!underWay.has(each.id) &&
-				each.lasting === 0,
+				each.longRunning === 0,
 		)
 		.toSorted((one, two) => one.runs - two.runs);
 
 type Ledger = {
-	readonly situation: PoolSituation;
+	readonly situation: PoolPlanInput;
 	/** Machines that each pool can give now. */
 	readonly givers: Map<string, PoolMachine[]>;
 	readonly moves: PoolMove[];
@@ -320,8 +320,8 @@
 
 /** Plans moves for the demand of this moment. */
 export const planPools = (
-	situation: PoolSituation,
-	memory: PoolMemory,
+	situation: PoolPlanInput,
+	memory: PoolPlanState,
 	cfg: PoolConfig,
 	now: number,
 ): PoolPlan => {
@@ -385,5 +385,5 @@
 		}
 	}
 
-	return {moves: ledger.moves, memory: noted, targets};
+	return {moves: ledger.moves, state: noted, targets};
 };
--- a/packages/core/src/fleet/wave-slow-leavers.test.ts
+++ b/packages/core/src/fleet/wave-long-running.test.ts
@@ -55,7 +55,7 @@
 				return [id, machine] as const;
 			}),
 		);
-		wave = fleet.noteMachines(wave, machines, now);
+		wave = fleet.recordReturnedMachines(wave, machines, now);
 		if (fleet.isWaveCompleted(wave, machines)) {
 			return now;
 		}
@@ -64,13 +64,13 @@
 			wave,
 			{
 				machines,
-				emptying,
+				evacuating: emptying,
 				getLoad: ({id}) => ({
 					runs: 1,
 					lasting: holdsLasting.has(id) ? 1 : 0,
 					usedCpu: 1,
 				}),
-				turnMs,
+				turnaroundMs: turnMs,
 			},
 			now,
 		);
@@ -81,10 +81,10 @@
 
 		const clear = step.evacuate
 			.filter((id) => now - since.get(id)! >= emptyMs(id))
-			.slice(0, step.mayBegin);
+			.slice(0, step.maxStarts);
 		for (const id of clear) {
-			wave = fleet.beginMachine(wave, machines.get(id)!, now);
-			wave = fleet.noteAnswered(wave, id);
+			wave = fleet.recordMaintenanceStart(wave, machines.get(id)!, now);
+			wave = fleet.recordCommandAccepted(wave, id);
 			begunAt.set(id, now);
 			emptying.delete(id);
 		}
--- a/packages/core/src/instances/move.ts
+++ b/packages/core/src/instances/move.ts
@@ -14,10 +14,10 @@
 	type StorePrecondition,
 } from '../types/store-write.js';
 import {
-	findLagging,
-	type HeardAcknowledgements,
-	type Lag,
-} from '../membership/lagging.js';
+	listPendingAcknowledgements,
+	type ReceivedAcknowledgements,
+	type PendingAcknowledgement,
+} from '../membership/pending-acknowledgements.js';
 import type {Registration} from '../membership/registration.js';
 import {applyTransition, type Transition} from './transition.js';
 
@@ -53,7 +53,7 @@
 /** What to do next for a move. */
 export type MoveStep =
 	| MoveCommit
-	| {readonly kind: 'wait'; readonly lagging: readonly Lag[]}
+	| {readonly kind: 'wait'; readonly lagging: readonly PendingAcknowledgement[]}
 	/** The object store's snapshot does not show the drain yet. */
 	| {readonly kind: 'wait-for-snapshot'}
 	/** An entry may just have started from an older snapshot. */
@@ -94,7 +94,7 @@
 	/** Version of the membership row, read before the registrations. */
 	readonly version: number;
 	readonly registrations: readonly Registration[];
-	readonly heard: HeardAcknowledgements;
+	readonly heard: ReceivedAcknowledgements;
 	readonly outageStart: OutageStart;
 };
 
@@ -196,10 +196,14 @@
 		return createStep(move, instance, 'commitMove', [checkShard(shard)]);
 	}
 
-	const lagging = findLagging(membership.registrations, membership.heard, {
-		revision: move.value.drainRevision,
-		instance: move.value.instance,
-	});
+	const lagging = listPendingAcknowledgements(
+		membership.registrations,
+		membership.heard,
+		{
+			revision: move.value.drainRevision,
+			instance: move.value.instance,
+		},
+	);
 	if (lagging.length > 0) {
 		return {kind: 'wait', lagging};
 	}
--- a/packages/core/src/instances/ownership-system.test.fixture.ts
+++ b/packages/core/src/instances/ownership-system.test.fixture.ts
@@ -1,6 +1,6 @@
 /** Entries and movers on one store, for the tests of ownership. */
 import * as assert from 'node:assert/strict';
-import {acknowledgeRevision} from '../membership/acknowledgement.js';
+import {createAcknowledgement} from '../membership/acknowledgement.js';
 import {
 	registerEntry,
 	removeEntry,
@@ -145,7 +145,7 @@
 		heard: [],
 		quorum: [],
 		upMs: 60_000,
-		acknowledged: acknowledgeRevision(
+		acknowledged: createAcknowledgement(
 			{entry: `e${index}`, incarnation: `${entry.life}`},
 			entry.sequence,
 			{view: viewOf(system, entry.revision), router: getRouter(system, entry)},
--- a/packages/core/src/job-legs/job-legs.test.ts
+++ b/packages/core/src/job-legs/job-phases.test.ts
@@ -61,7 +61,7 @@
 type Case = {
 	readonly name: string;
 	readonly lines: readonly Line[];
-	readonly cause: jobLegs.LossCause | undefined;
+	readonly cause: jobLegs.MissCause | undefined;
 };
 
 const cases: readonly Case[] = [
@@ -201,7 +201,7 @@
 for (const {name, lines, cause} of cases) {
 	tap.t.test(name, async (t) => {
 		const all = jobLegs.readJobs(toLines(lines.toReversed()));
-		t.equal(jobLegs.findLossCause(all, all.jobs.get(id)!), cause);
+		t.equal(jobLegs.findMissCause(all, all.jobs.get(id)!), cause);
 	});
 }
 
@@ -216,7 +216,7 @@
 			end(1520),
 		]),
 	);
-	t.same(jobLegs.getLegs(all.jobs.get(id)!), {
+	t.same(jobLegs.getPhases(all.jobs.get(id)!), {
 		accept: 10,
 		tell: 20,
 		firstStart: 70,
@@ -238,7 +238,7 @@
 			intake(14, {job: 'eeeeeeeeeeeeeeee', isLasting: true}),
 		]),
 	);
-	t.same(jobLegs.sumLosses(all), [
+	t.same(jobLegs.summarizeQueues(all), [
 		{queue: 'q', jobs: 2, inTime: 1, lost: {unfinished: 0.2}},
 	]);
 });
--- a/packages/core/src/job-legs/job-legs.ts
+++ b/packages/core/src/job-legs/job-phases.ts
@@ -3,10 +3,10 @@
  * leg that took most beyond what the work itself needs.
  */
 import {match} from 'ts-pattern';
-import type {LoggedJob, LoggedJobs, Stretch} from './read-jobs.js';
+import type {LoggedJob, LoggedJobs, TimeInterval} from './read-jobs.js';
 
 /** Legs of a job, in milliseconds, one after another. */
-export type JobLegs = {
+export type JobPhases = {
 	/** From the first call to the acceptance, refused calls included. */
 	readonly accept: number;
 	/** Until its owner had it. */
@@ -22,7 +22,7 @@
 };
 
 /** Why the value of a job was lost. */
-export const lossCauses = {
+export const missCauses = {
 	refused: 'refused, or given up before it was accepted',
 	acceptedLate: 'accepted late',
 	toldLate: 'its owner was told late',
@@ -38,10 +38,10 @@
 } as const;
 
 /** Why the value of a job was lost. */
-export type LossCause = keyof typeof lossCauses;
+export type MissCause = keyof typeof missCauses;
 
-const mergeRuns = (runs: readonly Stretch[]): readonly Stretch[] => {
-	const merged: Stretch[] = [];
+const mergeRuns = (runs: readonly TimeInterval[]): readonly TimeInterval[] => {
+	const merged: TimeInterval[] = [];
 	for (const run of runs.toSorted((one, two) => one.from - two.from)) {
 		const last = merged.at(-1);
 		if (last && run.from <= last.to) {
@@ -54,14 +54,14 @@
 	return merged;
 };
 
-const sumMs = (stretches: readonly Stretch[]): number =>
+const sumMs = (stretches: readonly TimeInterval[]): number =>
 	stretches.reduce((sum, {from, to}) => sum + to - from, 0);
 
 /** The legs of a job so far; those that it has not come to are 0. */
-export const getLegs = (job: LoggedJob): JobLegs => {
-	const handedInAt = job.handedInAt ?? job.takenInAt ?? 0;
-	const acceptedAt = job.acceptedAt ?? job.takenInAt ?? handedInAt;
-	const takenInAt = job.takenInAt ?? acceptedAt;
+export const getPhases = (job: LoggedJob): JobPhases => {
+	const handedInAt = job.submittedAt ?? job.ownerAcceptedAt ?? 0;
+	const acceptedAt = job.acceptedAt ?? job.ownerAcceptedAt ?? handedInAt;
+	const takenInAt = job.ownerAcceptedAt ?? acceptedAt;
 	const runs = mergeRuns(job.runs);
 	const firstAt = runs[0]?.from ?? takenInAt;
 	const lastAt = runs.at(-1)?.to ?? firstAt;
@@ -79,13 +79,16 @@
 const getTookMs = (job: LoggedJob): number | undefined =>
 	job.endedAt === undefined
 		? undefined
-		: job.endedAt - (job.handedInAt ?? job.takenInAt ?? job.endedAt);
+		: job.endedAt - (job.submittedAt ?? job.ownerAcceptedAt ?? job.endedAt);
 
 /**
  * The time of the work itself: of each step the longest run that was done, one
  * step after another; by the caller's estimate while none was.
  */
-export const getChainMs = ({runs, estimatedChainMs}: LoggedJob): number => {
+export const getCriticalPathMs = ({
+	runs,
+	estimatedCriticalPathMs,
+}: LoggedJob): number => {
 	const longest = new Map<number, number>();
 	for (const {step, from, to, isDone} of runs) {
 		const known = longest.get(step) ?? 0;
@@ -93,12 +96,12 @@
 	}
 
 	const sum = [...longest.values()].reduce((total, each) => total + each, 0);
-	return sum === 0 ? estimatedChainMs : sum;
+	return sum === 0 ? estimatedCriticalPathMs : sum;
 };
 
 /** Time within which a job was wanted, by the work that it turned out to be. */
 export const getObjectiveMs = (job: LoggedJob): number =>
-	job.stretch * getChainMs(job) + job.targetLatencyMs;
+	job.stretch * getCriticalPathMs(job) + job.targetLatencyMs;
 
 /** Whether a job was done within its objective. */
 export const isInTime = (job: LoggedJob): boolean =>
@@ -106,14 +109,14 @@
 	(getTookMs(job) ?? Infinity) <= getObjectiveMs(job);
 
 const findStartCause = (
-	{owners, takeovers, barredMoves}: LoggedJobs,
+	{owners, takeovers, blockedMoves}: LoggedJobs,
 	{shard}: LoggedJob,
-	{from, to}: Stretch,
-): LossCause => {
+	{from, to}: TimeInterval,
+): MissCause => {
 	const isWithin = (at: number) => at >= from && at <= to;
 	const isHere = (each: {readonly at: number; readonly shard: string}) =>
 		each.shard === shard && isWithin(each.at);
-	if (owners.some((each) => isHere(each) && each.unknownPlace > 0)) {
+	if (owners.some((each) => isHere(each) && each.tasksOfUnknownPlace > 0)) {
 		return 'unknownPlace';
 	}
 
@@ -121,31 +124,31 @@
 		return 'noOwner';
 	}
 
-	return barredMoves.some((at) => isWithin(at)) ? 'barredMoves' : 'noRoom';
+	return blockedMoves.some((at) => isWithin(at)) ? 'barredMoves' : 'noRoom';
 };
 
-const findLongestLeg = (job: LoggedJob): keyof JobLegs => {
-	const legs = getLegs(job);
+const findLongestLeg = (job: LoggedJob): keyof JobPhases => {
+	const legs = getPhases(job);
 	const beyond = {
 		...legs,
-		running: Math.max(0, legs.running - getChainMs(job)),
-	} satisfies JobLegs;
-	const [longest] = (Object.keys(beyond) as Array<keyof JobLegs>).toSorted(
+		running: Math.max(0, legs.running - getCriticalPathMs(job)),
+	} satisfies JobPhases;
+	const [longest] = (Object.keys(beyond) as Array<keyof JobPhases>).toSorted(
 		(one, two) => beyond[two] - beyond[one],
 	);
 	return longest ?? 'running';
 };
 
 /** Why a job was not in time; absent if it was, or its caller cancelled it. */
-export const findLossCause = (
+export const findMissCause = (
 	all: LoggedJobs,
 	job: LoggedJob,
-): LossCause | undefined => {
+): MissCause | undefined => {
 	if (isInTime(job) || job.end === 'cancelled') {
 		return undefined;
 	}
 
-	if (job.takenInAt === undefined) {
+	if (job.ownerAcceptedAt === undefined) {
 		return 'refused';
 	}
 
@@ -154,14 +157,14 @@
 	}
 
 	const isRepeated = job.runs.some(({isDone}) => !isDone);
-	const legs = getLegs(job);
-	const startedAt = job.takenInAt + legs.firstStart;
+	const legs = getPhases(job);
+	const startedAt = job.ownerAcceptedAt + legs.firstStart;
 	return match(findLongestLeg(job))
-		.returnType<LossCause>()
+		.returnType<MissCause>()
 		.with('accept', () => 'acceptedLate')
 		.with('tell', () => 'toldLate')
 		.with('firstStart', () =>
-			findStartCause(all, job, {from: job.takenInAt ?? 0, to: startedAt}),
+			findStartCause(all, job, {from: job.ownerAcceptedAt ?? 0, to: startedAt}),
 		)
 		.with('running', () => (isRepeated ? 'repeated' : 'slow'))
 		.with('between', () => (isRepeated ? 'repeated' : 'betweenSteps'))
@@ -170,10 +173,10 @@
 };
 
 /** Shares of all work that was asked for, by the cause of its loss. */
-export type CauseShares = Readonly<Partial<Record<LossCause, number>>>;
+export type CauseShares = Readonly<Partial<Record<MissCause, number>>>;
 
 /** Jobs of a queue and what was lost of their work, by cause. */
-export type QueueLedger = {
+export type QueueSummary = {
 	readonly queue: string;
 	readonly jobs: number;
 	readonly inTime: number;
@@ -185,17 +188,17 @@
 	all: LoggedJobs,
 	queue: string,
 	jobs: readonly LoggedJob[],
-): QueueLedger => {
+): QueueSummary => {
 	const known = jobs.filter(({work}) => work > 0);
 	const meanWork =
 		known.reduce((sum, {work}) => sum + work, 0) / Math.max(1, known.length);
-	const lost: Partial<Record<LossCause, number>> = {};
+	const lost: Partial<Record<MissCause, number>> = {};
 	let owed = 0;
 	for (const job of jobs) {
 		// What a refused job asked for is not told.
 		const work = job.work || meanWork || 1;
 		owed += work;
-		const cause = findLossCause(all, job);
+		const cause = findMissCause(all, job);
 		if (cause) {
 			lost[cause] = (lost[cause] ?? 0) + work;
 		}
@@ -210,15 +213,15 @@
 		queue,
 		jobs: jobs.length,
 		inTime,
-		lost: Object.fromEntries(shares) as QueueLedger['lost'],
+		lost: Object.fromEntries(shares) as QueueSummary['lost'],
 	};
 };
 
 /** The ledger of each queue; jobs that no owner took in stand under ''. */
-export const sumLosses = (all: LoggedJobs): readonly QueueLedger[] => {
+export const summarizeQueues = (all: LoggedJobs): readonly QueueSummary[] => {
 	const queues = new Map<string, LoggedJob[]>();
 	for (const job of all.jobs.values()) {
-		if (!job.isLasting && job.end !== 'cancelled') {
+		if (!job.isLongRunning && job.end !== 'cancelled') {
 			const queue = job.queue ?? '';
 			queues.set(queue, [...(queues.get(queue) ?? []), job]);
 		}
@@ -230,12 +233,12 @@
 };
 
 /** What was lost of all queues together, each weighing the same. */
-export const sumCauses = (all: LoggedJobs): CauseShares => {
-	const queues = sumLosses(all).filter(({queue}) => queue !== '');
-	const shares: Partial<Record<LossCause, number>> = {};
+export const sumSharesByCause = (all: LoggedJobs): CauseShares => {
+	const queues = summarizeQueues(all).filter(({queue}) => queue !== '');
+	const shares: Partial<Record<MissCause, number>> = {};
 	for (const {lost} of queues) {
 		for (const [cause, share] of Object.entries(lost)) {
-			const key = cause as LossCause;
+			const key = cause as MissCause;
 			shares[key] = (shares[key] ?? 0) + share / queues.length;
 		}
 	}
--- a/packages/core/src/job-legs/pool-room.ts
+++ b/packages/core/src/job-legs/pool-capacity.ts
@@ -2,7 +2,7 @@
 import type {LogLine} from './read-jobs.js';
 
 /** A pool at one time, in machines. */
-export type PoolRoom = {
+export type PoolCapacity = {
 	readonly at: number;
 	/** What runs and waits. */
 	readonly asked: number;
@@ -12,10 +12,10 @@
 type PoolFields = {readonly asked?: unknown; readonly held?: unknown};
 
 /** What the fleet's holders told of a pool, the earliest first. */
-export const readPoolRoom = (
+export const readPoolCapacity = (
 	lines: readonly LogLine[],
 	pool: string,
-): readonly PoolRoom[] =>
+): readonly PoolCapacity[] =>
 	lines
 		.flatMap(({at, message, fields}) => {
 			const pools = fields.pools as Record<string, PoolFields> | undefined;
--- a/packages/core/src/job-legs/read-jobs.ts
+++ b/packages/core/src/job-legs/read-jobs.ts
@@ -9,10 +9,10 @@
 };
 
 /** A stretch of time, in milliseconds since 1970. */
-export type Stretch = {readonly from: number; readonly to: number};
+export type TimeInterval = {readonly from: number; readonly to: number};
 
 /** A run of one of its tasks. */
-export type LoggedRun = Stretch & {
+export type LoggedRun = TimeInterval & {
 	readonly step: number;
 	readonly isDone: boolean;
 };
@@ -23,55 +23,55 @@
 	/** Service of its owner; absent if no owner took it in. */
 	shard: string | undefined;
 	queue: string | undefined;
-	handedInAt: number | undefined;
+	submittedAt: number | undefined;
 	/** Answer to the latest call that handed it in. */
-	answer: string | undefined;
+	submitOutcome: string | undefined;
 	acceptedAt: number | undefined;
-	takenInAt: number | undefined;
+	ownerAcceptedAt: number | undefined;
 	/** Its objective is this many times the longest chain of work ... */
 	stretch: number;
 	/** ... and so much more. */
 	targetLatencyMs: number;
 	/** Estimated time of that chain, in milliseconds. */
-	estimatedChainMs: number;
+	estimatedCriticalPathMs: number;
 	/** Cpu-milliseconds by the caller's estimate. */
 	work: number;
-	isLasting: boolean;
+	isLongRunning: boolean;
 	readonly runs: LoggedRun[];
 	end: string | undefined;
 	endedAt: number | undefined;
 };
 
 /** What an owner said of itself. */
-export type OwnerReading = {
+export type OwnerReport = {
 	readonly at: number;
 	readonly shard: string;
-	readonly unknownPlace: number;
+	readonly tasksOfUnknownPlace: number;
 };
 
 /** All that the lines tell. */
 export type LoggedJobs = {
 	readonly jobs: ReadonlyMap<string, LoggedJob>;
-	readonly owners: readonly OwnerReading[];
+	readonly owners: readonly OwnerReport[];
 	/** Takeovers of services. */
-	readonly takeovers: readonly OwnerReading[];
+	readonly takeovers: readonly OwnerReport[];
 	/** When the fleet's holder could not order moves. */
-	readonly barredMoves: readonly number[];
+	readonly blockedMoves: readonly number[];
 };
 
 const createLoggedJob = (id: string): LoggedJob => ({
 	id,
 	shard: undefined,
 	queue: undefined,
-	handedInAt: undefined,
-	answer: undefined,
+	submittedAt: undefined,
+	submitOutcome: undefined,
 	acceptedAt: undefined,
-	takenInAt: undefined,
+	ownerAcceptedAt: undefined,
 	stretch: 0,
 	targetLatencyMs: 0,
-	estimatedChainMs: 0,
+	estimatedCriticalPathMs: 0,
 	work: 0,
-	isLasting: false,
+	isLongRunning: false,
 	runs: [],
 	end: undefined,
 	endedAt: undefined,
@@ -92,9 +92,9 @@
 	readonly jobs: Map<string, LoggedJob>;
 	/** Starts whose end has not been read, by task and run. */
 	readonly started: Map<string, number>;
-	readonly owners: OwnerReading[];
-	readonly takeovers: OwnerReading[];
-	readonly barredMoves: number[];
+	readonly owners: OwnerReport[];
+	readonly takeovers: OwnerReport[];
+	readonly blockedMoves: number[];
 };
 
 const getJob = ({jobs}: Reading, id: string): LoggedJob => {
@@ -110,23 +110,23 @@
 
 	const job = getJob(reading, toText(fields.job));
 	const handedInAt = at - toNumber(fields.tookMs);
-	job.handedInAt = Math.min(job.handedInAt ?? handedInAt, handedInAt);
+	job.submittedAt = Math.min(job.submittedAt ?? handedInAt, handedInAt);
 	if (job.acceptedAt === undefined) {
-		job.answer = toText(fields.outcome);
+		job.submitOutcome = toText(fields.outcome);
 		job.acceptedAt = fields.outcome === 'ok' ? at : undefined;
 	}
 };
 
 const takeIntake = (reading: Reading, {at, fields}: LogLine): void => {
 	const job = getJob(reading, toText(fields.job));
-	job.takenInAt ??= at;
+	job.ownerAcceptedAt ??= at;
 	job.shard = toText(fields.shard);
 	job.queue = toText(fields.queue);
 	job.stretch = toNumber(fields.stretch);
 	job.targetLatencyMs = toNumber(fields.targetLatencyMs);
-	job.estimatedChainMs = toNumber(fields.chainMs);
+	job.estimatedCriticalPathMs = toNumber(fields.chainMs);
 	job.work = toNumber(fields.work);
-	job.isLasting = fields.isLasting === true;
+	job.isLongRunning = fields.isLasting === true;
 };
 
 const takeStart = (reading: Reading, {at, fields}: LogLine): void => {
@@ -156,10 +156,10 @@
 	job.endedAt = at;
 };
 
-const toOwner = ({at, fields}: LogLine): OwnerReading => ({
+const toOwner = ({at, fields}: LogLine): OwnerReport => ({
 	at,
 	shard: toText(fields.shard),
-	unknownPlace: toNumber(fields.tasksOfUnknownPlace),
+	tasksOfUnknownPlace: toNumber(fields.tasksOfUnknownPlace),
 });
 
 const takers: Readonly<
@@ -177,8 +177,8 @@
 	'service taken over'({takeovers}, line) {
 		takeovers.push(toOwner(line));
 	},
-	'orders not noted'({barredMoves}, {at}) {
-		barredMoves.push(at);
+	'orders not noted'({blockedMoves}, {at}) {
+		blockedMoves.push(at);
 	},
 };
 
@@ -189,7 +189,7 @@
 		started: new Map(),
 		owners: [],
 		takeovers: [],
-		barredMoves: [],
+		blockedMoves: [],
 	};
 	for (const line of lines.toSorted((one, two) => one.at - two.at)) {
 		takers[line.message]?.(reading, line);
--- a/packages/core/src/jobs/jobs.test.ts
+++ b/packages/core/src/jobs/jobs.test.ts
@@ -180,12 +180,12 @@
 
 tap.t.test('a lease is over only when no request can extend it', async (t) => {
 	const cfg = jobs.defaultTaskLeaseConfig;
-	const sent = jobs.noteRenewal(jobs.startLease(0), 10_000, false);
+	const sent = jobs.recordRenewal(jobs.startLease(0), 10_000, false);
 	t.ok(jobs.isRenewalDue(sent, 15_000), 'an unanswered renewal is repeated');
 	const end = 10_000 + cfg.maxTransitMs + cfg.leaseMs * (1 + cfg.maxDrift);
-	t.equal(jobs.getCertainEnd(sent), end);
-	t.notOk(jobs.isCertainlyOver(sent, end));
-	t.ok(jobs.isCertainlyOver(sent, end + 1));
-	const older = jobs.noteRenewal(sent, 5000, true);
+	t.equal(jobs.getLatestExpiry(sent), end);
+	t.notOk(jobs.isLeaseExpired(sent, end));
+	t.ok(jobs.isLeaseExpired(sent, end + 1));
+	const older = jobs.recordRenewal(sent, 5000, true);
 	t.equal(older.lastSentAt, 10_000, 'an older reply shortens nothing');
 });
--- a/packages/core/src/jobs/task-lease.ts
+++ b/packages/core/src/jobs/task-lease.ts
@@ -46,7 +46,7 @@
 	startLease(takenOverAt);
 
 /** A renewal was sent at `sentAt`; its reply may never come. */
-export const noteRenewal = (
+export const recordRenewal = (
 	lease: TaskLease,
 	sentAt: number,
 	isConfirmed: boolean,
@@ -65,15 +65,15 @@
 ): boolean => now - lease.confirmedAt >= cfg.leaseMs - cfg.renewBeforeMs;
 
 /** When the worker has certainly stopped the task by itself. */
-export const getCertainEnd = (
+export const getLatestExpiry = (
 	lease: TaskLease,
 	cfg: TaskLeaseConfig = defaultTaskLeaseConfig,
 ): number =>
 	lease.lastSentAt + cfg.maxTransitMs + cfg.leaseMs * (1 + cfg.maxDrift);
 
 /** Whether a silent worker's lease is certainly over. */
-export const isCertainlyOver = (
+export const isLeaseExpired = (
 	lease: TaskLease,
 	now: number,
 	cfg: TaskLeaseConfig = defaultTaskLeaseConfig,
-): boolean => now > getCertainEnd(lease, cfg);
+): boolean => now > getLatestExpiry(lease, cfg);
--- a/packages/core/src/membership/acknowledgement.ts
+++ b/packages/core/src/membership/acknowledgement.ts
@@ -6,13 +6,13 @@
 import type {View} from '../types/view.js';
 
 /** One life of an entry; a restart at the same address is another. */
-export type EntryLife = {
+export type EntryIncarnation = {
 	readonly entry: string;
 	readonly incarnation: string;
 };
 
 /** One acknowledgement; only the newest of a life counts. */
-export type Acknowledgement = EntryLife & {
+export type Acknowledgement = EntryIncarnation & {
 	/** Grows with each acknowledgement of this life. */
 	readonly sequence: number;
 	/** Every request dispatched from now on uses at least this revision. */
@@ -34,14 +34,14 @@
 	 * True for the longest request after the start of a life that took the
 	 * place of an earlier one: executors may still run what that one sent.
 	 */
-	readonly mayInherit?: boolean;
+	readonly mayHaveInheritedRequests?: boolean;
 };
 
 const isHeld = (view: View, instance: string): boolean =>
 	view.instances.get(instance)?.state !== 'serving';
 
 /** Instances with requests in flight that may get no new ones. */
-export const listHeld = (
+export const listHeldInstances = (
 	view: View,
 	router: RouterState,
 ): readonly string[] => {
@@ -52,7 +52,7 @@
 		}
 	}
 
-	if (router.mayInherit) {
+	if (router.mayHaveInheritedRequests) {
 		for (const {id, state} of view.instances.values()) {
 			if (state === 'draining') {
 				held.add(id);
@@ -64,7 +64,7 @@
 };
 
 /** What an entry acknowledges from. */
-export type EntryState = {
+export type AcknowledgementInput = {
 	readonly view: View;
 	readonly router: RouterState;
 	/** Acknowledgements of the entries that this one sponsors. */
@@ -75,12 +75,12 @@
  * Makes the acknowledgement of an entry. Received but not routed revisions
  * do not count. An entry that sponsors others speaks for the slowest of them.
  */
-export const acknowledgeRevision = (
-	life: EntryLife,
+export const createAcknowledgement = (
+	life: EntryIncarnation,
 	sequence: number,
-	{view, router, sponsored = []}: EntryState,
+	{view, router, sponsored = []}: AcknowledgementInput,
 ): Acknowledgement => {
-	const holding = new Set(listHeld(view, router));
+	const holding = new Set(listHeldInstances(view, router));
 	let inForce = Math.min(view.revision, router.routedRevision);
 	for (const each of sponsored) {
 		inForce = Math.min(inForce, each.inForce);
@@ -99,17 +99,19 @@
 };
 
 /** True if both are the same life of the same entry. */
-export const isSameLife = (one: EntryLife, two: EntryLife): boolean =>
-	one.entry === two.entry && one.incarnation === two.incarnation;
+export const isSameIncarnation = (
+	one: EntryIncarnation,
+	two: EntryIncarnation,
+): boolean => one.entry === two.entry && one.incarnation === two.incarnation;
 
 /**
  * Takes the newer of two acknowledgements. One of another life than the
  * registered one says nothing and is dropped.
  */
-export const updateAcknowledgement = (
+export const chooseNewerAcknowledgement = (
 	known: Acknowledgement,
 	received: Acknowledgement,
 ): Acknowledgement =>
-	isSameLife(known, received) && received.sequence > known.sequence
+	isSameIncarnation(known, received) && received.sequence > known.sequence
 		? received
 		: known;
--- a/packages/core/src/membership/forget.ts
+++ b/packages/core/src/membership/forget-entry.ts
@@ -9,10 +9,10 @@
 	type Membership,
 	type Registration,
 } from './registration.js';
-import type {MembershipSettings} from './standing.js';
+import type {MembershipSettings} from './membership-status.js';
 
 /** What is known of an entry that may be gone. */
-export type SilenceEvidence = {
+export type ForgetEvidence = {
 	readonly entry: string;
 	/** Version of its row, unchanged for `unchangedMs`. */
 	readonly version: number;
@@ -36,7 +36,7 @@
  * in the quorum that its own row names, their rows are renewed, they have run
  * long enough to know, and do not name it.
  */
-export const countUnheard = (
+export const countEntriesWithoutContact = (
 	{acknowledged: {entry}, quorum}: Registration,
 	rows: readonly ObservedRegistration[],
 	{stallMarginMs, forgetAfterMs}: MembershipSettings,
@@ -55,7 +55,7 @@
 
 /** Removes an entry if every sign of life has been missing long enough. */
 export const forgetEntry = (
-	evidence: SilenceEvidence,
+	evidence: ForgetEvidence,
 	settings: MembershipSettings,
 	removedBy: string,
 ): Result<ReadonlyArray<StoreWrite<Membership>>, ForgetRefusal> => {
--- a/packages/core/src/membership/standing.ts
+++ b/packages/core/src/membership/membership-status.ts
@@ -27,7 +27,7 @@
 	| 'snapshot';
 
 /** Standing of this entry. */
-export type Standing = {
+export type MembershipStatus = {
 	readonly mode: EntryMode;
 	/** Milliseconds; when the newest confirmation was asked for. */
 	readonly confirmedAt: number;
@@ -42,7 +42,10 @@
 };
 
 /** Changes the mode; what confirmed the earlier one no longer counts. */
-export const changeMode = (mode: EntryMode, confirmedAt: number): Standing => ({
+export const changeMode = (
+	mode: EntryMode,
+	confirmedAt: number,
+): MembershipStatus => ({
 	mode,
 	confirmedAt,
 });
@@ -75,7 +78,7 @@
  * isolation counts twice: a peer may claim silence just before it is asked
  * (spec/forget.pml, `forget_after`).
  */
-export const isSoundSettings = (settings: MembershipSettings): boolean =>
+export const isSafeSettings = (settings: MembershipSettings): boolean =>
 	settings.forgetAfterMs >=
 	2 * settings.isolationMs +
 		settings.listLagMs +
@@ -93,12 +96,12 @@
  * @param askedAt - When the call was begun, less the age that the other side
  * reported for its own confirmation; never when the answer came.
  */
-export const confirmStanding = (
-	standing: Standing,
+export const confirmMembership = (
+	standing: MembershipStatus,
 	source: ConfirmationSource,
 	askedAt: number,
 	{isolationMs}: MembershipSettings,
-): Standing => {
+): MembershipStatus => {
 	const {mode, confirmedAt} = standing;
 	const hasLapsed = askedAt - confirmedAt >= isolationMs;
 	const counts =
@@ -111,14 +114,14 @@
 
 /** True if the entry may dispatch new requests; asked at each dispatch. */
 export const mayRoute = (
-	standing: Standing,
+	standing: MembershipStatus,
 	settings: MembershipSettings,
 	now: number,
 ): boolean => now - standing.confirmedAt < settings.isolationMs;
 
 /** What only a registered entry may do. */
 export const mayControl = (
-	standing: Standing,
+	standing: MembershipStatus,
 	settings: MembershipSettings,
 	now: number,
 ): boolean =>
--- a/packages/core/src/membership/membership.test.ts
+++ b/packages/core/src/membership/membership.test.ts
@@ -1,13 +1,17 @@
 import * as tap from 'tap';
 import {emptyView, type View} from '../types/view.js';
 import {
-	acknowledgeRevision,
-	updateAcknowledgement,
+	createAcknowledgement,
+	chooseNewerAcknowledgement,
 	type Acknowledgement,
 } from './acknowledgement.js';
-import {countUnheard, forgetEntry, type SilenceEvidence} from './forget.js';
-import {findLagging} from './lagging.js';
-import {listNeighbours} from './neighbours.js';
+import {
+	countEntriesWithoutContact,
+	forgetEntry,
+	type ForgetEvidence,
+} from './forget-entry.js';
+import {listPendingAcknowledgements} from './pending-acknowledgements.js';
+import {listMonitoredPeers} from './monitored-peers.js';
 import {
 	emptyObservations,
 	getUnchangedMs,
@@ -16,14 +20,14 @@
 import type {Registration} from './registration.js';
 import {
 	changeMode,
-	confirmStanding,
-	isSoundSettings,
+	confirmMembership,
+	isSafeSettings,
 	mayControl,
 	mayRoute,
 	membershipDefaults,
 	type ConfirmationSource,
 	type EntryMode,
-} from './standing.js';
+} from './membership-status.js';
 
 const createAck = (change: Partial<Acknowledgement> = {}): Acknowledgement => ({
 	entry: 'e1',
@@ -75,21 +79,25 @@
 	]);
 	const life = {entry: 'e1', incarnation: 'b'};
 	const router = {routedRevision: 8, inFlight};
-	t.same(acknowledgeRevision(life, 2, {view, router}), {
+	t.same(createAcknowledgement(life, 2, {view, router}), {
 		...life,
 		sequence: 2,
 		inForce: 8,
 		holding: ['draining', 'deleted'],
 	});
 	t.match(
-		acknowledgeRevision(life, 2, {
+		createAcknowledgement(life, 2, {
 			view,
-			router: {routedRevision: 9, inFlight: new Map(), mayInherit: true},
+			router: {
+				routedRevision: 9,
+				inFlight: new Map(),
+				mayHaveInheritedRequests: true,
+			},
 		}),
 		{holding: ['draining']},
 	);
 	const sponsored = [createAck({inForce: 3, holding: ['x']})];
-	t.match(acknowledgeRevision(life, 2, {view, router, sponsored}), {
+	t.match(createAcknowledgement(life, 2, {view, router, sponsored}), {
 		inForce: 3,
 		holding: ['draining', 'deleted', 'x'],
 	});
@@ -106,7 +114,7 @@
 
 for (const [name, change, inForce] of received) {
 	tap.t.test(`receives an acknowledgement: ${name}`, async (t) => {
-		const updated = updateAcknowledgement(createAck(), createAck(change));
+		const updated = chooseNewerAcknowledgement(createAck(), createAck(change));
 		t.equal(updated.inForce, inForce);
 	});
 }
@@ -120,13 +128,21 @@
 	const heard = new Map([
 		['e1', createAck({sequence: 99, inForce: 9, incarnation: 'a'})],
 	]);
-	t.match(findLagging(registrations, heard, {revision: 9, instance: 'x'}), [
-		{entry: 'e1', reason: 'not-in-force', inForce: 7},
-		{entry: 'e2', reason: 'holding'},
+	t.match(
+		listPendingAcknowledgements(registrations, heard, {
+			revision: 9,
+			instance: 'x',
+		}),
+		[
+			{entry: 'e1', reason: 'not-in-force', inForce: 7},
+			{entry: 'e2', reason: 'holding'},
+		],
+	);
+	t.match(listPendingAcknowledgements(registrations, heard, {revision: 9}), [
+		{entry: 'e1'},
 	]);
-	t.match(findLagging(registrations, heard, {revision: 9}), [{entry: 'e1'}]);
 	const newer = new Map([['e1', createAck({sequence: 6, inForce: 9})]]);
-	t.same(findLagging(registrations, newer, {revision: 9}), []);
+	t.same(listPendingAcknowledgements(registrations, newer, {revision: 9}), []);
 });
 
 tap.t.test('silence counts only while it is observed', async (t) => {
@@ -163,7 +179,12 @@
 	tap.t.test(`${mode} entry, confirmed by ${source}`, async (t) => {
 		const {isolationMs} = membershipDefaults;
 		const before = changeMode(mode, 0);
-		const standing = confirmStanding(before, source, 5000, membershipDefaults);
+		const standing = confirmMembership(
+			before,
+			source,
+			5000,
+			membershipDefaults,
+		);
 		const at = isolationMs + 1000;
 		t.equal(mayRoute(standing, membershipDefaults, at), isConfirmed);
 		t.equal(
@@ -171,10 +192,10 @@
 			isConfirmed && mode === 'registered',
 		);
 		t.equal(
-			confirmStanding(standing, source, 1000, membershipDefaults),
+			confirmMembership(standing, source, 1000, membershipDefaults),
 			standing,
 		);
-		const late = confirmStanding(before, source, 10_000, membershipDefaults);
+		const late = confirmMembership(before, source, 10_000, membershipDefaults);
 		t.equal(
 			late !== before,
 			isConfirmed && ['table', 'snapshot'].includes(source),
@@ -182,7 +203,7 @@
 	});
 }
 
-const gone: SilenceEvidence = {
+const gone: ForgetEvidence = {
 	entry: 'e1',
 	version: 3,
 	unchangedMs: membershipDefaults.forgetAfterMs,
@@ -192,7 +213,7 @@
 };
 
 const silences: ReadonlyArray<
-	readonly [Partial<SilenceEvidence>, string | undefined]
+	readonly [Partial<ForgetEvidence>, string | undefined]
 > = [
 	[{}, undefined],
 	[{unchangedMs: 35_999}, 'renewed'],
@@ -228,12 +249,12 @@
 		createRow({}, 0, 'x'),
 		createRow({}, 0, 'outside'),
 	];
-	t.equal(countUnheard(silent, rows, membershipDefaults), 1);
+	t.equal(countEntriesWithoutContact(silent, rows, membershipDefaults), 1);
 });
 
 tap.t.test('no entry is forgotten before it stops by itself', async (t) => {
-	t.ok(isSoundSettings(membershipDefaults));
-	t.notOk(isSoundSettings({...membershipDefaults, forgetAfterMs: 35_999}));
+	t.ok(isSafeSettings(membershipDefaults));
+	t.notOk(isSafeSettings({...membershipDefaults, forgetAfterMs: 35_999}));
 });
 
 const rings: ReadonlyArray<readonly [string, readonly string[], string]> = [
@@ -247,6 +268,6 @@
 
 for (const [self, entries, wanted] of rings) {
 	tap.t.test(`${self} watches ${wanted || 'nobody'}`, async (t) => {
-		t.equal(listNeighbours(self, entries).join(' '), wanted);
+		t.equal(listMonitoredPeers(self, entries).join(' '), wanted);
 	});
 }
--- a/packages/core/src/membership/neighbours.ts
+++ b/packages/core/src/membership/monitored-peers.ts
@@ -5,13 +5,13 @@
  */
 
 /** Entries that each entry watches. */
-export const watchedEntries = 3;
+export const monitoredPeerCount = 3;
 
 /** The next entries after one in a ring of names, without itself. */
-export const listNeighbours = (
+export const listMonitoredPeers = (
 	self: string,
 	entries: readonly string[],
-	count = watchedEntries,
+	count = monitoredPeerCount,
 ): readonly string[] => {
 	const others = entries.filter((entry) => entry !== self).toSorted();
 	const firstAfter = others.findIndex((entry) => entry > self);
--- a/packages/core/src/membership/lagging.ts
+++ b/packages/core/src/membership/pending-acknowledgements.ts
@@ -3,7 +3,7 @@
  * Source: docs/design/agreement.md; operators see it as `lags`.
  */
 import {
-	updateAcknowledgement,
+	chooseNewerAcknowledgement,
 	type Acknowledgement,
 } from './acknowledgement.js';
 import type {Registration} from './registration.js';
@@ -17,7 +17,7 @@
 };
 
 /** An entry that a change waits for, and why. */
-export type Lag = {
+export type PendingAcknowledgement = {
 	readonly entry: string;
 	readonly incarnation: string;
 	readonly reason:
@@ -29,23 +29,23 @@
 };
 
 /** Acknowledgements heard from peers, the newest of each entry. */
-export type HeardAcknowledgements = ReadonlyMap<string, Acknowledgement>;
+export type ReceivedAcknowledgements = ReadonlyMap<string, Acknowledgement>;
 
 /** The newest acknowledgement of a registered life, from row or peer. */
-export const getAcknowledgement = (
+export const getNewestAcknowledgement = (
 	{acknowledged}: Registration,
-	heard: HeardAcknowledgements,
+	heard: ReceivedAcknowledgements,
 ): Acknowledgement => {
 	const received = heard.get(acknowledged.entry);
 	return received
-		? updateAcknowledgement(acknowledged, received)
+		? chooseNewerAcknowledgement(acknowledged, received)
 		: acknowledged;
 };
 
 const getLag = (
 	{entry, incarnation, inForce, holding}: Acknowledgement,
 	{revision, instance}: Requirement,
-): Lag | undefined => {
+): PendingAcknowledgement | undefined => {
 	if (inForce < revision) {
 		return {entry, incarnation, reason: 'not-in-force', inForce};
 	}
@@ -56,14 +56,17 @@
 };
 
 /** Lists the registered entries that have not met a requirement. */
-export const findLagging = (
+export const listPendingAcknowledgements = (
 	registrations: Iterable<Registration>,
-	heard: HeardAcknowledgements,
+	heard: ReceivedAcknowledgements,
 	requirement: Requirement,
-): readonly Lag[] => {
-	const lagging: Lag[] = [];
+): readonly PendingAcknowledgement[] => {
+	const lagging: PendingAcknowledgement[] = [];
 	for (const registration of registrations) {
-		const lag = getLag(getAcknowledgement(registration, heard), requirement);
+		const lag = getLag(
+			getNewestAcknowledgement(registration, heard),
+			requirement,
+		);
 		if (lag) {
 			lagging.push(lag);
 		}
--- a/packages/core/src/membership/periods.test.ts
+++ b/packages/core/src/membership/periods.test.ts
@@ -1,6 +1,6 @@
 import * as tap from 'tap';
 import {getPeriods} from './periods.js';
-import {isSoundSettings, membershipDefaults} from './standing.js';
+import {isSafeSettings, membershipDefaults} from './membership-status.js';
 
 const sizes = [1, 9, 50, 100, 243, 1000];
 
@@ -8,7 +8,7 @@
 	tap.t.test(`periods of ${entries} entries`, async (t) => {
 		const {viewPollMs, heartbeatMs, watchMs, leaseMs, membership} =
 			getPeriods(entries);
-		t.ok(isSoundSettings(membership));
+		t.ok(isSafeSettings(membership));
 		t.ok(leaseMs >= 3 * heartbeatMs);
 		for (const periodMs of [viewPollMs, heartbeatMs, watchMs]) {
 			const callsPerSecond = (entries * 1000) / periodMs;
--- a/packages/core/src/membership/periods.ts
+++ b/packages/core/src/membership/periods.ts
@@ -2,7 +2,10 @@
  * Periods of the agreement protocol by the size of the fleet, so that what
  * all daemons together ask of the table service stays within its rate.
  */
-import {membershipDefaults, type MembershipSettings} from './standing.js';
+import {
+	membershipDefaults,
+	type MembershipSettings,
+} from './membership-status.js';
 
 /** Periods in milliseconds. */
 export type AgreementPeriods = {
--- a/packages/core/src/membership/registration.ts
+++ b/packages/core/src/membership/registration.ts
@@ -8,7 +8,7 @@
 	singleRowKey,
 	type StoreWrite,
 } from '../types/store-write.js';
-import type {Acknowledgement, EntryLife} from './acknowledgement.js';
+import type {Acknowledgement, EntryIncarnation} from './acknowledgement.js';
 
 /** The row of one entry; its owner writes it with every heartbeat. */
 export type Registration = {
@@ -34,7 +34,9 @@
 };
 
 /** The life that a registration speaks for. */
-export const getLife = ({acknowledged}: Registration): EntryLife => ({
+export const getEntryIncarnation = ({
+	acknowledged,
+}: Registration): EntryIncarnation => ({
 	entry: acknowledged.entry,
 	incarnation: acknowledged.incarnation,
 });
--- a/packages/core/src/shards/candidates.test.ts
+++ b/packages/core/src/shards/candidates.test.ts
@@ -3,10 +3,10 @@
 import * as tap from 'tap';
 import type {EntryCapacity, LiveEntry} from './shard-assignment.js';
 import {
-	isNeeded,
+	isCandidateNeeded,
 	leaveDelayMs,
 	maxJoinDelayMs,
-	observer,
+	observerState,
 	candidateCount,
 	stepCandidate,
 	type CandidateState,
@@ -36,7 +36,7 @@
 	}));
 	return {
 		entries,
-		states: new Map(entries.map(({entry}) => [entry, observer])),
+		states: new Map(entries.map(({entry}) => [entry, observerState])),
 		holders: new Set(entries.slice(0, holderCount).map(({entry}) => entry)),
 		gone: new Set(),
 		at: 0,
@@ -60,7 +60,7 @@
 				listKnown: () => entries.filter(({entry}) => entry !== self.entry),
 				holders,
 			};
-			const state = states.get(self.entry) ?? observer;
+			const state = states.get(self.entry) ?? observerState;
 			return [self.entry, stepCandidate(state, view, fleet.at)] as const;
 		});
 	for (const [entry, state] of next) {
@@ -159,8 +159,8 @@
 			listKnown: () => entries.filter(({entry}) => entry !== self.entry),
 			holders: new Set<string>(),
 		};
-		t.ok(isNeeded(view), 'without any, each is needed');
-		return stepCandidate(observer, view, 0).isCandidate;
+		t.ok(isCandidateNeeded(view), 'without any, each is needed');
+		return stepCandidate(observerState, view, 0).isCandidate;
 	});
 	t.equal(rank.filter(Boolean).length, 1, 'one joins at once');
 	t.end();
--- a/packages/core/src/shards/candidates.ts
+++ b/packages/core/src/shards/candidates.ts
@@ -6,13 +6,13 @@
  * while. Who holds a shard is up to its lease alone.
  */
 import {rankMembers} from '../limits/rendezvous.js';
-import {listCapable, type LiveEntry} from './shard-assignment.js';
+import {listMostCapable, type LiveEntry} from './shard-assignment.js';
 
 /** Candidates wanted, beside the holders. */
 export const candidateCount = 4;
 
 /** Head start of an entry over the next one in rank that joins, milliseconds. */
-export const joinStepMs = 50;
+export const joinDelayPerRankMs = 50;
 
 /** Longest wait of an entry before it joins, milliseconds. */
 export const maxJoinDelayMs = 2000;
@@ -21,7 +21,7 @@
 export const leaveDelayMs = 3000;
 
 /** What an entry knows when it asks whether to be a candidate. */
-export type CandidateView = {
+export type CandidateInput = {
 	readonly self: LiveEntry;
 	/** Others whose heartbeat is young. */
 	readonly live: readonly LiveEntry[];
@@ -35,18 +35,18 @@
 export type CandidateState = {
 	readonly isCandidate: boolean;
 	/** Since when the opposite is wanted; absent while it is as wanted. */
-	readonly differsSince: number | undefined;
+	readonly changeWantedSince: number | undefined;
 };
 
 /** Of an entry that is no candidate. */
-export const observer: CandidateState = {
+export const observerState: CandidateState = {
 	isCandidate: false,
-	differsSince: undefined,
+	changeWantedSince: undefined,
 };
 
 /** The most capable first, each class in an order that all entries agree on. */
 const rankEntries = (entries: readonly LiveEntry[]): readonly string[] => {
-	const capable = new Set(listCapable(entries));
+	const capable = new Set(listMostCapable(entries));
 	const ranked = rankMembers(
 		'candidate',
 		entries.map(({entry}) => entry),
@@ -59,7 +59,7 @@
 
 /** How many of the others that hold nothing go before this entry. */
 const countAhead = (
-	{self, holders}: CandidateView,
+	{self, holders}: CandidateInput,
 	others: readonly LiveEntry[],
 ): number => {
 	const ranked = rankEntries([...others, self]);
@@ -69,30 +69,30 @@
 };
 
 /** Whether fewer live entries go before this one than there should be candidates. */
-export const isNeeded = (view: CandidateView): boolean =>
+export const isCandidateNeeded = (view: CandidateInput): boolean =>
 	countAhead(view, view.live) < candidateCount;
 
 /** Those that go before this one and are no candidates yet may join first. */
-const getJoinDelayMs = (view: CandidateView): number => {
+const getJoinDelayMs = (view: CandidateInput): number => {
 	const absent =
 		countAhead(view, view.listKnown()) - countAhead(view, view.live);
-	return Math.min(maxJoinDelayMs, Math.max(0, absent) * joinStepMs);
+	return Math.min(maxJoinDelayMs, Math.max(0, absent) * joinDelayPerRankMs);
 };
 
 /** Whether an entry is a candidate from now on. */
 export const stepCandidate = (
 	state: CandidateState,
-	view: CandidateView,
+	view: CandidateInput,
 	now: number,
 ): CandidateState => {
-	const isWanted = isNeeded(view);
+	const isWanted = isCandidateNeeded(view);
 	if (isWanted === state.isCandidate) {
-		return {...state, differsSince: undefined};
+		return {...state, changeWantedSince: undefined};
 	}
 
-	const differsSince = state.differsSince ?? now;
+	const differsSince = state.changeWantedSince ?? now;
 	const delayMs = isWanted ? getJoinDelayMs(view) : leaveDelayMs;
 	return now - differsSince >= delayMs
-		? {isCandidate: isWanted, differsSince: undefined}
-		: {...state, differsSince};
+		? {isCandidate: isWanted, changeWantedSince: undefined}
+		: {...state, changeWantedSince: differsSince};
 };
--- a/packages/core/src/shards/shard-assignment.test.ts
+++ b/packages/core/src/shards/shard-assignment.test.ts
@@ -1,9 +1,9 @@
 import * as tap from 'tap';
 import {
 	assignShards,
-	chooseReturn,
-	getShardDuty,
-	listCapable,
+	chooseShardToReturn,
+	getShardAction,
+	listMostCapable,
 	planShards,
 	type EntryCapacity,
 	type LiveEntry,
@@ -60,7 +60,7 @@
 for (const [entry, isHeld, duty] of duties) {
 	tap.t.test(`duty ${duty}, assigned to ${entry}`, async (t) => {
 		const assigned = new Map(entry ? [['s', entry]] : []);
-		t.equal(getShardDuty('s', 'e1', isHeld, assigned), duty);
+		t.equal(getShardAction('s', 'e1', isHeld, assigned), duty);
 	});
 }
 
@@ -92,7 +92,7 @@
 
 for (const [name, capacities, wanted] of classes) {
 	tap.t.test(`the most capable class of ${name}`, async (t) => {
-		t.same(listCapable(makeLive(capacities)), wanted);
+		t.same(listMostCapable(makeLive(capacities)), wanted);
 	});
 }
 
@@ -175,7 +175,7 @@
 		const heldForMs = new Map(Object.entries(given.heldForMs ?? {s0: 3000}));
 		const holders = new Map([...heldForMs.keys()].map((each) => [each, self]));
 		const live = given.live ?? makeLive({a: small, b: large});
-		const chosen = chooseReturn({
+		const chosen = chooseShardToReturn({
 			self,
 			plan: planShards(shards, live, holders),
 			heldForMs,
--- a/packages/core/src/shards/shard-assignment.ts
+++ b/packages/core/src/shards/shard-assignment.ts
@@ -21,7 +21,7 @@
 };
 
 /** Entries within this factor of the largest are of the most capable class. */
-export const capableFactor = 2;
+export const mostCapableFactor = 2;
 
 /**
  * Link that one core of an owner fills, megabits a second: with 0.32 cores and
@@ -34,10 +34,12 @@
 	capacity ? Math.min(capacity.cores, capacity.linkMbps / linkMbpsPerCore) : 0;
 
 /** Names of the most capable class. */
-export const listCapable = (live: readonly LiveEntry[]): readonly string[] => {
+export const listMostCapable = (
+	live: readonly LiveEntry[],
+): readonly string[] => {
 	const largest = Math.max(0, ...live.map((each) => getUsableCores(each)));
 	return live
-		.filter((each) => getUsableCores(each) * capableFactor >= largest)
+		.filter((each) => getUsableCores(each) * mostCapableFactor >= largest)
 		.map(({entry}) => entry);
 };
 
@@ -96,7 +98,7 @@
 	live: readonly LiveEntry[],
 	holders: ShardHolders,
 ): ShardPlan => {
-	const capable = listCapable(live);
+	const capable = listMostCapable(live);
 	const areEqual = capable.length === live.length;
 	return {
 		capable,
@@ -105,7 +107,7 @@
 };
 
 /** What an entry knows when it asks whether to give a shard back. */
-export type ReturnView = {
+export type ShardReturnInput = {
 	readonly self: string;
 	readonly plan: ShardPlan;
 	/** Shards that the entry holds, and for how long, milliseconds. */
@@ -120,13 +122,13 @@
  * A shard that a less capable entry should give back, since a capable one has
  * been live for a while and has room for it; undefined if there is none.
  */
-export const chooseReturn = ({
+export const chooseShardToReturn = ({
 	self,
 	plan,
 	heldForMs,
 	getLiveForMs,
 	settleMs,
-}: ReturnView): string | undefined => {
+}: ShardReturnInput): string | undefined => {
 	if (plan.capable.includes(self)) {
 		return undefined;
 	}
@@ -142,18 +144,18 @@
 };
 
 /** What an entry should do about one shard. */
-export type ShardDuty = 'acquire' | 'keep' | 'release' | 'none';
+export type ShardAction = 'acquire' | 'keep' | 'release' | 'none';
 
 /**
  * Compares what an entry holds with what it should hold. A shard is released
  * only if the entry that should hold it is another one.
  */
-export const getShardDuty = (
+export const getShardAction = (
 	shard: string,
 	self: string,
 	isHeld: boolean,
 	assigned: ReadonlyMap<string, string>,
-): ShardDuty => {
+): ShardAction => {
 	const isAssigned = assigned.get(shard) === self;
 	if (isAssigned) {
 		return isHeld ? 'keep' : 'acquire';
--- a/packages/core/src/shards/shard-lease.test.ts
+++ b/packages/core/src/shards/shard-lease.test.ts
@@ -1,15 +1,15 @@
 import * as assert from 'node:assert/strict';
 import * as fc from 'fast-check';
 import * as tap from 'tap';
-import type {EntryLife} from '../membership/acknowledgement.js';
+import type {EntryIncarnation} from '../membership/acknowledgement.js';
 import {createStore} from '../types/row-store.test.fixture.js';
 import {
 	acquireShard,
 	adoptShard,
-	loseShard,
+	isShardLost,
 	releaseShard,
-	renewShard,
-	writeWithToken,
+	isLeaseCurrent,
+	guardWithLease,
 	type HeldShard,
 	type HolderEvidence,
 	type ReadLease,
@@ -18,7 +18,7 @@
 
 const leaseMs = 5000;
 
-const [one, two]: readonly EntryLife[] = [
+const [one, two]: readonly EntryIncarnation[] = [
 	{entry: 'e1', incarnation: 'a'},
 	{entry: 'e2', incarnation: 'a'},
 ];
@@ -31,21 +31,46 @@
 const cases: ReadonlyArray<
 	readonly [string, ReadLease, HolderEvidence, number | string]
 > = [
-	['never held', undefined, {registeredIncarnation: undefined, silentMs: 0}, 1],
-	['held', heldByTwo, {registeredIncarnation: 'a', silentMs: 4999}, 'held'],
-	['silent holder', heldByTwo, {registeredIncarnation: 'a', silentMs: 5000}, 5],
-	['earlier life', heldByTwo, {registeredIncarnation: 'b', silentMs: 0}, 5],
-	['removed', heldByTwo, {registeredIncarnation: undefined, silentMs: 0}, 5],
+	[
+		'never held',
+		undefined,
+		{registeredIncarnation: undefined, unresponsiveMs: 0},
+		1,
+	],
+	[
+		'held',
+		heldByTwo,
+		{registeredIncarnation: 'a', unresponsiveMs: 4999},
+		'held',
+	],
+	[
+		'silent holder',
+		heldByTwo,
+		{registeredIncarnation: 'a', unresponsiveMs: 5000},
+		5,
+	],
+	[
+		'earlier life',
+		heldByTwo,
+		{registeredIncarnation: 'b', unresponsiveMs: 0},
+		5,
+	],
+	[
+		'removed',
+		heldByTwo,
+		{registeredIncarnation: undefined, unresponsiveMs: 0},
+		5,
+	],
 	[
 		'handed over',
 		{value: {shard: 's', holder: null, token: 4}, version: 9},
-		{registeredIncarnation: undefined, silentMs: 0},
+		{registeredIncarnation: undefined, unresponsiveMs: 0},
 		5,
 	],
 	[
 		'own',
 		{value: {shard: 's', holder: one!, token: 4}, version: 9},
-		{registeredIncarnation: 'a', silentMs: 9000},
+		{registeredIncarnation: 'a', unresponsiveMs: 9000},
 		'already-own',
 	],
 ];
@@ -70,8 +95,8 @@
 });
 
 tap.t.test('counts on the lease only while heartbeats commit', async (t) => {
-	t.ok(renewShard(1000, leaseMs, 5999));
-	t.notOk(renewShard(1000, leaseMs, 6000));
+	t.ok(isLeaseCurrent(1000, leaseMs, 5999));
+	t.notOk(isLeaseCurrent(1000, leaseMs, 6000));
 });
 
 type Step = readonly ['acquire' | 'write' | 'release' | 'look', number];
@@ -86,7 +111,7 @@
 		const mine = held.get(index);
 		if (step === 'acquire') {
 			const self = {entry: `e${index}`, incarnation: 'a'};
-			const evidence = {registeredIncarnation: 'a', silentMs: leaseMs};
+			const evidence = {registeredIncarnation: 'a', unresponsiveMs: leaseMs};
 			const result = acquireShard('s', read, {self, evidence, leaseMs});
 			if (result.ok && store.commit([result.value])) {
 				const {value, version} = store.read<ShardLease>('shard', 's')!;
@@ -100,7 +125,7 @@
 				value: mine.token,
 				when: {kind: 'any'},
 			} as const;
-			const writes = isGuarded ? writeWithToken(mine, [write]) : [write];
+			const writes = isGuarded ? guardWithLease(mine, [write]) : [write];
 			if (store.commit(writes)) {
 				tokens.push(mine.token);
 			}
@@ -108,7 +133,7 @@
 			const holder = {entry: `e${index}`, incarnation: 'a'};
 			const lease = {shard: 's', holder, token: mine.token};
 			store.commit([releaseShard(lease, mine.version)]);
-		} else if (step === 'look' && mine && loseShard(mine, read)) {
+		} else if (step === 'look' && mine && isShardLost(mine, read)) {
 			held.delete(index);
 		}
 	}
--- a/packages/core/src/shards/shard-lease.ts
+++ b/packages/core/src/shards/shard-lease.ts
@@ -4,7 +4,10 @@
  * its shards. Every write under a lease checks the version of the lease row,
  * so a holder that was paused and replaced changes nothing.
  */
-import {isSameLife, type EntryLife} from '../membership/acknowledgement.js';
+import {
+	isSameIncarnation,
+	type EntryIncarnation,
+} from '../membership/acknowledgement.js';
 import {fail, succeed, type Result} from '../types/result.js';
 import {
 	agreementTables,
@@ -16,7 +19,7 @@
 export type ShardLease = {
 	readonly shard: string;
 	/** Absent after a hand-over at a graceful stop. */
-	readonly holder: EntryLife | null;
+	readonly holder: EntryIncarnation | null;
 	/** Fencing token; grows by one with each acquisition. */
 	readonly token: number;
 };
@@ -30,12 +33,12 @@
 	/** Incarnation in the holder's registration; absent if it has none. */
 	readonly registeredIncarnation: string | undefined;
 	/** How long the holder's heartbeat row has stayed the same. */
-	readonly silentMs: number;
+	readonly unresponsiveMs: number;
 };
 
 /** Who asks for a shard, and what it knows. */
 export type Claim = {
-	readonly self: EntryLife;
+	readonly self: EntryIncarnation;
 	readonly evidence: HolderEvidence;
 	/** Silence of a holder after which its shards may be taken over. */
 	readonly leaseMs: number;
@@ -48,12 +51,12 @@
 export type AcquireRefusal = 'held' | 'already-own';
 
 const isHolderGone = (
-	holder: EntryLife,
+	holder: EntryIncarnation,
 	evidence: HolderEvidence,
 	leaseMs: number,
 ): boolean =>
 	evidence.registeredIncarnation !== holder.incarnation ||
-	evidence.silentMs >= leaseMs;
+	evidence.unresponsiveMs >= leaseMs;
 
 const putLease = (
 	value: ShardLease,
@@ -73,7 +76,7 @@
 	{self, evidence, leaseMs}: Claim,
 ): Result<StoreWrite<ShardLease>, AcquireRefusal> => {
 	const holder = read?.value.holder ?? undefined;
-	if (holder && isSameLife(holder, self)) {
+	if (holder && isSameIncarnation(holder, self)) {
 		return fail('already-own');
 	}
 
@@ -96,10 +99,10 @@
 /** The lease that a row grants to this life, also after a lost reply. */
 export const adoptShard = (
 	read: ReadLease,
-	self: EntryLife,
+	self: EntryIncarnation,
 ): HeldShard | undefined => {
 	const holder = read?.value.holder;
-	return holder && isSameLife(holder, self)
+	return holder && isSameIncarnation(holder, self)
 		? {
 				shard: read.value.shard,
 				token: read.value.token,
@@ -116,11 +119,11 @@
 	putLease({...lease, holder: null}, {value: lease, version});
 
 /** True if a read of the lease row shows that the shard is lost. */
-export const loseShard = (held: HeldShard, read: ReadLease): boolean =>
+export const isShardLost = (held: HeldShard, read: ReadLease): boolean =>
 	read?.version !== held.version;
 
 /** Makes writes conditional on the lease; the check comes first. */
-export const writeWithToken = <Value>(
+export const guardWithLease = <Value>(
 	held: HeldShard,
 	writes: ReadonlyArray<StoreWrite<Value>>,
 ): ReadonlyArray<StoreWrite<Value>> => [
@@ -132,7 +135,7 @@
  * True if the holder still counts on its lease: its own heartbeat committed
  * less than the lease ago. It only saves useless work; safety is the token.
  */
-export const renewShard = (
+export const isLeaseCurrent = (
 	heartbeatAskedAt: number,
 	leaseMs: number,
 	now: number,
--- a/packages/core/src/spec-system.test.fixture.ts
+++ b/packages/core/src/spec-system.test.fixture.ts
@@ -164,7 +164,7 @@
 
 	entry.sequence += 1;
 	const life = {entry: `e${index}`, incarnation: `${entry.life}`};
-	const acknowledged = core.acknowledgement.acknowledgeRevision(
+	const acknowledged = core.acknowledgement.createAcknowledgement(
 		life,
 		entry.sequence,
 		{
@@ -214,7 +214,7 @@
 	const guarded =
 		system.left === 'token'
 			? writes
-			: core.shardLease.writeWithToken(daemon.held!, writes);
+			: core.shardLease.guardWithLease(daemon.held!, writes);
 	daemon.prepared = {writes: guarded, instances};
 };
 
@@ -295,10 +295,14 @@
 	const revision = system.history.findLastIndex(
 		(each, at) => each.get(id) !== system.history[at - 1]?.get(id),
 	);
-	const lagging = core.lagging.findLagging(read.registrations, read.heard, {
-		revision,
-		instance: id,
-	});
+	const lagging = core.lagging.listPendingAcknowledgements(
+		read.registrations,
+		read.heard,
+		{
+			revision,
+			instance: id,
+		},
+	);
 	const next = core.transition.applyTransition(value, 'finishDrain');
 	return lagging.length > 0 || !next.ok
 		? undefined
--- a/packages/core/src/spec.test.ts
+++ b/packages/core/src/spec.test.ts
@@ -117,7 +117,7 @@
 		const read = store.read<core.shardLease.ShardLease>(tables.shard, 's');
 		const acquired = core.shardLease.acquireShard('s', read, {
 			self: {entry: `d${index}`, incarnation: '1'},
-			evidence: {registeredIncarnation: '1', silentMs: 1},
+			evidence: {registeredIncarnation: '1', unresponsiveMs: 1},
 			leaseMs: 1,
 		});
 		if (acquired.ok && store.commit([acquired.value])) {
@@ -318,7 +318,7 @@
 		const requestMs = settings.longestRequestMs;
 		const shortMs = isolationMs + listLagMs + stallMarginMs + requestMs;
 		const short = {...settings, forgetAfterMs: shortMs};
-		t.notOk(core.standing.isSoundSettings(short));
+		t.notOk(core.standing.isSafeSettings(short));
 	},
 );
 
--- a/packages/core/src/view/followed-view.test.ts
+++ b/packages/core/src/view/followed-view.test.ts
@@ -10,7 +10,7 @@
 	emptyFollowedView,
 	type FollowedView,
 } from './followed-view.js';
-import {checkRead} from './read-check.js';
+import {checkReadRevision} from './read-check.js';
 import {applyChange, type ViewChange, type ViewDelta} from './view-change.js';
 import {diffViews} from './view-diff.js';
 
@@ -132,7 +132,7 @@
 
 for (const [applied, highest, read, verdict] of reads) {
 	tap.t.test(`read ${read} after ${applied}, ${highest}`, async (t) => {
-		t.same(checkRead(applied, highest, read), verdict);
+		t.same(checkReadRevision(applied, highest, read), verdict);
 	});
 }
 
--- a/packages/core/src/view/read-check.ts
+++ b/packages/core/src/view/read-check.ts
@@ -4,7 +4,7 @@
  */
 
 /** What a read of the revision says to a reader that has seen `highest`. */
-export type ReadVerdict =
+export type RevisionVerdict =
 	| {readonly kind: 'unchanged'}
 	/** Deltas `from` to `to`, both included, are to be read. */
 	| {readonly kind: 'newer'; readonly from: number; readonly to: number}
@@ -17,11 +17,11 @@
  * @param highest - Highest revision that anyone credible has shown.
  * @param read - Revision that the store just answered with.
  */
-export const checkRead = (
+export const checkReadRevision = (
 	applied: number,
 	highest: number,
 	read: number,
-): ReadVerdict => {
+): RevisionVerdict => {
 	const known = Math.max(applied, highest);
 	if (read < known) {
 		return {kind: 'regressed', lost: known - read};
--- a/packages/daemon/src/agreement/agreement.ts
+++ b/packages/daemon/src/agreement/agreement.ts
@@ -79,7 +79,7 @@
 
 /** The parts of agreement, in the order in which they start. */
 export type Agreement = {
-	readonly life: acknowledgement.EntryLife;
+	readonly life: acknowledgement.EntryIncarnation;
 	readonly parts: readonly Part[];
 	readonly peers: PeerChannel;
 	readonly follower: ViewFollower;
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -228,7 +228,7 @@
 		isHolder: () => leases.getHeld(fleetShard) !== undefined,
 		getGuards() {
 			const held = leases.getHeld(fleetShard);
-			return held ? core.shardLease.writeWithToken(held, []) : [];
+			return held ? core.shardLease.guardWithLease(held, []) : [];
 		},
 		now: Date.now,
 		logger,
--- a/packages/daemon/src/jobs/entry/other-entries.ts
+++ b/packages/daemon/src/jobs/entry/other-entries.ts
@@ -11,7 +11,7 @@
 
 /** What is needed to ask. */
 export type OtherEntriesDeps = {
-	readonly self: acknowledgement.EntryLife;
+	readonly self: acknowledgement.EntryIncarnation;
 	readonly members: Members;
 	/** Those that hold shards by the leases, for a daemon that has just started. */
 	readonly listHolders: () => readonly ShardHolder[];
--- a/packages/daemon/src/jobs/fleet/pool-round.ts
+++ b/packages/daemon/src/jobs/fleet/pool-round.ts
@@ -46,7 +46,7 @@
 	const underWay = new Map<string, MoveUnderWay>();
 	/** Pools that the platform says a machine cannot join. */
 	const impossible = new Set<string>();
-	let memory = fleet.emptyPoolMemory;
+	let memory = fleet.emptyPoolPlanState;
 	let toldAt = Number.NEGATIVE_INFINITY;
 
 	const end = (move: fleet.PoolMove, outcome: string) => {
@@ -145,8 +145,8 @@
 			isArriving: machine.state === 'moving',
 			cpuMillis: machine.capacity.cpuMillis,
 			runs: load?.runs ?? 0,
-			lasting: load?.lasting ?? 0,
-			isTaken: deps.isTaken(machine.id),
+			longRunning: load?.lasting ?? 0,
+			isReserved: deps.isTaken(machine.id),
 		};
 	};
 
@@ -207,7 +207,7 @@
 			deps.cfg,
 			clock.now(),
 		);
-		memory = planned.memory;
+		memory = planned.state;
 		tellPools(demands, planned.targets, view);
 		for (const move of planned.moves) {
 			if (!impossible.has(`${move.machine} ${move.to}`)) {
--- a/packages/daemon/src/jobs/fleet/wave-round.ts
+++ b/packages/daemon/src/jobs/fleet/wave-round.ts
@@ -85,8 +85,8 @@
 	): fleet.MachineWave =>
 		match(answer)
 			.returnType<fleet.MachineWave>()
-			.with('done', () => fleet.noteAnswered(wave, id))
-			.with('busy', 'unavailable', () => fleet.takeBackMachine(wave, id))
+			.with('done', () => fleet.recordCommandAccepted(wave, id))
+			.with('busy', 'unavailable', () => fleet.undoMaintenanceStart(wave, id))
 			.with('not-in-wave', 'invalid', () => fleet.skipMachine(wave, id))
 			.with('fenced', () => {
 				context.lose('the platform has seen a higher fencing token');
@@ -154,7 +154,7 @@
 
 		let begun = wave;
 		for (const machine of machines) {
-			begun = fleet.beginMachine(begun, machine, clock.epochNow());
+			begun = fleet.recordMaintenanceStart(begun, machine, clock.epochNow());
 		}
 
 		if (!(await storeNow(begun)) || !(await noteOrders(machines))) {
@@ -202,13 +202,13 @@
 			wave,
 			{
 				machines,
-				emptying,
+				evacuating: emptying,
 				getLoad: (machine) => getLoad(view, machine),
-				turnMs: fleetPeriods.turnMs,
+				turnaroundMs: fleetPeriods.turnMs,
 			},
 			clock.epochNow(),
 		);
-		const isPressed = fleet.isPressed(
+		const isPressed = fleet.isShortOfTime(
 			wave,
 			machines,
 			fleetPeriods.turnMs,
@@ -228,7 +228,7 @@
 		const clear = leaving.filter(
 			({id}, index) => areClear[index] && context.orders.mayOrder(id),
 		);
-		return begin(wave, clear.slice(0, step.mayBegin));
+		return begin(wave, clear.slice(0, step.maxStarts));
 	};
 
 	const complete = async (wave: fleet.MachineWave) => {
@@ -253,7 +253,11 @@
 
 	const runWave = async (wave: fleet.MachineWave, view: FleetView) => {
 		const machines = toWaveMachines(view);
-		let current = fleet.noteMachines(wave, machines, clock.epochNow());
+		let current = fleet.recordReturnedMachines(
+			wave,
+			machines,
+			clock.epochNow(),
+		);
 		current = await orderUnanswered(current, machines);
 		current = await emptyAndBegin(current, view, machines);
 		waves.set(current.request.id, current);
--- a/packages/daemon/src/jobs/shards/entry-role.ts
+++ b/packages/daemon/src/jobs/shards/entry-role.ts
@@ -36,7 +36,7 @@
 export const createEntryRole = (deps: EntryRoleDeps): EntryRole => {
 	const {self, members, book, now, logger} = deps;
 	const startedAt = now();
-	let state = core.candidates.observer;
+	let state = core.candidates.observerState;
 
 	const listHolders = (): readonly string[] =>
 		book.listHolders().map(({entry}) => entry);
--- a/packages/daemon/src/jobs/shards/shard-keeper.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.ts
@@ -22,7 +22,7 @@
 /** What the keeper needs. */
 export type ShardKeeperDeps = {
 	readonly store: RowStore;
-	readonly self: core.acknowledgement.EntryLife;
+	readonly self: core.acknowledgement.EntryIncarnation;
 	/** What this machine has; absent if it is not known. */
 	readonly capacity: core.shardAssignment.EntryCapacity | undefined;
 	readonly getAddress: () => string;
@@ -95,14 +95,14 @@
 		const holder = lease?.value.holder;
 		// What was read before it claimed may be of the life before.
 		if (!holder || !members.isReadUpTo(lease?.version ?? 0)) {
-			return {registeredIncarnation: holder?.incarnation, silentMs: 0};
+			return {registeredIncarnation: holder?.incarnation, unresponsiveMs: 0};
 		}
 
 		return {
 			// A holder whose heartbeat was not read counts as alive until it is silent.
 			registeredIncarnation:
 				members.get(holder.entry)?.incarnation ?? holder.incarnation,
-			silentMs: members.getSilentMs(holder.entry),
+			unresponsiveMs: members.getSilentMs(holder.entry),
 		};
 	};
 
@@ -233,7 +233,7 @@
 	const isLessCapable = (): boolean => {
 		const known = toLiveEntries(members, members.listAll(), self.entry);
 		return !core.shardAssignment
-			.listCapable([...known, own])
+			.listMostCapable([...known, own])
 			.includes(self.entry);
 	};
 
@@ -308,7 +308,7 @@
 		}
 
 		const plan = getPlan();
-		const shard = core.shardAssignment.chooseReturn({
+		const shard = core.shardAssignment.chooseShardToReturn({
 			self: self.entry,
 			plan,
 			heldForMs: new Map(
--- a/packages/daemon/src/membership/acknowledge.ts
+++ b/packages/daemon/src/membership/acknowledge.ts
@@ -40,7 +40,7 @@
 	deps.route(view);
 	const upMs = deps.now() - state.startedAt;
 	state.sequence += 1;
-	const ack = core.acknowledgement.acknowledgeRevision(
+	const ack = core.acknowledgement.createAcknowledgement(
 		deps.life,
 		state.sequence,
 		{
@@ -48,7 +48,8 @@
 			router: {
 				routedRevision: view.revision,
 				inFlight: countInFlight(deps),
-				mayInherit: state.hasReplaced && upMs < getInheritMs(deps),
+				mayHaveInheritedRequests:
+					state.hasReplaced && upMs < getInheritMs(deps),
 			},
 			sponsored: [...state.sponsored.values()].map(({ack}) => ack),
 		},
--- a/packages/daemon/src/membership/forget-runner.ts
+++ b/packages/daemon/src/membership/forget-runner.ts
@@ -17,7 +17,7 @@
 
 /** What the runner needs. */
 export type ForgetRunnerDeps = {
-	readonly life: acknowledgement.EntryLife;
+	readonly life: acknowledgement.EntryIncarnation;
 	readonly table: TableService;
 	readonly list: InstanceList;
 	readonly mayControl: () => boolean;
@@ -42,7 +42,7 @@
 const listSilent = (deps: ForgetRunnerDeps): readonly string[] => {
 	const entries = [...deps.getMembers().registrations.keys()];
 	return core.neighbours
-		.listNeighbours(deps.life.entry, entries)
+		.listMonitoredPeers(deps.life.entry, entries)
 		.filter((entry) => deps.getSilentMs(entry) >= deps.leaseMs);
 };
 
@@ -90,7 +90,11 @@
 			version: silent.version,
 			unchangedMs: getUnchangedMs(entry),
 			unlistedMs: since === undefined ? 0 : deps.now() - since,
-			unheardBy: core.forget.countUnheard(silent.value, rows, deps.settings),
+			unheardBy: core.forget.countEntriesWithoutContact(
+				silent.value,
+				rows,
+				deps.settings,
+			),
 			quorum: silent.value.quorum.length,
 		},
 		deps.settings,
--- a/packages/daemon/src/membership/member-state.ts
+++ b/packages/daemon/src/membership/member-state.ts
@@ -13,7 +13,7 @@
 
 /** What membership needs from the rest of a daemon. */
 export type MemberDeps = {
-	readonly life: acknowledgement.EntryLife;
+	readonly life: acknowledgement.EntryIncarnation;
 	readonly availabilityZone: string;
 	readonly table: TableService;
 	readonly list: InstanceList;
@@ -47,7 +47,7 @@
 /** State of one life; changed in place by the parts of this folder. */
 export type MemberState = {
 	readonly startedAt: number;
-	standing: standing.Standing;
+	standing: standing.MembershipStatus;
 	isRegistered: boolean;
 	/** The quorum that the own committed row names. */
 	quorum: readonly string[];
--- a/packages/daemon/src/membership/member.ts
+++ b/packages/daemon/src/membership/member.ts
@@ -35,9 +35,9 @@
 	readonly mayControl: () => boolean;
 	/** The registered entries, read anew when one has joined or left. */
 	readonly getMembers: () => MembershipRows;
-	readonly getStanding: () => standing.Standing;
+	readonly getStanding: () => standing.MembershipStatus;
 	/** Acknowledgements that peers have sent here. */
-	readonly getHeard: () => lagging.HeardAcknowledgements;
+	readonly getHeard: () => lagging.ReceivedAcknowledgements;
 	/** Puts a new view in force and acknowledges it. */
 	readonly followView: () => void;
 	/** Hands a committed change to every peer and asks to be told. */
@@ -45,7 +45,7 @@
 	/** The registered entries that have not met a requirement yet. */
 	readonly readLagging: (
 		requirement: lagging.Requirement,
-	) => Promise<Result<readonly lagging.Lag[], StoreError>>;
+	) => Promise<Result<readonly lagging.PendingAcknowledgement[], StoreError>>;
 };
 
 const registerRetryMs = 50;
@@ -146,11 +146,11 @@
 	deps: MemberDeps,
 	state: MemberState,
 	requirement: lagging.Requirement,
-): Promise<Result<readonly lagging.Lag[], StoreError>> => {
+): Promise<Result<readonly lagging.PendingAcknowledgement[], StoreError>> => {
 	const rows = await readMembership(deps.table);
 	return rows.ok
 		? core.succeed(
-				core.lagging.findLagging(
+				core.lagging.listPendingAcknowledgements(
 					[...rows.value.registrations.values()].map(({value}) => value),
 					state.heard,
 					requirement,
--- a/packages/daemon/src/membership/peer-members.ts
+++ b/packages/daemon/src/membership/peer-members.ts
@@ -33,7 +33,9 @@
 	const isKnownLife = known?.incarnation === ack.incarnation;
 	state.heard.set(
 		ack.entry,
-		isKnownLife ? core.acknowledgement.updateAcknowledgement(known, ack) : ack,
+		isKnownLife
+			? core.acknowledgement.chooseNewerAcknowledgement(known, ack)
+			: ack,
 	);
 };
 
@@ -49,7 +51,8 @@
 	);
 	const known = state.sponsored.get(ack.entry);
 	const isKnown =
-		known !== undefined && core.acknowledgement.isSameLife(known.ack, ack);
+		known !== undefined &&
+		core.acknowledgement.isSameIncarnation(known.ack, ack);
 	// Others may act on what this entry has acknowledged already.
 	if (!mayControl || (!isKnown && ack.inForce < state.highestInForce)) {
 		return false;
@@ -89,7 +92,7 @@
 		},
 	);
 	peers.addMethod('acknowledge', acknowledgementSchema, (ack, from) => {
-		if (core.acknowledgement.isSameLife(ack, from)) {
+		if (core.acknowledgement.isSameIncarnation(ack, from)) {
 			hear(state, ack);
 		}
 
@@ -100,7 +103,8 @@
 	);
 	peers.addMethod('sponsor', acknowledgementSchema, (ack, from) => ({
 		isSponsored:
-			core.acknowledgement.isSameLife(ack, from) && sponsor(deps, state, ack),
+			core.acknowledgement.isSameIncarnation(ack, from) &&
+			sponsor(deps, state, ack),
 		confirmedAgeMs: getConfirmedAgeMs(deps, state),
 	}));
 };
--- a/packages/daemon/src/membership/register.ts
+++ b/packages/daemon/src/membership/register.ts
@@ -17,7 +17,7 @@
 	source: standing.ConfirmationSource,
 	askedAt: number,
 ): void => {
-	state.standing = core.standing.confirmStanding(
+	state.standing = core.standing.confirmMembership(
 		state.standing,
 		source,
 		askedAt,
--- a/packages/daemon/src/moves/move-runner.ts
+++ b/packages/daemon/src/moves/move-runner.ts
@@ -23,7 +23,7 @@
 	readonly table: TableService;
 	/** The lease under which an instance is moved, if it is held here. */
 	readonly getHeldFor: (instance: string) => shardLease.HeldShard | undefined;
-	readonly getHeard: () => lagging.HeardAcknowledgements;
+	readonly getHeard: () => lagging.ReceivedAcknowledgements;
 	readonly getFollowed: () => followedView.FollowedView;
 	/** What is known of entries that start in an outage. */
 	readonly readOutageStart: () => Promise<move.OutageStart>;
--- a/packages/daemon/src/operator/entries/app.ts
+++ b/packages/daemon/src/operator/entries/app.ts
@@ -12,9 +12,13 @@
 	deps: OperatorDeps,
 ) => {
 	const heard = deps.getHeard();
-	const newest = core.lagging.getAcknowledgement(registration, heard);
+	const newest = core.lagging.getNewestAcknowledgement(registration, heard);
 	const {revision} = deps.getView();
-	const [lag] = core.lagging.findLagging([registration], heard, {revision});
+	const [lag] = core.lagging.listPendingAcknowledgements(
+		[registration],
+		heard,
+		{revision},
+	);
 	return {
 		entry: newest.entry,
 		address: registration.address,
--- a/packages/daemon/src/operator/instances/moves.ts
+++ b/packages/daemon/src/operator/instances/moves.ts
@@ -158,10 +158,14 @@
 	return c.json({
 		moves: moves.value.map(({value}) => ({
 			...value,
-			lagging: core.lagging.findLagging(registrations, deps.getHeard(), {
-				revision: value.drainRevision,
-				instance: value.instance,
-			}),
+			lagging: core.lagging.listPendingAcknowledgements(
+				registrations,
+				deps.getHeard(),
+				{
+					revision: value.drainRevision,
+					instance: value.instance,
+				},
+			),
 		})),
 	});
 };
--- a/packages/daemon/src/operator/objects/in-force.ts
+++ b/packages/daemon/src/operator/objects/in-force.ts
@@ -9,14 +9,14 @@
 	readonly table: TableService;
 	readonly getView: () => core.View;
 	/** Acknowledgements that peers have sent to this entry. */
-	readonly getHeard: () => lagging.HeardAcknowledgements;
+	readonly getHeard: () => lagging.ReceivedAcknowledgements;
 	readonly env: client.Environment;
 };
 
 /** How far a revision is in force. */
 export type InForce = {
 	readonly isInForce: boolean;
-	readonly lagging: readonly lagging.Lag[];
+	readonly lagging: readonly lagging.PendingAcknowledgement[];
 	/** The entries could not be read. */
 	readonly isUnknown?: boolean;
 };
@@ -52,7 +52,7 @@
 		return {isInForce: false, lagging: [], isUnknown: true};
 	}
 
-	const lagging = core.lagging.findLagging(
+	const lagging = core.lagging.listPendingAcknowledgements(
 		rows.value.map((row) => row.registration),
 		getHeard(),
 		{revision},
--- a/packages/daemon/src/operator/types.ts
+++ b/packages/daemon/src/operator/types.ts
@@ -26,7 +26,7 @@
 	/** Told of a change that this entry committed, before it is answered. */
 	readonly onCommitted: (delta: viewChange.ViewDelta) => Promise<void>;
 	/** Acknowledgements that peers have sent to this entry. */
-	readonly getHeard: () => lagging.HeardAcknowledgements;
+	readonly getHeard: () => lagging.ReceivedAcknowledgements;
 	readonly env: client.Environment;
 	/** Reads the view anew after a change. */
 	readonly poll: () => Promise<void>;
--- a/packages/daemon/src/shards/lease-runner.ts
+++ b/packages/daemon/src/shards/lease-runner.ts
@@ -19,7 +19,7 @@
 
 /** What the lease runner needs. */
 export type LeaseRunnerDeps = {
-	readonly life: acknowledgement.EntryLife;
+	readonly life: acknowledgement.EntryIncarnation;
 	readonly table: TableService;
 	readonly mayControl: () => boolean;
 	readonly getMembers: () => MembershipRows;
@@ -53,7 +53,7 @@
 const observeNeighbours = async (deps: LeaseRunnerDeps, state: State) => {
 	const entries = [...deps.getMembers().registrations.keys()];
 	const versions = new Map<string, number>();
-	for (const entry of core.neighbours.listNeighbours(
+	for (const entry of core.neighbours.listMonitoredPeers(
 		deps.life.entry,
 		entries,
 	)) {
@@ -111,7 +111,7 @@
 		leaseMs: deps.leaseMs,
 		evidence: {
 			registeredIncarnation: row?.value.acknowledged.incarnation,
-			silentMs: getSilentMs(state, holder),
+			unresponsiveMs: getSilentMs(state, holder),
 		},
 	});
 	if (result.ok) {
@@ -145,7 +145,7 @@
 	held: shardLease.HeldShard,
 ) => {
 	const read = await readLease(deps, held.shard);
-	if (read && core.shardLease.loseShard(held, read.lease)) {
+	if (read && core.shardLease.isShardLost(held, read.lease)) {
 		state.held.delete(held.shard);
 		deps.logger.info('shard lost', {shard: held.shard});
 	}
@@ -161,7 +161,7 @@
 	// A silent neighbour's shards are looked after until it is forgotten.
 	const isSilent =
 		getSilentMs(state, assigned.get(shard) ?? '') >= deps.leaseMs;
-	const duty = core.shardAssignment.getShardDuty(
+	const duty = core.shardAssignment.getShardAction(
 		shard,
 		deps.life.entry,
 		held !== undefined,
--- a/packages/daemon/src/view/view-follower.ts
+++ b/packages/daemon/src/view/view-follower.ts
@@ -157,7 +157,11 @@
 
 	const {revision, deltaId} = counter.value;
 	const applied = state.followed.view.revision;
-	const verdict = core.readCheck.checkRead(applied, state.highest, revision);
+	const verdict = core.readCheck.checkReadRevision(
+		applied,
+		state.highest,
+		revision,
+	);
 	switch (verdict.kind) {
 		case 'unchanged': {
 			state.condition = isDiverged(state, deltaId)
--- a/packages/daemon/src/waves/drain-check.ts
+++ b/packages/daemon/src/waves/drain-check.ts
@@ -14,7 +14,7 @@
 	readonly getView: () => View;
 	/** Requests in flight from this entry to an instance. */
 	readonly getInFlight: (instance: string) => number;
-	readonly getHeard: () => lagging.HeardAcknowledgements;
+	readonly getHeard: () => lagging.ReceivedAcknowledgements;
 	/** What is known of entries that start from the object store's snapshot. */
 	readonly readOutageStart?: () => Promise<move.OutageStart>;
 };
@@ -25,7 +25,7 @@
 	readonly getLagging: (
 		instance: string,
 		drainRevision: number,
-	) => readonly lagging.Lag[];
+	) => readonly lagging.PendingAcknowledgement[];
 	readonly guards: readonly Write[];
 };
 
@@ -50,7 +50,7 @@
 
 	const registrations = entries.value.map((each) => each.registration);
 	const getLagging = (instance: string, revision: number) =>
-		core.lagging.findLagging(registrations, deps.getHeard(), {
+		core.lagging.listPendingAcknowledgements(registrations, deps.getHeard(), {
 			revision,
 			instance,
 		});
--- a/packages/daemon/src/waves/wave-runner.ts
+++ b/packages/daemon/src/waves/wave-runner.ts
@@ -40,7 +40,7 @@
 	readonly poll: () => Promise<void>;
 	/** Requests in flight from this entry to an instance. */
 	readonly getInFlight: (instance: string) => number;
-	readonly getHeard: () => lagging.HeardAcknowledgements;
+	readonly getHeard: () => lagging.ReceivedAcknowledgements;
 	/** Absent: no entry of the fleet starts from the snapshot. */
 	readonly readOutageStart?: () => Promise<move.OutageStart>;
 	/** Present time in milliseconds of the wall clock, as rows keep it. */
