--- a/packages/core/src/fleet/index.ts
+++ b/packages/core/src/fleet/index.ts
@@ -1,3 +1,3 @@
-/** Machines: maintenance waves and moves between pools. */
+/** Decisions on machines: maintenance waves and moves between pools. */
 export * from './machine-wave.js';
 export * from './pool-plan.js';
--- a/packages/core/src/fleet/machine-wave.test.ts
+++ b/packages/core/src/fleet/machine-wave.test.ts
@@ -26,8 +26,8 @@
 
 const noLoad = () => undefined;
 
-/** Time that one machine takes, in milliseconds. */
-const turnMs = 4000;
+/** Turnaround time of one machine, in milliseconds. */
+const turnaroundMs = 4000;
 
 const step = (
 	wave: fleet.MachineWave,
@@ -35,7 +35,12 @@
 ) =>
 	fleet.stepMachineWave(
 		wave,
-		{machines, evacuating: new Set(), getLoad: noLoad, turnaroundMs: turnMs},
+		{
+			machines,
+			evacuating: new Set(),
+			getLoad: noLoad,
+			turnaroundMs,
+		},
 		0,
 	);
 
@@ -48,10 +53,10 @@
 	return wave;
 };
 
-tap.t.test('no more begin than may be away', async (t) => {
+tap.t.test('no more machines start than may be away', async (t) => {
 	t.equal(step(begin([])).maxStarts, 1);
 	t.equal(step(begin(['a'])).maxStarts, 0);
-	t.equal(step(begin(['a', 'b'])).maxStarts, 0, 'never below none');
+	t.equal(step(begin(['a', 'b'])).maxStarts, 0, 'never negative');
 });
 
 type Return = {
@@ -71,7 +76,7 @@
 		isBack: true,
 	},
 	{
-		name: 'up with the same executor: not begun yet',
+		name: 'up with the same executor: maintenance has not started',
 		machine: createMachine('a'),
 		isAnswered: true,
 		at: 100,
@@ -92,21 +97,21 @@
 		isBack: false,
 	},
 	{
-		name: 'gone for good',
+		name: 'removed',
 		machine: undefined,
 		isAnswered: false,
 		at: 100,
 		isBack: true,
 	},
 	{
-		name: 'maintained by an earlier order',
+		name: 'maintained by an earlier command',
 		machine: createMachine('a'),
 		isAnswered: true,
 		at: 20_000,
 		isBack: true,
 	},
 	{
-		name: 'not answered, and may begin yet',
+		name: 'not accepted yet and may still start',
 		machine: createMachine('a'),
 		isAnswered: false,
 		at: 20_000,
@@ -115,7 +120,7 @@
 ];
 
 for (const {name, machine, isAnswered, at, isBack} of returns) {
-	tap.t.test(`a machine that is ${name}`, async (t) => {
+	tap.t.test(`a machine in maintenance: ${name}`, async (t) => {
 		const begun = begin(['a']);
 		const wave = isAnswered ? fleet.recordCommandAccepted(begun, 'a') : begun;
 		const machines = mapOf(machine ? [machine] : []);
@@ -127,10 +132,10 @@
 }
 
 tap.t.test(
-	'completed when all that are there are back, and not before',
+	'a wave is completed once every existing machine is back',
 	async (t) => {
 		let wave = begin(['a', 'b']);
-		t.notOk(step(wave).isCompleted, 'c has not begun');
+		t.notOk(step(wave).isCompleted, 'c has not started');
 		const without = mapOf([...all.values()].filter(({id}) => id !== 'c'));
 		t.notOk(step(wave, without).isCompleted, 'a and b are away');
 		for (const id of ['a', 'b']) {
@@ -142,14 +147,17 @@
 	},
 );
 
-tap.t.test('an order that was not carried out is pending again', async (t) => {
-	const wave = fleet.undoMaintenanceStart(begin(['a']), 'a');
-	t.equal(step(wave).maxStarts, 1);
-	t.equal(fleet.countAway(wave), 0);
-});
+tap.t.test(
+	'a machine is pending again if its command was not executed',
+	async (t) => {
+		const wave = fleet.undoMaintenanceStart(begin(['a']), 'a');
+		t.equal(step(wave).maxStarts, 1);
+		t.equal(fleet.countAway(wave), 0);
+	},
+);
 
 tap.t.test(
-	'the least busy machine is emptied first, one begun goes on',
+	'the least busy machine is evacuated first; one in progress stays ahead',
 	async (t) => {
 		const wave = fleet.createMachineWave(request, 0);
 		const loads: Record<string, fleet.MachineLoad> = {
@@ -158,14 +166,14 @@
 			c: {runs: 1, lasting: 0, usedCpu: 1},
 		};
 		const getLoad = ({id}: fleet.WaveMachine) => loads[id];
-		const choose = (emptying: readonly string[]) =>
+		const choose = (evacuating: readonly string[]) =>
 			fleet.stepMachineWave(
 				wave,
 				{
 					machines: all,
-					evacuating: new Set(emptying),
+					evacuating: new Set(evacuating),
 					getLoad,
-					turnaroundMs: turnMs,
+					turnaroundMs,
 				},
 				0,
 			).evacuate;
@@ -174,69 +182,69 @@
 	},
 );
 
-tap.t.test('what runs is not waited for once the time is short', async (t) => {
+tap.t.test('running tasks are not waited for once time is short', async (t) => {
 	const wave = fleet.createMachineWave(request, 0);
 	t.notOk(fleet.isShortOfTime(wave, all, 4000, 5000));
 	t.ok(
 		fleet.isShortOfTime(wave, all, 4000, 9000),
-		'three turns of 4 s in 11 s',
+		'three turnarounds of 4 s in 11 s',
 	);
 });
 
-type PaceCase = {
+type EvacuationCase = {
 	readonly name: string;
-	/** Machines with work; the others have none. */
+	/** Machines with runs; the others are idle. */
 	readonly busy: number;
 	readonly away?: number;
-	readonly emptying?: number;
+	readonly evacuating?: number;
 	readonly at: number;
-	/** Machines that are emptied, those with work and those without. */
+	/** Expected number of evacuated machines. */
 	readonly evacuated: readonly [busy: number, idle: number];
 };
 
-// 40 machines in 20 s with 16 away at most; each takes 4 s.
-const paceCases: readonly PaceCase[] = [
+// 40 machines in 20 s, at most 16 away; each takes 4 s.
+const evacuationCases: readonly EvacuationCase[] = [
 	{
-		name: 'of those at work as many as end in time with one turn to spare',
+		name: 'as many busy machines as needed to end one turnaround early',
 		busy: 40,
 		at: 0,
 		evacuated: [10, 0],
 	},
 	{
-		name: 'those away and those being emptied count',
+		name: 'machines away and those being evacuated count',
 		busy: 36,
 		away: 4,
-		emptying: 3,
+		evacuating: 3,
 		at: 0,
 		evacuated: [6, 0],
 	},
 	{
-		name: 'idle ones at once, as many as may be away',
+		name: 'idle machines start at once, as many as may be away',
 		busy: 20,
 		at: 0,
 		evacuated: [0, 16],
 	},
 	{
-		name: 'idle ones stay while none may begin',
+		name: 'idle machines stay while none may start',
 		busy: 10,
 		away: 16,
 		at: 0,
 		evacuated: [0, 0],
 	},
 	{
-		name: 'more at once when the time is short',
+		name: 'more at once when time is short',
 		busy: 40,
 		at: 14_000,
 		evacuated: [16, 0],
 	},
 ];
 
-for (const each of paceCases) {
-	tap.t.test(`machines to empty: ${each.name}`, async (t) => {
+for (const each of evacuationCases) {
+	tap.t.test(`machines to evacuate: ${each.name}`, async (t) => {
 		const ids = Array.from({length: 40}, (_, index) => `m${index}`);
 		const machines = mapOf(ids.map((id) => createMachine(id)));
 		const busy = new Set(ids.slice(40 - each.busy));
-		const emptying = new Set([...busy].slice(0, each.emptying ?? 0));
+		const evacuating = new Set([...busy].slice(0, each.evacuating ?? 0));
 		let wave = fleet.createMachineWave(
 			{id: '1', machines: ids, durationMs: 20_000, maxAway: 16},
 			0,
@@ -249,14 +257,14 @@
 			wave,
 			{
 				machines,
-				evacuating: emptying,
+				evacuating,
 				getLoad: ({id}) =>
 					busy.has(id) ? {runs: 1, lasting: 0, usedCpu: 1} : undefined,
-				turnaroundMs: turnMs,
+				turnaroundMs,
 			},
 			each.at,
 		);
-		const ofBusy = evacuate.filter((id) => busy.has(id)).length;
-		t.same([ofBusy, evacuate.length - ofBusy], each.evacuated);
+		const busyCount = evacuate.filter((id) => busy.has(id)).length;
+		t.same([busyCount, evacuate.length - busyCount], each.evacuated);
 	});
 }
--- a/packages/core/src/fleet/machine-wave.ts
+++ b/packages/core/src/fleet/machine-wave.ts
@@ -1,10 +1,10 @@
 /**
- * Maintenance of machines in a wave: which to empty next, which to order, and
- * when all is done. What has begun is stored before it is ordered, so that the
- * next holder goes on from there.
+ * Maintenance of machines in a wave: which machines to evacuate next, which to
+ * send to maintenance, and when the wave is complete. Progress is stored before
+ * each command is sent, so that the next holder can continue the wave.
  */
 
-/** A machine as the platform lists it, as far as a wave needs it. */
+/** The part of the platform's machine record that a wave uses. */
 export type WaveMachine = {
 	readonly id: string;
 	readonly pool: string;
@@ -12,51 +12,55 @@
 	readonly executorId: string | undefined;
 };
 
-/** A wave as an operator has asked for it. */
+/** A wave as an operator requested it. */
 export type MachineWaveRequest = {
 	readonly id: string;
 	readonly machines: readonly string[];
 	readonly durationMs: number;
-	/** Most machines that may be away for this wave at once. */
+	/**
+	 * Maximum number of machines that this wave takes out of service at once.
+	 */
 	readonly maxAway: number;
 };
 
-/** One machine whose maintenance was ordered. */
+/** Maintenance of one machine, recorded before the command is sent. */
 export type MachineMaintenance = {
-	/** Its executor before; another one shows that it is back. */
+	/**
+	 * Executor at the start; a different one shows that the machine is back.
+	 */
 	readonly executorId: string | undefined;
-	/** Time of day when it was ordered first. */
+	/** Time of the first command, in milliseconds since 1970. */
 	readonly begunAtEpochMs: number;
 	readonly isAnswered: boolean;
 	readonly isBack: boolean;
 };
 
-/** What is stored of a wave. */
+/** Stored state of a wave. */
 export type MachineWave = {
 	readonly request: MachineWaveRequest;
-	/** Time of day when it was first seen. */
+	/** Time when the wave was first read, in milliseconds since 1970. */
 	readonly seenAtEpochMs: number;
 	readonly begun: Readonly<Record<string, MachineMaintenance>>;
 	readonly isCompleted: boolean;
 };
 
-/** How busy a machine is; a machine without an executor is not. */
+/** Load of a machine; one without an executor has none. */
 export type MachineLoad = {
 	readonly runs: number;
 	readonly lasting: number;
 	readonly usedCpu: number;
 };
 
-/** What to do next for a wave. */
+/** Next step of a wave. */
 export type WaveStep = {
-	/** Machines to empty, also those that are being emptied already. */
+	/** Machines to evacuate, including those in progress. */
 	readonly evacuate: readonly string[];
-	/** Machines whose maintenance may begin now if they are empty. */
+	/** How many evacuated machines may start maintenance now. */
 	readonly maxStarts: number;
 	readonly isCompleted: boolean;
 };
 
-/** A wave just seen. */
+/** Creates the state of a new wave. */
 export const createMachineWave = (
 	request: MachineWaveRequest,
 	epochNow: number,
@@ -67,7 +71,7 @@
 	isCompleted: false,
 });
 
-/** Notes which of the begun machines are back. */
+/** Records which machines are back from maintenance. */
 export const recordReturnedMachines = (
 	wave: MachineWave,
 	machines: ReadonlyMap<string, WaveMachine>,
@@ -82,11 +86,11 @@
 };
 
 /**
- * A machine that the platform says it has maintained and that is up, with the
- * executor that it had when ordered, for this long was maintained by an
- * earlier order. Longer than a maintenance takes, in milliseconds.
+ * Time after which a machine that is up with its original executor counts as
+ * maintained by an earlier command, if the platform accepted this one. Longer
+ * than any maintenance, in milliseconds.
  */
-const earlierOrderMs = 8000;
+const earlierCommandMs = 8000;
 
 const hasReturned = (
 	entry: MachineMaintenance,
@@ -103,21 +107,21 @@
 
 	const isReplaced =
 		machine.executorId !== undefined && machine.executorId !== entry.executorId;
-	const isOld = epochNow - entry.begunAtEpochMs > earlierOrderMs;
-	return isReplaced || (entry.isAnswered && isOld);
+	const isOverdue = epochNow - entry.begunAtEpochMs > earlierCommandMs;
+	return isReplaced || (entry.isAnswered && isOverdue);
 };
 
-/** Machines of a wave that are away for it, or may be. */
+/** Counts the machines that are, or may be, in maintenance for a wave. */
 export const countAway = ({begun}: MachineWave): number =>
 	Object.values(begun).filter(({isBack}) => !isBack).length;
 
-/** Weight of a lasting task against one that ends by itself. */
-const lastingWeight = 20;
+/** Weight of a long-running task relative to one that ends by itself. */
+const longRunningWeight = 20;
 
-const getBurden = (load: MachineLoad | undefined): number =>
-	load ? load.runs + lastingWeight * load.lasting : 0;
+const getLoadScore = (load: MachineLoad | undefined): number =>
+	load ? load.runs + longRunningWeight * load.lasting : 0;
 
-/** Machines that are listed and have not begun. */
+/** Lists existing machines whose maintenance has not started. */
 const listPending = (
 	wave: MachineWave,
 	machines: ReadonlyMap<string, WaveMachine>,
@@ -127,7 +131,10 @@
 		return machine && !(id in wave.begun) ? [machine] : [];
 	});
 
-/** Machines that have not begun, the least busy first. */
+/**
+ * Lists machines that are up and whose maintenance has not started, the least
+ * busy first.
+ */
 export const rankPending = (
 	wave: MachineWave,
 	machines: ReadonlyMap<string, WaveMachine>,
@@ -135,102 +142,110 @@
 ): readonly WaveMachine[] =>
 	listPending(wave, machines)
 		.filter(({isUp}) => isUp)
-		.map((machine) => ({machine, burden: getBurden(getLoad(machine))}))
-		.toSorted((one, two) => one.burden - two.burden)
+		.map((machine) => ({machine, loadScore: getLoadScore(getLoad(machine))}))
+		.toSorted((one, two) => one.loadScore - two.loadScore)
 		.map(({machine}) => machine);
 
-/** Whether all machines that are there have begun and are back. */
+/** Whether every existing machine of the wave has been maintained. */
 export const isWaveCompleted = (
 	wave: MachineWave,
 	machines: ReadonlyMap<string, WaveMachine>,
 ): boolean => listPending(wave, machines).length === 0 && countAway(wave) === 0;
 
-/** What a step of a wave is decided from. */
+/** Input of a wave step. */
 export type WaveStepInput = {
 	readonly machines: ReadonlyMap<string, WaveMachine>;
-	/** Machines that are being emptied for the wave. */
+	/** Machines that are being evacuated for the wave. */
 	readonly evacuating: ReadonlySet<string>;
 	readonly getLoad: (machine: WaveMachine) => MachineLoad | undefined;
-	/** Time that one machine takes, emptying included, in milliseconds. */
+	/**
+	 * Time from the start of evacuation to the end of maintenance of one
+	 * machine, in milliseconds.
+	 */
 	readonly turnaroundMs: number;
 };
 
-const getLeftMs = (
+const getRemainingMs = (
 	{seenAtEpochMs, request}: MachineWave,
 	epochNow: number,
 ): number => seenAtEpochMs + request.durationMs - epochNow;
 
 /**
- * Turns that a machine with lasting tasks takes, since such tasks leave one at
- * a time. With one turn each, a wave of 40 machines, 10 of them such, ended
- * after 20.9 of its 20 s.
+ * Turnarounds to allow for a machine with long-running tasks, which leave one
+ * at a time. With one turnaround, a wave with many such machines ends late.
  */
-const lastingTurns = 2;
+const longRunningTurnarounds = 2;
 
-const countTurns = (
+const countTurnarounds = (
 	wave: MachineWave,
 	{machines, getLoad}: WaveStepInput,
 ): number => {
-	let turns = countAway(wave);
+	let turnarounds = countAway(wave);
 	for (const machine of listPending(wave, machines)) {
-		turns += (getLoad(machine)?.lasting ?? 0) > 0 ? lastingTurns : 1;
+		turnarounds +=
+			(getLoad(machine)?.lasting ?? 0) > 0 ? longRunningTurnarounds : 1;
 	}
 
-	return turns;
+	return turnarounds;
 };
 
 /**
- * Machines that must be emptied or away at once for the wave to end with one
- * turn to spare. As many as may be away and as many again are the most, so
- * that one can begin as soon as another is back.
+ * Number of machines that must be evacuated or in maintenance at once for the
+ * wave to end one turnaround early. At most twice the maximum away, so that a
+ * machine is ready as soon as another is back.
  */
-const getPace = (
+const getConcurrencyLimit = (
 	wave: MachineWave,
-	situation: WaveStepInput,
+	input: WaveStepInput,
 	epochNow: number,
 ): number => {
-	const {turnaroundMs} = situation;
-	const leftMs = Math.max(1, getLeftMs(wave, epochNow) - turnaroundMs);
-	const work = countTurns(wave, situation) * turnaroundMs;
-	return Math.min(2 * wave.request.maxAway, Math.ceil(work / leftMs));
+	const {turnaroundMs} = input;
+	const remainingMs = Math.max(
+		1,
+		getRemainingMs(wave, epochNow) - turnaroundMs,
+	);
+	const workMs = countTurnarounds(wave, input) * turnaroundMs;
+	return Math.min(2 * wave.request.maxAway, Math.ceil(workMs / remainingMs));
 };
 
 /**
- * Decides the next step. Machines without work begin at once. Of those at work
- * no more are emptied than the time asks for: they take nothing new meanwhile,
- * and a wave of half the fleet held 51 of 246 machines empty for 8 s while
- * queues waited.
+ * Decides the next step. Idle machines start at once. Of the busy ones, only as
+ * many are evacuated as the deadline requires, since a machine that is being
+ * evacuated accepts no tasks while queues wait.
  */
 export const stepMachineWave = (
 	wave: MachineWave,
-	situation: WaveStepInput,
+	input: WaveStepInput,
 	epochNow: number,
 ): WaveStep => {
-	const {machines, evacuating, getLoad} = situation;
+	const {machines, evacuating, getLoad} = input;
 	const away = countAway(wave);
-	const mayBegin = Math.max(0, wave.request.maxAway - away);
+	const maxStarts = Math.max(0, wave.request.maxAway - away);
 	const ranked = rankPending(wave, machines, getLoad);
-	const begunAlready = ranked.filter(({id}) => evacuating.has(id));
-	const fresh = ranked.filter(({id}) => !evacuating.has(id));
-	const isIdle = (machine: WaveMachine) => getBurden(getLoad(machine)) === 0;
-	const idle = fresh
+	const inProgress = ranked.filter(({id}) => evacuating.has(id));
+	const notStarted = ranked.filter(({id}) => !evacuating.has(id));
+	const isIdle = (machine: WaveMachine) => getLoadScore(getLoad(machine)) === 0;
+	const idle = notStarted
 		.filter((machine) => isIdle(machine))
-		.slice(0, Math.max(0, mayBegin - begunAlready.length));
-	const underWay = away + begunAlready.length + idle.length;
-	const busy = fresh
+		.slice(0, Math.max(0, maxStarts - inProgress.length));
+	const startedCount = away + inProgress.length + idle.length;
+	const busy = notStarted
 		.filter((machine) => !isIdle(machine))
-		.slice(0, Math.max(0, getPace(wave, situation, epochNow) - underWay));
-	const evacuate = [...begunAlready, ...idle, ...busy]
+		.slice(
+			0,
+			Math.max(0, getConcurrencyLimit(wave, input, epochNow) - startedCount),
+		);
+	const evacuate = [...inProgress, ...idle, ...busy]
 		.slice(0, wave.request.maxAway)
 		.map(({id}) => id);
 	return {
 		evacuate,
-		maxStarts: mayBegin,
+		maxStarts,
 		isCompleted: isWaveCompleted(wave, machines),
 	};
 };
 
-/** Notes that the maintenance of a machine is about to be ordered. */
+/** Records that maintenance of a machine is about to be commanded. */
 export const recordMaintenanceStart = (
 	wave: MachineWave,
 	machine: WaveMachine,
@@ -248,7 +263,7 @@
 	},
 });
 
-/** Notes that the platform has taken the order. */
+/** Records that the platform accepted the command. */
 export const recordCommandAccepted = (
 	wave: MachineWave,
 	id: string,
@@ -259,7 +274,7 @@
 		: wave;
 };
 
-/** The platform says that the machine is not to be maintained. */
+/** Treats a machine as done because the platform will not maintain it. */
 export const skipMachine = (wave: MachineWave, id: string): MachineWave => {
 	const entry = wave.begun[id];
 	return entry
@@ -267,7 +282,10 @@
 		: wave;
 };
 
-/** The order was certainly not carried out: the machine is pending again. */
+/**
+ * Makes a machine pending again after a command that was certainly not
+ * executed.
+ */
 export const undoMaintenanceStart = (
 	wave: MachineWave,
 	id: string,
@@ -276,16 +294,16 @@
 	return {...wave, begun};
 };
 
-/** Whether to stop what runs rather than wait: the wave's end is near. */
+/** Whether too little time is left to wait for running tasks to end. */
 export const isShortOfTime = (
 	wave: MachineWave,
 	machines: ReadonlyMap<string, WaveMachine>,
-	turnMs: number,
+	turnaroundMs: number,
 	epochNow: number,
 ): boolean => {
-	const left = getLeftMs(wave, epochNow);
+	const remainingMs = getRemainingMs(wave, epochNow);
 	const rounds = Math.ceil(
 		listPending(wave, machines).length / Math.max(1, wave.request.maxAway),
 	);
-	return left < rounds * turnMs;
+	return remainingMs < rounds * turnaroundMs;
 };
--- a/packages/core/src/fleet/pool-plan.test.ts
+++ b/packages/core/src/fleet/pool-plan.test.ts
@@ -49,14 +49,14 @@
 	readonly demands: readonly fleet.PoolDemand[];
 	readonly machines: readonly fleet.PoolMachine[];
 	readonly underWay?: fleet.MovesUnderWay;
-	/** For how long there has been too much, in milliseconds. */
+	/** Duration of the surplus, in milliseconds. */
 	readonly surplusMs?: number;
 	readonly moves: readonly string[];
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'a queue that asks for more gets machines from standby',
+		name: 'a pool with a deficit gets machines from standby',
 		demands: [createDemand('p', {waitingCpu: 2500, usedCpu: 500})],
 		machines: [
 			createMachine('a', 'p', {runs: 1}),
@@ -67,7 +67,7 @@
 		moves: ['s1 to p', 's2 to p'],
 	},
 	{
-		name: 'those on their way count',
+		name: 'machines on their way count',
 		demands: [createDemand('p', {waitingCpu: 3000})],
 		machines: [
 			createMachine('a', 'p', {runs: 1}),
@@ -78,20 +78,20 @@
 		moves: ['s2 to p'],
 	},
 	{
-		name: 'a surplus that has just begun stays',
+		name: 'a new surplus stays',
 		demands: [createDemand('p')],
 		machines: [createMachine('a', 'p'), createMachine('b', 'p')],
 		moves: [],
 	},
 	{
-		name: 'a surplus that has lasted goes to standby',
+		name: 'a lasting surplus goes to standby',
 		demands: [createDemand('p')],
 		machines: [createMachine('a', 'p'), createMachine('b', 'p')],
 		surplusMs: 1000,
 		moves: ['a to standby'],
 	},
 	{
-		name: 'a machine with a lasting task stays',
+		name: 'a machine with a long-running task stays',
 		demands: [createDemand('p', {usedCpu: 100})],
 		machines: [
 			createMachine('a', 'p', {runs: 1, longRunning: 1}),
@@ -101,7 +101,7 @@
 		moves: [],
 	},
 	{
-		name: 'of machines at work the one with the least goes',
+		name: 'the least busy machine leaves first',
 		demands: [createDemand('p', {usedCpu: 100})],
 		machines: [
 			createMachine('a', 'p', {runs: 2}),
@@ -111,7 +111,7 @@
 		moves: ['b to standby'],
 	},
 	{
-		name: 'a machine that is maintained or down stays',
+		name: 'a machine under maintenance or down stays',
 		demands: [createDemand('p')],
 		machines: [
 			createMachine('a', 'p', {isReserved: true}),
@@ -121,7 +121,7 @@
 		moves: [],
 	},
 	{
-		name: 'a pool that lacks gets from one that has too much',
+		name: 'a pool with a deficit gets machines from one with a surplus',
 		demands: [createDemand('p', {waitingCpu: 2000}), createDemand('r')],
 		machines: [
 			createMachine('a', 'p'),
@@ -132,7 +132,7 @@
 		moves: ['b to p'],
 	},
 	{
-		name: 'the pool that lacks most comes first',
+		name: 'the largest deficit comes first',
 		demands: [
 			createDemand('p', {waitingCpu: 2000}),
 			createDemand('r', {waitingCpu: 3000}),
@@ -145,14 +145,14 @@
 		moves: ['s to r'],
 	},
 	{
-		name: 'tasks that must be apart keep their machines',
+		name: 'tasks that must run on different machines keep them',
 		demands: [createDemand('p', {minMachines: 2})],
 		machines: [createMachine('a', 'p'), createMachine('b', 'p')],
 		surplusMs: 1000,
 		moves: [],
 	},
 	{
-		name: 'no more moves than may be under way',
+		name: 'moves in progress are limited',
 		demands: [createDemand('p', {waitingCpu: 9000})],
 		machines: Array.from({length: 9}, (_, index) =>
 			createMachine(`s${index}`, 'standby'),
@@ -160,7 +160,7 @@
 		moves: [0, 1, 2, 3].map((index) => `s${index} to p`),
 	},
 	{
-		name: 'a larger fleet may have more moves under way',
+		name: 'a larger fleet may have more moves in progress',
 		changes: {maxMoveShare: 0.5},
 		demands: [createDemand('p', {waitingCpu: 20_000})],
 		machines: Array.from({length: 12}, (_, index) =>
@@ -179,7 +179,7 @@
 		moves: ['m0', 'm1', 'm2', 'm3'].map((id) => `${id} to standby`),
 	},
 	{
-		name: 'a pool yields sooner to one that lacks than to standby',
+		name: 'a surplus goes to a pool with a deficit sooner than to standby',
 		demands: [createDemand('p', {waitingCpu: 2000}), createDemand('r')],
 		machines: [
 			createMachine('a', 'p'),
@@ -191,7 +191,7 @@
 		moves: ['b to p'],
 	},
 	{
-		name: 'machines that are away for maintenance are made up for',
+		name: 'machines under maintenance are replaced',
 		demands: [createDemand('p', {waitingCpu: 3000})],
 		machines: [
 			createMachine('a', 'p'),
@@ -204,7 +204,7 @@
 		moves: ['s1 to p', 's2 to p'],
 	},
 	{
-		name: 'machines that are down are made up for, those that arrive count',
+		name: 'machines that are down are replaced, arriving ones count',
 		demands: [createDemand('p', {waitingCpu: 3000})],
 		machines: [
 			createMachine('a', 'p'),
@@ -216,7 +216,7 @@
 		moves: ['s1 to p'],
 	},
 	{
-		name: 'work that is late asks for no machine while another pool lacks',
+		name: 'late work gets no machine while another pool has a deficit',
 		demands: [
 			createDemand('p', {
 				waitingCpu: 9000,
@@ -233,7 +233,7 @@
 		moves: ['s1 to r', 's2 to r'],
 	},
 	{
-		name: 'a pool at late work yields to one that can be in time',
+		name: 'a pool with late work releases machines to one that can be in time',
 		demands: [
 			createDemand('p', {
 				usedCpu: 3000,
@@ -251,7 +251,7 @@
 		moves: ['b to r'],
 	},
 	{
-		name: 'late work gets what nobody else wants, to be done in its time',
+		name: 'late work gets the standby machines that no other pool needs',
 		demands: [
 			createDemand('p', {
 				waitingCpu: 9000,
@@ -269,7 +269,7 @@
 		moves: ['s1 to p', 's2 to p'],
 	},
 	{
-		name: 'what late work holds is not given to standby',
+		name: 'machines that late work uses do not go to standby',
 		demands: [
 			createDemand('p', {
 				usedCpu: 2000,
@@ -285,7 +285,7 @@
 		moves: ['c to standby'],
 	},
 	{
-		name: 'machines that are away are no surplus',
+		name: 'machines out of service are not a surplus',
 		demands: [createDemand('p', {usedCpu: 1000})],
 		machines: [
 			createMachine('a', 'p', {runs: 1}),
@@ -324,9 +324,9 @@
 	});
 }
 
-tap.t.test('a surplus that is over begins anew', async (t) => {
+tap.t.test('a surplus that ended starts from zero', async (t) => {
 	const machines = [createMachine('a', 'p'), createMachine('b', 'p')];
-	const plan = (memory: fleet.PoolPlanState, waitingCpu: number, now: number) =>
+	const plan = (state: fleet.PoolPlanState, waitingCpu: number, now: number) =>
 		fleet.planPools(
 			{
 				demands: [createDemand('p', {waitingCpu})],
@@ -334,7 +334,7 @@
 				underWay: new Map(),
 				standbyPool: 'standby',
 			},
-			memory,
+			state,
 			cfg,
 			now,
 		);
@@ -343,21 +343,21 @@
 	t.same(plan(busy.state, 0, 1100).moves, []);
 });
 
-tap.t.test('each look at a steep rise finds machines to move', async (t) => {
+tap.t.test('each plan during a steep rise can move machines', async (t) => {
 	const machines = Array.from({length: 40}, (_, index) =>
 		createMachine(`m${index}`, index < 3 ? 'p' : 'standby', {
 			cpuMillis: 32_000,
 		}),
 	);
-	// Thousandths of a core, as an owner told them within two seconds.
-	const looks = [
+	// Demand in thousandths of a core, reported by an owner within two seconds.
+	const reports = [
 		{waitingCpu: 41_000, usedCpu: 91_000, arrivingCpu: 68_000},
 		{waitingCpu: 65_000, usedCpu: 87_000, arrivingCpu: 96_000},
 		{waitingCpu: 159_000, usedCpu: 93_000, arrivingCpu: 203_000},
 		{waitingCpu: 354_000, usedCpu: 96_000, arrivingCpu: 333_000},
 	];
 	const underWay = new Map<string, fleet.PoolMove>();
-	const counts = looks.map((demand, index) => {
+	const counts = reports.map((demand, index) => {
 		const {moves} = fleet.planPools(
 			{
 				demands: [createDemand('p', demand)],
@@ -375,5 +375,5 @@
 
 		return underWay.size;
 	});
-	t.same(counts, [6, 8, 18, 37], 'all of standby by the fourth look');
+	t.same(counts, [6, 8, 18, 37], 'all of standby by the fourth plan');
 });
--- a/packages/core/src/fleet/pool-plan.ts
+++ b/packages/core/src/fleet/pool-plan.ts
@@ -1,53 +1,59 @@
 /**
- * How many machines each pool should have and which move. A machine in a pool
- * costs its time whether it works or not, one in the standby pool nothing, and
- * each move has a price and takes a while. So a pool grows as soon as its queue
- * asks for more than it has, and shrinks only after that has not been so for a
- * time, by machines that are idle or whose work ends by itself.
+ * Decides how many machines each pool gets and which machines move. A machine
+ * in a service pool is billed whether it works or not; one in the standby pool
+ * costs nothing; each move has a price and takes time. A pool therefore grows
+ * as soon as its queue needs more capacity. It shrinks only after a lasting
+ * surplus, and only by machines that are idle or whose work ends by itself.
  * Source: docs/design/pools.md.
  */
 
-/** Settings of the pools' sizes. */
+/** Settings of pool sizing. */
 export type PoolConfig = {
-	/** Room wanted over what runs and waits now, as a factor. */
+	/**
+	 * Capacity to plan for each unit of running and waiting work, as a factor.
+	 */
 	readonly headroom: number;
 	/**
-	 * More room for each unit that waits: what waits shows that demand rises,
-	 * and goes on rising while machines are under way.
+	 * Additional capacity for each waiting unit: a backlog shows that demand is
+	 * rising, and it keeps rising while machines are moving.
 	 */
 	readonly surge: number;
 	/**
-	 * Room that each pool with queues keeps at the least, in thousandths of a
-	 * core: what the first second of a rise asks for, since machines that are
-	 * sent for take two.
+	 * Minimum capacity of each pool that has queues, in thousandths of a core.
+	 * It covers the first second of a rise, since machines take two seconds to
+	 * arrive.
 	 */
 	readonly minCpu: number;
 	/**
-	 * The same as a part of what each pool would have if all machines were
-	 * shared out evenly: a rise in a larger fleet asks for more.
+	 * Minimum capacity as a share of an even split of all machines over the
+	 * pools, since a rise in a larger fleet needs more.
 	 */
 	readonly minShare: number;
 	/**
-	 * Time within which late work is done with machines that nobody else wants,
-	 * in milliseconds: they cost about what late work is still worth.
+	 * Time to finish late work on machines that no other pool needs, in
+	 * milliseconds. Machines kept longer cost more than late work is worth.
 	 */
 	readonly lateDrainMs: number;
-	/** Idle machines kept beyond the demand. */
+	/** Idle machines to keep beyond the demand. */
 	readonly spareMachines: number;
-	/** Time for which a pool must have had too many before it shrinks. */
+	/**
+	 * Time that a surplus must last before the pool shrinks, in milliseconds.
+	 */
 	readonly shrinkAfterMs: number;
-	/** The same where another pool lacks machines that standby cannot give. */
-	readonly yieldAfterMs: number;
 	/**
-	 * Moves that may always be under way at once: each look at a rise should find
-	 * some left.
+	 * Time that a surplus must last before machines go to a pool with a
+	 * deficit, in milliseconds.
 	 */
+	readonly yieldAfterMs: number;
+	/** Moves that may be in progress at once, in a fleet of any size. */
 	readonly maxMoves: number;
-	/** The same as a part of all machines; the larger one holds. */
+	/**
+	 * Moves in progress as a share of all machines; the larger limit applies.
+	 */
 	readonly maxMoveShare: number;
 };
 
-/** Settings in force where none are given. */
+/** Default settings. */
 export const defaultPoolConfig: PoolConfig = {
 	headroom: 1.25,
 	surge: 2,
@@ -61,73 +67,76 @@
 	maxMoveShare: 0.35,
 };
 
-/** What late jobs ask for, in thousandths of a core. */
+/**
+ * Demand of late jobs: those that can no longer meet their objective. In
+ * thousandths of a core.
+ */
 export type LateWork = {
 	readonly waitingCpu: number;
 	readonly usedCpu: number;
-	/** Work that is left, in cpu-milliseconds. */
+	/** Remaining work, in CPU-milliseconds. */
 	readonly work: number;
 };
 
-/** Of an owner of an older release, which does not tell. */
+/** Stands in for the value that owners of older releases do not report. */
 export const noLateWork: LateWork = {waitingCpu: 0, usedCpu: 0, work: 0};
 
-/** What a pool's queues ask for, in thousandths of a core. */
+/** Demand of a pool's queues, in thousandths of a core. */
 export type PoolDemand = {
 	readonly pool: string;
-	/** Of the tasks that wait and may start. */
+	/** Demand of waiting tasks that may start. */
 	readonly waitingCpu: number;
-	/** Of what runs. */
+	/** Demand of running tasks. */
 	readonly usedCpu: number;
-	/** Of both, what is of jobs that can't meet their objective any more. */
+	/** The part of the two that belongs to late jobs. */
 	readonly late: LateWork;
-	/** Work handed in lately, as the cores that it keeps busy. */
+	/** Recently submitted work, as the capacity that it keeps busy. */
 	readonly arrivingCpu: number;
-	/** Machines that its tasks need because they must be apart. */
+	/** Machines that its tasks need because some must run on different ones. */
 	readonly minMachines: number;
 };
 
-/** A machine that may move. */
+/** A machine as the planner sees it. */
 export type PoolMachine = {
 	readonly id: string;
 	readonly pool: string;
 	readonly isUp: boolean;
-	/** A move to its pool is being carried out. */
+	/** Whether the platform is moving it to its pool. */
 	readonly isArriving: boolean;
 	readonly cpuMillis: number;
-	/** Runs on it; absent in the standby pool. */
+	/** Runs on it; 0 in the standby pool. */
 	readonly runs: number;
-	/** Lasting tasks on it. */
+	/** Long-running tasks on it. */
 	readonly longRunning: number;
-	/** Something else is done with it, such as maintenance. */
+	/** Whether another operation uses it, such as maintenance. */
 	readonly isReserved: boolean;
 };
 
-/** What is remembered between two plans. */
+/** State carried from one plan to the next. */
 export type PoolPlanState = {
-	/** Since when each pool has had more than it needs. */
+	/** When the current surplus of each pool began, in milliseconds. */
 	readonly surplusSince: ReadonlyMap<string, number>;
 };
 
-/** A move to begin. */
+/** A move to start. */
 export type PoolMove = {
 	readonly machine: string;
 	readonly from: string;
 	readonly to: string;
 };
 
-/** Moves that are under way, by machine. */
+/** Moves in progress, by machine. */
 export type MovesUnderWay = ReadonlyMap<string, PoolMove>;
 
-/** What to do, and what to remember. */
+/** Moves to start and the state for the next plan. */
 export type PoolPlan = {
 	readonly moves: readonly PoolMove[];
 	readonly state: PoolPlanState;
-	/** Machines wanted by pool, for the log. */
+	/** Target number of machines by pool, for the log. */
 	readonly targets: ReadonlyMap<string, number>;
 };
 
-/** What a plan is made from. */
+/** Input of a plan. */
 export type PoolPlanInput = {
 	readonly demands: readonly PoolDemand[];
 	readonly machines: readonly PoolMachine[];
@@ -135,7 +144,7 @@
 	readonly standbyPool: string;
 };
 
-/** Nothing remembered. */
+/** State before the first plan. */
 export const emptyPoolPlanState: PoolPlanState = {surplusSince: new Map()};
 
 const getMachineCpu = (machines: readonly PoolMachine[]): number =>
@@ -144,34 +153,34 @@
 		: machines.reduce((sum, {cpuMillis}) => sum + cpuMillis, 0) /
 			machines.length;
 
-/** Machines that each pool keeps at the least. */
-const getLeast = (
+/** Minimum number of machines of each pool. */
+const getMinMachines = (
 	{demands, machines}: PoolPlanInput,
 	cfg: PoolConfig,
 ): number => {
-	const evenShare = machines.length / (demands.length + 1);
+	const evenSplit = machines.length / (demands.length + 1);
 	return Math.max(
 		Math.ceil(cfg.minCpu / getMachineCpu(machines)),
-		Math.round(evenShare * cfg.minShare),
+		Math.round(evenSplit * cfg.minShare),
 	);
 };
 
-/** Machines that a demand needs for the jobs that can still be in time. */
+/** Machines needed by the jobs that can still meet their objective. */
 const getTarget = (
 	demand: PoolDemand,
 	machineCpu: number,
-	least: number,
+	minPerPool: number,
 	cfg: PoolConfig,
 ): number => {
 	const waiting = demand.waitingCpu - demand.late.waitingCpu;
-	const present = demand.usedCpu - demand.late.usedCpu + waiting;
-	const wanted =
-		Math.max(present, demand.arrivingCpu) * cfg.headroom + waiting * cfg.surge;
-	const machines = Math.ceil(wanted / machineCpu) + cfg.spareMachines;
-	return Math.max(least, demand.minMachines, machines);
+	const current = demand.usedCpu - demand.late.usedCpu + waiting;
+	const needed =
+		Math.max(current, demand.arrivingCpu) * cfg.headroom + waiting * cfg.surge;
+	const machines = Math.ceil(needed / machineCpu) + cfg.spareMachines;
+	return Math.max(minPerPool, demand.minMachines, machines);
 };
 
-/** Machines beyond these that late work may have while nobody else wants them. */
+/** Additional machines for late work, as long as no other pool needs them. */
 const getLateMachines = (
 	{late}: PoolDemand,
 	machineCpu: number,
@@ -183,49 +192,49 @@
 	);
 
 /**
- * Whether a machine serves its pool or soon will. One that is down or emptied
- * for maintenance does not: its pool would look full while its queue waits.
+ * Whether a machine provides capacity to its pool now or soon. One that is down
+ * or under maintenance does not: counting it would hide a deficit.
  */
 const isServing = ({isUp, isArriving, isReserved}: PoolMachine): boolean =>
 	(isUp || isArriving) && !isReserved;
 
-/** Machines that serve a pool, and those that are on their way to it. */
+/** Counts machines in service in a pool and machines on their way to it. */
 const countMachines = (
 	{machines, underWay}: PoolPlanInput,
 	pool: string,
 ): number => {
-	const staying = machines.filter(
+	const inService = machines.filter(
 		(each) =>
 			each.pool === pool &&
 			isServing(each) &&
 			underWay.get(each.id)?.from !== pool,
 	);
-	const coming = [...underWay].filter(
-		([id, {to}]) => to === pool && !staying.some((each) => each.id === id),
+	const arriving = [...underWay].filter(
+		([id, {to}]) => to === pool && !inService.some((each) => each.id === id),
 	);
-	return staying.length + coming.length;
+	return inService.length + arriving.length;
 };
 
-const noteSurplus = (
-	memory: PoolPlanState,
+const recordSurplus = (
+	state: PoolPlanState,
 	surplus: ReadonlyMap<string, number>,
 	now: number,
 ): PoolPlanState => {
-	const since = new Map<string, number>();
+	const surplusSince = new Map<string, number>();
 	for (const [pool, machines] of surplus) {
 		if (machines > 0) {
-			since.set(pool, memory.surplusSince.get(pool) ?? now);
+			surplusSince.set(pool, state.surplusSince.get(pool) ?? now);
 		}
 	}
 
-	return {surplusSince: since};
+	return {surplusSince};
 };
 
 /**
- * Machines of a pool that may leave it, the one to go first in front. Those
- * with work leave once that has ended; those with lasting tasks stay.
+ * Lists the machines that may leave a pool, the least busy first. A machine
+ * with work leaves once that work has ended; one with long-running tasks stays.
  */
-const listGivable = (
+const listMovable = (
 	{machines, underWay}: PoolPlanInput,
 	pool: string,
 ): readonly PoolMachine[] =>
@@ -240,98 +249,110 @@
 		)
 		.toSorted((one, two) => one.runs - two.runs);
 
-type Ledger = {
-	readonly situation: PoolPlanInput;
-	/** Machines that each pool can give now. */
-	readonly givers: Map<string, PoolMachine[]>;
+type PlanDraft = {
+	readonly input: PoolPlanInput;
+	/** Machines that each pool can release now, by pool. */
+	readonly movableByPool: Map<string, PoolMachine[]>;
 	readonly moves: PoolMove[];
-	left: number;
+	movesLeft: number;
 };
 
-const take = (ledger: Ledger, from: string, to: string): boolean => {
-	const machine = ledger.givers.get(from)?.shift();
-	if (!machine || ledger.left <= 0) {
+const planMove = (draft: PlanDraft, from: string, to: string): boolean => {
+	const machine = draft.movableByPool.get(from)?.shift();
+	if (!machine || draft.movesLeft <= 0) {
 		return false;
 	}
 
-	ledger.left -= 1;
-	ledger.moves.push({machine: machine.id, from, to});
+	draft.movesLeft -= 1;
+	draft.moves.push({machine: machine.id, from, to});
 	return true;
 };
 
-/** Fills what a pool lacks, from standby first, since that costs nobody. */
-const fill = (ledger: Ledger, pool: string, lacking: number): void => {
-	const {standbyPool} = ledger.situation;
-	let left = lacking;
+/**
+ * Moves machines to a pool with a deficit, from standby first, since that takes
+ * capacity from no other pool.
+ */
+const coverDeficit = (
+	draft: PlanDraft,
+	pool: string,
+	deficit: number,
+): void => {
+	const {standbyPool} = draft.input;
+	let missing = deficit;
 	const sources = [
 		standbyPool,
-		...[...ledger.givers.keys()].filter(
+		...[...draft.movableByPool.keys()].filter(
 			(each) => each !== standbyPool && each !== pool,
 		),
 	];
 	for (const from of sources) {
-		while (left > 0 && take(ledger, from, pool)) {
-			left -= 1;
+		while (missing > 0 && planMove(draft, from, pool)) {
+			missing -= 1;
 		}
 	}
 };
 
-/** Machines that a pool is over its target after the moves planned so far. */
-const countOver = ({moves}: Ledger, pool: string, over: number): number => {
+/** The surplus of a pool after the moves planned so far. */
+const getRemainingSurplus = (
+	{moves}: PlanDraft,
+	pool: string,
+	excess: number,
+): number => {
 	const come = moves.filter(({to}) => to === pool).length;
 	const go = moves.filter(({from}) => from === pool).length;
-	return over + come - go;
+	return excess + come - go;
 };
 
-/** Gives late work the standby machines that no pool lacks. */
-const serveLate = (
-	ledger: Ledger,
+/** Moves standby machines to late work, unless some pool has a deficit. */
+const planForLateWork = (
+	draft: PlanDraft,
 	surplus: ReadonlyMap<string, number>,
 	late: ReadonlyMap<string, number>,
 ): void => {
-	const {standbyPool} = ledger.situation;
-	const isLacking = [...surplus].some(
-		([pool, over]) => countOver(ledger, pool, over) < 0,
+	const {standbyPool} = draft.input;
+	const hasDeficit = [...surplus].some(
+		([pool, excess]) => getRemainingSurplus(draft, pool, excess) < 0,
 	);
-	if (isLacking) {
+	if (hasDeficit) {
 		return;
 	}
 
-	for (const [pool, over] of surplus) {
-		let wanted = (late.get(pool) ?? 0) - countOver(ledger, pool, over);
-		while (wanted > 0 && take(ledger, standbyPool, pool)) {
-			wanted -= 1;
+	for (const [pool, excess] of surplus) {
+		let needed =
+			(late.get(pool) ?? 0) - getRemainingSurplus(draft, pool, excess);
+		while (needed > 0 && planMove(draft, standbyPool, pool)) {
+			needed -= 1;
 		}
 	}
 };
 
-/** Gives machines back that neither the target nor late work holds. */
+/** Returns machines to standby that neither the target nor late work needs. */
 const shrink = (
-	ledger: Ledger,
+	draft: PlanDraft,
 	pool: string,
-	over: number,
+	excess: number,
 	late: number,
 ): void => {
-	let left = countOver(ledger, pool, over) - late;
-	while (left > 0 && take(ledger, pool, ledger.situation.standbyPool)) {
-		left -= 1;
+	let unneeded = getRemainingSurplus(draft, pool, excess) - late;
+	while (unneeded > 0 && planMove(draft, pool, draft.input.standbyPool)) {
+		unneeded -= 1;
 	}
 };
 
-/** Plans moves for the demand of this moment. */
+/** Plans moves for the current demand. */
 export const planPools = (
-	situation: PoolPlanInput,
-	memory: PoolPlanState,
+	input: PoolPlanInput,
+	state: PoolPlanState,
 	cfg: PoolConfig,
 	now: number,
 ): PoolPlan => {
-	const {demands, machines, underWay, standbyPool} = situation;
+	const {demands, machines, underWay, standbyPool} = input;
 	const machineCpu = getMachineCpu(machines);
-	const least = getLeast(situation, cfg);
+	const minPerPool = getMinMachines(input, cfg);
 	const targets = new Map(
 		demands.map((demand) => [
 			demand.pool,
-			getTarget(demand, machineCpu, least, cfg),
+			getTarget(demand, machineCpu, minPerPool, cfg),
 		]),
 	);
 	const late = new Map(
@@ -343,47 +364,47 @@
 	const surplus = new Map(
 		[...targets].map(([pool, target]) => [
 			pool,
-			countMachines(situation, pool) - target,
+			countMachines(input, pool) - target,
 		]),
 	);
-	const noted = noteSurplus(memory, surplus, now);
+	const nextState = recordSurplus(state, surplus, now);
 	const hasSurplusFor = (pool: string, ms: number): boolean => {
-		const since = noted.surplusSince.get(pool);
-		return since !== undefined && now - since >= ms;
+		const surplusSince = nextState.surplusSince.get(pool);
+		return surplusSince !== undefined && now - surplusSince >= ms;
 	};
 
-	const givers = new Map([
-		[standbyPool, [...listGivable(situation, standbyPool)]],
+	const movableByPool = new Map([
+		[standbyPool, [...listMovable(input, standbyPool)]],
 	]);
-	for (const [pool, over] of surplus) {
+	for (const [pool, excess] of surplus) {
 		if (hasSurplusFor(pool, cfg.yieldAfterMs)) {
-			givers.set(pool, listGivable(situation, pool).slice(0, over));
+			movableByPool.set(pool, listMovable(input, pool).slice(0, excess));
 		}
 	}
 
-	const mostMoves = Math.max(
+	const moveLimit = Math.max(
 		cfg.maxMoves,
 		Math.ceil(machines.length * cfg.maxMoveShare),
 	);
-	const ledger: Ledger = {
-		situation,
-		givers,
+	const draft: PlanDraft = {
+		input,
+		movableByPool,
 		moves: [],
-		left: Math.max(0, mostMoves - underWay.size),
+		movesLeft: Math.max(0, moveLimit - underWay.size),
 	};
-	const lacking = [...surplus]
-		.filter(([, over]) => over < 0)
+	const deficits = [...surplus]
+		.filter(([, excess]) => excess < 0)
 		.toSorted(([, one], [, two]) => one - two);
-	for (const [pool, over] of lacking) {
-		fill(ledger, pool, -over);
+	for (const [pool, excess] of deficits) {
+		coverDeficit(draft, pool, -excess);
 	}
 
-	serveLate(ledger, surplus, late);
-	for (const [pool, over] of surplus) {
+	planForLateWork(draft, surplus, late);
+	for (const [pool, excess] of surplus) {
 		if (hasSurplusFor(pool, cfg.shrinkAfterMs)) {
-			shrink(ledger, pool, over, late.get(pool) ?? 0);
+			shrink(draft, pool, excess, late.get(pool) ?? 0);
 		}
 	}
 
-	return {moves: ledger.moves, state: noted, targets};
+	return {moves: draft.moves, state: nextState, targets};
 };
--- a/packages/core/src/fleet/wave-long-running.test.ts
+++ b/packages/core/src/fleet/wave-long-running.test.ts
@@ -1,13 +1,11 @@
 /**
- * Machines with lasting tasks take longer than a turn to be emptied, since
- * such tasks leave one at a time within their budget. They are ranked last; a
- * wave that empties only as many at once as its time asks for by the usual
- * turn begins with them when no time is left for them.
+ * Guards against waves that end late because machines with long-running tasks,
+ * which take longer than one turnaround to evacuate, start last.
  */
 import * as tap from 'tap';
 import * as fleet from './index.js';
 
-const turnMs = 4500;
+const turnaroundMs = 4500;
 const durationMs = 20_000;
 const maxAway = 16;
 const count = 40;
@@ -15,31 +13,36 @@
 
 type Case = {
 	readonly name: string;
-	/** Machines with a lasting task. */
-	readonly lasting: number;
-	/** Time until such a machine is empty. */
-	readonly lastingMs: number;
+	/** Machines with a long-running task. */
+	readonly longRunning: number;
+	/** Time to evacuate such a machine, in milliseconds. */
+	readonly longRunningMs: number;
 };
 
 const cases: readonly Case[] = [
-	{name: 'no machine holds what lasts', lasting: 0, lastingMs: 0},
 	{
-		name: 'a quarter of them takes 8 s to be emptied',
-		lasting: 10,
-		lastingMs: 8000,
+		name: 'no machine has a long-running task',
+		longRunning: 0,
+		longRunningMs: 0,
+	},
+	{
+		name: 'a quarter of them takes 8 s to evacuate',
+		longRunning: 10,
+		longRunningMs: 8000,
 	},
 ];
 
-const runWave = ({lasting, lastingMs}: Case): number => {
+const runWave = ({longRunning, longRunningMs}: Case): number => {
 	const ids = Array.from({length: count}, (_, index) => `m${index}`);
-	const holdsLasting = new Set(ids.slice(0, lasting));
-	const emptyMs = (id: string) => (holdsLasting.has(id) ? lastingMs : 1400);
+	const longRunningIds = new Set(ids.slice(0, longRunning));
+	const evacuationMs = (id: string) =>
+		longRunningIds.has(id) ? longRunningMs : 1400;
 	let wave = fleet.createMachineWave(
 		{id: '1', machines: ids, durationMs, maxAway},
 		0,
 	);
-	const emptying = new Set<string>();
-	const since = new Map<string, number>();
+	const evacuating = new Set<string>();
+	const startedAt = new Map<string, number>();
 	const begunAt = new Map<string, number>();
 	for (let now = 0; now < 3 * durationMs; now += 150) {
 		const machines = new Map(
@@ -64,29 +67,29 @@
 			wave,
 			{
 				machines,
-				evacuating: emptying,
+				evacuating,
 				getLoad: ({id}) => ({
 					runs: 1,
-					lasting: holdsLasting.has(id) ? 1 : 0,
+					lasting: longRunningIds.has(id) ? 1 : 0,
 					usedCpu: 1,
 				}),
-				turnaroundMs: turnMs,
+				turnaroundMs,
 			},
 			now,
 		);
 		for (const id of step.evacuate) {
-			emptying.add(id);
-			since.set(id, since.get(id) ?? now);
+			evacuating.add(id);
+			startedAt.set(id, startedAt.get(id) ?? now);
 		}
 
-		const clear = step.evacuate
-			.filter((id) => now - since.get(id)! >= emptyMs(id))
+		const evacuated = step.evacuate
+			.filter((id) => now - startedAt.get(id)! >= evacuationMs(id))
 			.slice(0, step.maxStarts);
-		for (const id of clear) {
+		for (const id of evacuated) {
 			wave = fleet.recordMaintenanceStart(wave, machines.get(id)!, now);
 			wave = fleet.recordCommandAccepted(wave, id);
 			begunAt.set(id, now);
-			emptying.delete(id);
+			evacuating.delete(id);
 		}
 	}
 
--- a/packages/core/src/membership/acknowledgement.ts
+++ b/packages/core/src/membership/acknowledgement.ts
@@ -1,53 +1,61 @@
 /**
- * What an entry acknowledges: the revision in force in its routers, and the
- * instances that leave but still have its requests in flight.
+ * Acknowledgements of an entry: the revision in force in its routers, and the
+ * instances that get no new requests but still have some in flight.
  * Source: docs/design/agreement.md.
  */
 import type {View} from '../types/view.js';
 
-/** One life of an entry; a restart at the same address is another. */
+/**
+ * One incarnation of an entry; a restart at the same address is another one.
+ */
 export type EntryIncarnation = {
 	readonly entry: string;
 	readonly incarnation: string;
 };
 
-/** One acknowledgement; only the newest of a life counts. */
+/** An acknowledgement; only the newest of an incarnation counts. */
 export type Acknowledgement = EntryIncarnation & {
-	/** Grows with each acknowledgement of this life. */
+	/** Grows with each acknowledgement of this incarnation. */
 	readonly sequence: number;
-	/** Every request dispatched from now on uses at least this revision. */
+	/**
+	 * Every request dispatched from now on uses at least this revision of the
+	 * view.
+	 */
 	readonly inForce: number;
-	/** Instances that get no new work but have requests in flight. */
+	/** Instances that get no new requests but have some in flight. */
 	readonly holding: readonly string[];
 };
 
-/** What the routers of one entry do now. */
+/** Current state of the routers of one entry. */
 export type RouterState = {
-	/** Revision of the view by which the routers pick. */
+	/** Revision of the view that the routers use. */
 	readonly routedRevision: number;
 	/**
-	 * Requests by instance, counted from the pick of the instance to the end
-	 * of the answer; one whose connection was cut counts until its hold ends.
+	 * Requests in flight by instance, counted from the choice of the instance
+	 * to the end of the response. A request whose connection was cut counts
+	 * until its hold ends.
 	 */
 	readonly inFlight: ReadonlyMap<string, number>;
 	/**
-	 * True for the longest request after the start of a life that took the
-	 * place of an earlier one: executors may still run what that one sent.
+	 * Whether executors may still run requests of a previous incarnation. True
+	 * for the duration of the longest request after this one replaced it.
 	 */
 	readonly mayHaveInheritedRequests?: boolean;
 };
 
-const isHeld = (view: View, instance: string): boolean =>
+const isOutOfService = (view: View, instance: string): boolean =>
 	view.instances.get(instance)?.state !== 'serving';
 
-/** Instances with requests in flight that may get no new ones. */
+/**
+ * Lists the instances that may get no new requests but may have some in flight.
+ */
 export const listHeldInstances = (
 	view: View,
 	router: RouterState,
 ): readonly string[] => {
 	const held = new Set<string>();
 	for (const [instance, count] of router.inFlight) {
-		if (count > 0 && isHeld(view, instance)) {
+		if (count > 0 && isOutOfService(view, instance)) {
 			held.add(instance);
 		}
 	}
@@ -63,20 +71,21 @@
 	return [...held];
 };
 
-/** What an entry acknowledges from. */
+/** Input of an acknowledgement. */
 export type AcknowledgementInput = {
 	readonly view: View;
 	readonly router: RouterState;
-	/** Acknowledgements of the entries that this one sponsors. */
+	/** Acknowledgements of the entries that this entry sponsors. */
 	readonly sponsored?: readonly Acknowledgement[];
 };
 
 /**
- * Makes the acknowledgement of an entry. Received but not routed revisions
- * do not count. An entry that sponsors others speaks for the slowest of them.
+ * Creates the acknowledgement of an entry. Revisions that were received but are
+ * not yet used for routing do not count. An entry that sponsors others
+ * acknowledges the lowest revision among them.
  */
 export const createAcknowledgement = (
-	life: EntryIncarnation,
+	self: EntryIncarnation,
 	sequence: number,
 	{view, router, sponsored = []}: AcknowledgementInput,
 ): Acknowledgement => {
@@ -90,23 +99,24 @@
 	}
 
 	return {
-		entry: life.entry,
-		incarnation: life.incarnation,
+		entry: self.entry,
+		incarnation: self.incarnation,
 		sequence,
 		inForce,
 		holding: [...holding],
 	};
 };
 
-/** True if both are the same life of the same entry. */
+/** Whether both are the same incarnation of the same entry. */
 export const isSameIncarnation = (
-	one: EntryIncarnation,
-	two: EntryIncarnation,
-): boolean => one.entry === two.entry && one.incarnation === two.incarnation;
+	first: EntryIncarnation,
+	second: EntryIncarnation,
+): boolean =>
+	first.entry === second.entry && first.incarnation === second.incarnation;
 
 /**
- * Takes the newer of two acknowledgements. One of another life than the
- * registered one says nothing and is dropped.
+ * Returns the newer of two acknowledgements. One of another incarnation than
+ * the registered one is ignored.
  */
 export const chooseNewerAcknowledgement = (
 	known: Acknowledgement,
--- a/packages/core/src/membership/forget-entry.ts
+++ b/packages/core/src/membership/forget-entry.ts
@@ -1,6 +1,6 @@
 /**
- * When others may remove an entry that fell silent. The lagging list alone
- * is no proof: it drops entries that still run.
+ * Decides when other entries may remove an unresponsive entry. The platform's
+ * list is not sufficient evidence: it may omit entries that still run.
  */
 import {fail, succeed, type Result} from '../types/result.js';
 import type {StoreWrite} from '../types/store-write.js';
@@ -11,30 +11,36 @@
 } from './registration.js';
 import type {MembershipSettings} from './membership-status.js';
 
-/** What is known of an entry that may be gone. */
+/** Evidence that an entry has terminated. */
 export type ForgetEvidence = {
 	readonly entry: string;
-	/** Version of its row, unchanged for `unchangedMs`. */
+	/** Version of the entry's row, unchanged for `unchangedMs`. */
 	readonly version: number;
 	readonly unchangedMs: number;
-	/** How long every read of the list has not shown this life. */
+	/**
+	 * Time for which no read of the platform's list has contained this
+	 * incarnation, in milliseconds.
+	 */
 	readonly unlistedMs: number;
-	/** Registered entries that have not heard it; see `countUnheard`. */
+	/**
+	 * Number of registered entries without contact to it; see
+	 * `countEntriesWithoutContact`.
+	 */
 	readonly unheardBy: number;
-	/** Size of the quorum that its own row names. */
+	/** Size of the quorum that the entry's row names. */
 	readonly quorum: number;
 };
 
-/** A registration and how long its row has stayed the same. */
+/** A registration and the time for which its row has not changed. */
 export type ObservedRegistration = {
 	readonly registration: Registration;
 	readonly unchangedMs: number;
 };
 
 /**
- * Counts the entries that would have heard another but have not: they stand
- * in the quorum that its own row names, their rows are renewed, they have run
- * long enough to know, and do not name it.
+ * Counts the entries that would have received a request from an entry if it
+ * were running, but have not: they are in the quorum that its row names, renew
+ * their own rows, have run long enough, and do not list it in `heard`.
  */
 export const countEntriesWithoutContact = (
 	{acknowledged: {entry}, quorum}: Registration,
@@ -50,10 +56,13 @@
 			!registration.heard.includes(entry),
 	).length;
 
-/** Why an entry is not forgotten yet. */
+/** Why an entry may not be forgotten yet. */
 export type ForgetRefusal = 'renewed' | 'listed' | 'heard';
 
-/** Removes an entry if every sign of life has been missing long enough. */
+/**
+ * Builds the writes that remove an entry if all signs of life have been missing
+ * for long enough.
+ */
 export const forgetEntry = (
 	evidence: ForgetEvidence,
 	settings: MembershipSettings,
--- a/packages/core/src/membership/membership-status.ts
+++ b/packages/core/src/membership/membership-status.ts
@@ -1,35 +1,40 @@
 /**
- * What an entry must stop by itself when it cannot confirm that the others
- * still count it. This is the one place where elapsed time matters to
- * safety; docs/design/agreement.md states the bounds.
+ * Decides what an entry must stop doing when it cannot confirm that it is still
+ * a member. Safety depends on elapsed time only here; docs/design/agreement.md
+ * states the bounds.
  */
 
-/** How an entry takes part. */
+/** How an entry takes part in the fleet. */
 export type EntryMode =
-	/** Its row is in the table service. */
+	/** The entry has a row in the table service. */
 	| 'registered'
-	/** Started in an outage; a registered peer acknowledges for it. */
+	/**
+	 * Started during an outage; a registered peer acknowledges on its behalf.
+	 */
 	| 'sponsored'
-	/** Started in an outage with no peer, from the object store. */
+	/**
+	 * Started during an outage without a peer, from the snapshot in the object
+	 * store.
+	 */
 	| 'snapshot';
 
-/** What can confirm an entry. */
+/** Source of a confirmation that an entry is still a member. */
 export type ConfirmationSource =
-	/** A heartbeat write on the own row has committed. */
+	/** The entry's heartbeat write committed. */
 	| 'table'
-	/** The platform's list shows this life. */
+	/** The platform's list contains this incarnation. */
 	| 'list'
-	/** More than half of the registered entries have answered. */
+	/** More than half of the registered entries responded. */
 	| 'majority'
-	/** The sponsor, itself confirmed, has answered. */
+	/** The sponsor, itself confirmed, responded. */
 	| 'sponsor'
-	/** The start marker was put anew, then the snapshot was read again. */
+	/** The start marker was written again, then the snapshot was read again. */
 	| 'snapshot';
 
-/** Standing of this entry. */
+/** Membership status of an entry. */
 export type MembershipStatus = {
 	readonly mode: EntryMode;
-	/** Milliseconds; when the newest confirmation was asked for. */
+	/** When the newest confirmation was requested, in milliseconds. */
 	readonly confirmedAt: number;
 };
 
@@ -41,7 +46,7 @@
 	snapshot: ['snapshot'],
 };
 
-/** Changes the mode; what confirmed the earlier one no longer counts. */
+/** Changes the mode; confirmations of the previous mode no longer count. */
 export const changeMode = (
 	mode: EntryMode,
 	confirmedAt: number,
@@ -50,21 +55,21 @@
 	confirmedAt,
 });
 
-/** Bounds of the rules that depend on elapsed time, in milliseconds. */
+/** Time bounds of membership, in milliseconds. */
 export type MembershipSettings = {
-	/** An entry without confirmation for this long stops routing. */
+	/** Time without confirmation after which an entry stops routing. */
 	readonly isolationMs: number;
-	/** The platform's list is never older than this. */
+	/** Maximum age of the platform's list. */
 	readonly listLagMs: number;
-	/** Longest stall between the last check and the bytes on the wire. */
+	/** Maximum delay between the last check and the bytes on the wire. */
 	readonly stallMarginMs: number;
-	/** Longest time from a dispatch to the end of the work at the executor. */
+	/** Maximum time from a dispatch to the end of the work on the executor. */
 	readonly longestRequestMs: number;
-	/** Silence after which others may remove an entry. */
+	/** Time without signs of life after which others may remove an entry. */
 	readonly forgetAfterMs: number;
 };
 
-/** Defaults of `MembershipSettings`. */
+/** Default settings. */
 export const membershipDefaults: MembershipSettings = {
 	isolationMs: 6000,
 	listLagMs: 10_000,
@@ -74,9 +79,9 @@
 };
 
 /**
- * True if no entry is forgotten before its last request has ended. The
- * isolation counts twice: a peer may claim silence just before it is asked
- * (spec/forget.pml, `forget_after`).
+ * Whether no entry can be forgotten before its last request has ended. The
+ * isolation time counts twice: a peer may report an entry as unresponsive just
+ * before that entry requests a confirmation (spec/forget.pml, `forget_after`).
  */
 export const isSafeSettings = (settings: MembershipSettings): boolean =>
 	settings.forgetAfterMs >=
@@ -85,44 +90,48 @@
 		settings.stallMarginMs +
 		settings.longestRequestMs;
 
-/** A lapsed entry may have been removed; only these show that it was not. */
+/**
+ * Sources that can confirm an entry after a lapse. It may have been removed
+ * meanwhile, and the other sources do not show that.
+ */
 const sourcesAfterLapse: ReadonlySet<ConfirmationSource> = new Set([
 	'table',
 	'snapshot',
 ]);
 
 /**
- * Takes in a confirmation.
- * @param askedAt - When the call was begun, less the age that the other side
- * reported for its own confirmation; never when the answer came.
+ * Applies a confirmation.
+ * @param askedAt - When the request was sent, less the age that the other side
+ * reported for its own confirmation; never when the response arrived.
  */
 export const confirmMembership = (
-	standing: MembershipStatus,
+	status: MembershipStatus,
 	source: ConfirmationSource,
 	askedAt: number,
 	{isolationMs}: MembershipSettings,
 ): MembershipStatus => {
-	const {mode, confirmedAt} = standing;
+	const {mode, confirmedAt} = status;
 	const hasLapsed = askedAt - confirmedAt >= isolationMs;
 	const counts =
 		sourcesByMode[mode].includes(source) &&
 		(!hasLapsed || sourcesAfterLapse.has(source));
 	return counts && askedAt > confirmedAt
 		? {mode, confirmedAt: askedAt}
-		: standing;
+		: status;
 };
 
-/** True if the entry may dispatch new requests; asked at each dispatch. */
+/** Whether the entry may dispatch new requests; checked at each dispatch. */
 export const mayRoute = (
-	standing: MembershipStatus,
+	status: MembershipStatus,
 	settings: MembershipSettings,
 	now: number,
-): boolean => now - standing.confirmedAt < settings.isolationMs;
+): boolean => now - status.confirmedAt < settings.isolationMs;
 
-/** What only a registered entry may do. */
+/**
+ * Whether the entry may act on the fleet, which only registered entries may.
+ */
 export const mayControl = (
-	standing: MembershipStatus,
+	status: MembershipStatus,
 	settings: MembershipSettings,
 	now: number,
-): boolean =>
-	standing.mode === 'registered' && mayRoute(standing, settings, now);
+): boolean => status.mode === 'registered' && mayRoute(status, settings, now);
--- a/packages/core/src/membership/membership.test.ts
+++ b/packages/core/src/membership/membership.test.ts
@@ -70,45 +70,48 @@
 	),
 };
 
-tap.t.test('acknowledges what is routed and what is held', async (t) => {
-	const inFlight = new Map([
-		['serving', 3],
-		['draining', 1],
-		['away', 0],
-		['deleted', 1],
-	]);
-	const life = {entry: 'e1', incarnation: 'b'};
-	const router = {routedRevision: 8, inFlight};
-	t.same(createAcknowledgement(life, 2, {view, router}), {
-		...life,
-		sequence: 2,
-		inForce: 8,
-		holding: ['draining', 'deleted'],
-	});
-	t.match(
-		createAcknowledgement(life, 2, {
-			view,
-			router: {
-				routedRevision: 9,
-				inFlight: new Map(),
-				mayHaveInheritedRequests: true,
-			},
-		}),
-		{holding: ['draining']},
-	);
-	const sponsored = [createAck({inForce: 3, holding: ['x']})];
-	t.match(createAcknowledgement(life, 2, {view, router, sponsored}), {
-		inForce: 3,
-		holding: ['draining', 'deleted', 'x'],
-	});
-});
+tap.t.test(
+	'acknowledges the routed revision and instances with requests in flight',
+	async (t) => {
+		const inFlight = new Map([
+			['serving', 3],
+			['draining', 1],
+			['away', 0],
+			['deleted', 1],
+		]);
+		const life = {entry: 'e1', incarnation: 'b'};
+		const router = {routedRevision: 8, inFlight};
+		t.same(createAcknowledgement(life, 2, {view, router}), {
+			...life,
+			sequence: 2,
+			inForce: 8,
+			holding: ['draining', 'deleted'],
+		});
+		t.match(
+			createAcknowledgement(life, 2, {
+				view,
+				router: {
+					routedRevision: 9,
+					inFlight: new Map(),
+					mayHaveInheritedRequests: true,
+				},
+			}),
+			{holding: ['draining']},
+		);
+		const sponsored = [createAck({inForce: 3, holding: ['x']})];
+		t.match(createAcknowledgement(life, 2, {view, router, sponsored}), {
+			inForce: 3,
+			holding: ['draining', 'deleted', 'x'],
+		});
+	},
+);
 
 const received: ReadonlyArray<
 	readonly [string, Partial<Acknowledgement>, number]
 > = [
 	['newer', {sequence: 6, inForce: 8}, 8],
 	['reordered', {sequence: 4, inForce: 9}, 7],
-	['earlier life', {sequence: 99, inForce: 9, incarnation: 'a'}, 7],
+	['earlier incarnation', {sequence: 99, inForce: 9, incarnation: 'a'}, 7],
 	['other entry', {sequence: 99, inForce: 9, entry: 'e2'}, 7],
 ];
 
@@ -145,7 +148,7 @@
 	t.same(listPendingAcknowledgements(registrations, newer, {revision: 9}), []);
 });
 
-tap.t.test('silence counts only while it is observed', async (t) => {
+tap.t.test('only observed time counts as unresponsive', async (t) => {
 	const maxGapMs = 3000;
 	let seen = emptyObservations;
 	const read = (version: number, now: number) => {
@@ -157,7 +160,7 @@
 	t.equal(read(4, 2000), 2000);
 	t.equal(read(5, 4000), 0);
 	t.equal(read(5, 6000), 2000);
-	// The store was down: the row may have had no chance to change.
+	// The store was unavailable, so the row could not change.
 	t.equal(read(5, 600_000), 0);
 	t.equal(getUnchangedMs(seen, 'e1', 4), 0);
 });
@@ -179,21 +182,16 @@
 	tap.t.test(`${mode} entry, confirmed by ${source}`, async (t) => {
 		const {isolationMs} = membershipDefaults;
 		const before = changeMode(mode, 0);
-		const standing = confirmMembership(
-			before,
-			source,
-			5000,
-			membershipDefaults,
-		);
+		const status = confirmMembership(before, source, 5000, membershipDefaults);
 		const at = isolationMs + 1000;
-		t.equal(mayRoute(standing, membershipDefaults, at), isConfirmed);
+		t.equal(mayRoute(status, membershipDefaults, at), isConfirmed);
 		t.equal(
-			mayControl(standing, membershipDefaults, at),
+			mayControl(status, membershipDefaults, at),
 			isConfirmed && mode === 'registered',
 		);
 		t.equal(
-			confirmMembership(standing, source, 1000, membershipDefaults),
-			standing,
+			confirmMembership(status, source, 1000, membershipDefaults),
+			status,
 		);
 		const late = confirmMembership(before, source, 10_000, membershipDefaults);
 		t.equal(
@@ -203,7 +201,7 @@
 	});
 }
 
-const gone: ForgetEvidence = {
+const terminated: ForgetEvidence = {
 	entry: 'e1',
 	version: 3,
 	unchangedMs: membershipDefaults.forgetAfterMs,
@@ -212,7 +210,7 @@
 	quorum: 9,
 };
 
-const silences: ReadonlyArray<
+const forgetCases: ReadonlyArray<
 	readonly [Partial<ForgetEvidence>, string | undefined]
 > = [
 	[{}, undefined],
@@ -223,39 +221,51 @@
 	[{unheardBy: 0, quorum: 1}, 'heard'],
 ];
 
-for (const [change, refusal] of silences) {
-	tap.t.test(`forgets an entry: ${refusal ?? 'gone'}`, async (t) => {
-		const evidence = {...gone, ...change};
+for (const [change, refusal] of forgetCases) {
+	tap.t.test(`forgets an entry: ${refusal ?? 'terminated'}`, async (t) => {
+		const evidence = {...terminated, ...change};
 		const result = forgetEntry(evidence, membershipDefaults, 'e2');
 		t.equal(result.ok ? undefined : result.error, refusal);
 	});
 }
 
-tap.t.test('only renewed rows report silence', async (t) => {
-	const createRow = (
-		change: Partial<Registration>,
-		unchangedMs: number,
-		entry = 'e1',
-	) => ({
-		registration: {...createRegistration({entry}), ...change},
-		unchangedMs,
-	});
-	const silent = {...createRegistration({entry: 'x'}), quorum: ['e1', 'x']};
-	const rows = [
-		createRow({}, 0),
-		createRow({heard: ['x']}, 0),
-		createRow({upMs: 35_999}, 0),
-		createRow({}, 4000),
-		createRow({}, 0, 'x'),
-		createRow({}, 0, 'outside'),
-	];
-	t.equal(countEntriesWithoutContact(silent, rows, membershipDefaults), 1);
-});
+tap.t.test(
+	'only entries with renewed rows count as without contact',
+	async (t) => {
+		const createRow = (
+			change: Partial<Registration>,
+			unchangedMs: number,
+			entry = 'e1',
+		) => ({
+			registration: {...createRegistration({entry}), ...change},
+			unchangedMs,
+		});
+		const unresponsive = {
+			...createRegistration({entry: 'x'}),
+			quorum: ['e1', 'x'],
+		};
+		const rows = [
+			createRow({}, 0),
+			createRow({heard: ['x']}, 0),
+			createRow({upMs: 35_999}, 0),
+			createRow({}, 4000),
+			createRow({}, 0, 'x'),
+			createRow({}, 0, 'outside'),
+		];
+		t.equal(
+			countEntriesWithoutContact(unresponsive, rows, membershipDefaults),
+			1,
+		);
+	},
+);
 
-tap.t.test('no entry is forgotten before it stops by itself', async (t) => {
-	t.ok(isSafeSettings(membershipDefaults));
-	t.notOk(isSafeSettings({...membershipDefaults, forgetAfterMs: 35_999}));
-});
+tap.t.test(
+	'settings must not allow an entry to be forgotten before it stops',
+	async (t) => {
+		t.ok(isSafeSettings(membershipDefaults));
+		t.notOk(isSafeSettings({...membershipDefaults, forgetAfterMs: 35_999}));
+	},
+);
 
 const rings: ReadonlyArray<readonly [string, readonly string[], string]> = [
 	['b', ['d', 'a', 'c', 'b', 'e'], 'c d e'],
@@ -266,8 +276,8 @@
 	['x', ['a', 'b'], 'a b'],
 ];
 
-for (const [self, entries, wanted] of rings) {
-	tap.t.test(`${self} watches ${wanted || 'nobody'}`, async (t) => {
-		t.equal(listMonitoredPeers(self, entries).join(' '), wanted);
+for (const [self, entries, expected] of rings) {
+	tap.t.test(`${self} monitors ${expected || 'no peer'}`, async (t) => {
+		t.equal(listMonitoredPeers(self, entries).join(' '), expected);
 	});
 }
--- a/packages/core/src/membership/monitored-peers.ts
+++ b/packages/core/src/membership/monitored-peers.ts
@@ -1,13 +1,13 @@
 /**
- * Which entries one entry watches: the next few in the order of their names.
- * Each is watched by as many others, at a cost that does not grow with the
- * fleet, and one range read brings all of them.
+ * Selects the peers whose heartbeats an entry monitors: the next few entries in
+ * the order of names. Each entry is monitored by as many peers at a cost that
+ * does not grow with the fleet, and one range read returns all of them.
  */
 
-/** Entries that each entry watches. */
+/** Number of peers that each entry monitors. */
 export const monitoredPeerCount = 3;
 
-/** The next entries after one in a ring of names, without itself. */
+/** Lists the entries that follow one in a ring of names, without itself. */
 export const listMonitoredPeers = (
 	self: string,
 	entries: readonly string[],
--- a/packages/core/src/membership/observation.ts
+++ b/packages/core/src/membership/observation.ts
@@ -1,32 +1,33 @@
 /**
- * Watches row versions for signs of life. One heartbeat row of a daemon
- * stands for all its shards, as one core group carries many light-weight
- * groups. No clocks are compared: a reader measures with its own clock how
- * long a version has stayed the same.
+ * Detects unresponsive daemons from row versions. One heartbeat row of a daemon
+ * covers all its shards, as one core group carries many lightweight groups. No
+ * clocks are compared: a reader measures with its local clock how long a
+ * version has not changed.
  */
 
-/** When a version was first seen. */
+/** A version and when it was first read. */
 export type ObservedVersion = {
 	readonly version: number;
-	/** End of the read that showed it first, in milliseconds. */
+	/** End of the read that returned it first, in milliseconds. */
 	readonly since: number;
 };
 
-/** What one reader has seen, by key of the row. */
+/** Observations of one reader, by key of the row. */
 export type Observations = {
 	readonly lastReadAt: number;
 	readonly rows: ReadonlyMap<string, ObservedVersion>;
 };
 
-/** Nothing seen yet. */
+/** Observations before the first read. */
 export const emptyObservations: Observations = {
 	lastReadAt: Number.NEGATIVE_INFINITY,
 	rows: new Map(),
 };
 
 /**
- * Takes in a read of all rows. After a gap without reads (an outage, a pause
- * of the reader) every row starts afresh: silence was not observed then.
+ * Applies a read of all rows. After a gap between reads (an outage, a pause of
+ * the reader), every row starts from zero, since nothing was observed during
+ * the gap.
  */
 export const observeVersions = (
 	known: Observations,
@@ -37,15 +38,18 @@
 	const isGap = now - known.lastReadAt > maxGapMs;
 	const rows = new Map<string, ObservedVersion>();
 	for (const [key, version] of versions) {
-		const before = known.rows.get(key);
-		const isSame = !isGap && before?.version === version;
-		rows.set(key, isSame ? before : {version, since: now});
+		const previous = known.rows.get(key);
+		const isSame = !isGap && previous?.version === version;
+		rows.set(key, isSame ? previous : {version, since: now});
 	}
 
 	return {lastReadAt: now, rows};
 };
 
-/** How long a version has stayed the same; 0 if it is not the one seen. */
+/**
+ * Time for which a version has not changed, in milliseconds; 0 if the row has
+ * another version.
+ */
 export const getUnchangedMs = (
 	{rows, lastReadAt}: Observations,
 	key: string,
--- a/packages/core/src/membership/pending-acknowledgements.ts
+++ b/packages/core/src/membership/pending-acknowledgements.ts
@@ -1,6 +1,6 @@
 /**
- * Which registered entries a change still waits for.
- * Source: docs/design/agreement.md; operators see it as `lags`.
+ * Lists the registered entries that a change still waits for.
+ * Source: docs/design/agreement.md. Operators see it as `lags`.
  */
 import {
 	chooseNewerAcknowledgement,
@@ -8,41 +8,44 @@
 } from './acknowledgement.js';
 import type {Registration} from './registration.js';
 
-/** What every entry must have done. */
+/** What every registered entry must acknowledge. */
 export type Requirement = {
-	/** Revision that must be in force. */
+	/** Minimum revision in force. */
 	readonly revision: number;
-	/** Instance that must have no request in flight, if any. */
+	/** Instance that must have no requests in flight. */
 	readonly instance?: string;
 };
 
-/** An entry that a change waits for, and why. */
+/** An entry that a change waits for, and the reason. */
 export type PendingAcknowledgement = {
 	readonly entry: string;
 	readonly incarnation: string;
 	readonly reason:
-		/** Routes by an older revision. */
+		/** The entry routes by an older revision. */
 		| 'not-in-force'
-		/** Has requests in flight on the instance. */
+		/** The entry has requests in flight on the instance. */
 		| 'holding';
 	readonly inForce: number;
 };
 
-/** Acknowledgements heard from peers, the newest of each entry. */
+/** Acknowledgements received from peers, the newest of each entry. */
 export type ReceivedAcknowledgements = ReadonlyMap<string, Acknowledgement>;
 
-/** The newest acknowledgement of a registered life, from row or peer. */
+/**
+ * Returns the newest acknowledgement of a registered incarnation, from its row
+ * or from a peer.
+ */
 export const getNewestAcknowledgement = (
 	{acknowledged}: Registration,
-	heard: ReceivedAcknowledgements,
+	receivedByEntry: ReceivedAcknowledgements,
 ): Acknowledgement => {
-	const received = heard.get(acknowledged.entry);
+	const received = receivedByEntry.get(acknowledged.entry);
 	return received
 		? chooseNewerAcknowledgement(acknowledged, received)
 		: acknowledged;
 };
 
-const getLag = (
+const getPendingAcknowledgement = (
 	{entry, incarnation, inForce, holding}: Acknowledgement,
 	{revision, instance}: Requirement,
 ): PendingAcknowledgement | undefined => {
@@ -55,22 +58,25 @@
 		: undefined;
 };
 
-/** Lists the registered entries that have not met a requirement. */
+/**
+ * Lists the registered entries that have not met a requirement, with the
+ * reason.
+ */
 export const listPendingAcknowledgements = (
 	registrations: Iterable<Registration>,
-	heard: ReceivedAcknowledgements,
+	receivedByEntry: ReceivedAcknowledgements,
 	requirement: Requirement,
 ): readonly PendingAcknowledgement[] => {
-	const lagging: PendingAcknowledgement[] = [];
+	const pendingEntries: PendingAcknowledgement[] = [];
 	for (const registration of registrations) {
-		const lag = getLag(
-			getNewestAcknowledgement(registration, heard),
+		const pending = getPendingAcknowledgement(
+			getNewestAcknowledgement(registration, receivedByEntry),
 			requirement,
 		);
-		if (lag) {
-			lagging.push(lag);
+		if (pending) {
+			pendingEntries.push(pending);
 		}
 	}
 
-	return lagging;
+	return pendingEntries;
 };
--- a/packages/core/src/membership/periods.test.ts
+++ b/packages/core/src/membership/periods.test.ts
@@ -5,7 +5,7 @@
 const sizes = [1, 9, 50, 100, 243, 1000];
 
 for (const entries of sizes) {
-	tap.t.test(`periods of ${entries} entries`, async (t) => {
+	tap.t.test(`periods for ${entries} entries`, async (t) => {
 		const {viewPollMs, heartbeatMs, watchMs, leaseMs, membership} =
 			getPeriods(entries);
 		t.ok(isSafeSettings(membership));
--- a/packages/core/src/membership/periods.ts
+++ b/packages/core/src/membership/periods.ts
@@ -1,6 +1,6 @@
 /**
- * Periods of the agreement protocol by the size of the fleet, so that what
- * all daemons together ask of the table service stays within its rate.
+ * Periods of the agreement protocol by the size of the fleet, so that the calls
+ * of all daemons together stay within the rate limit of the table service.
  */
 import {
 	membershipDefaults,
@@ -9,38 +9,44 @@
 
 /** Periods in milliseconds. */
 export type AgreementPeriods = {
-	/** Polls of the revision; peers' offers come sooner. */
+	/**
+	 * Period between polls of the revision; peers usually announce a new one
+	 * earlier.
+	 */
 	readonly viewPollMs: number;
 	readonly heartbeatMs: number;
-	/** Looks at the watched neighbours' heartbeats. */
+	/** Period between polls of the monitored peers' heartbeats. */
 	readonly watchMs: number;
-	/** Silence after which shards are taken over. */
+	/** Time after which the shards of an unresponsive daemon are taken over. */
 	readonly leaseMs: number;
 	readonly membership: MembershipSettings;
 };
 
-/** Each daemon gets one call of a kind in this time, for each daemon. */
-const shareMs = 20;
+/**
+ * Time budget per daemon for one call of each kind: with n daemons, each calls
+ * once in n times this time, in milliseconds.
+ */
+const msPerDaemon = 20;
 
-const shortestViewPollMs = 500;
+const minViewPollMs = 500;
 
-const shortestHeartbeatMs = 2000;
+const minHeartbeatMs = 2000;
 
-const shortestWatchMs = 1000;
+const minWatchMs = 1000;
 
-/** Heartbeats that may be missed before a daemon counts as silent. */
+/** Missed heartbeats after which a daemon counts as unresponsive. */
 const missedHeartbeats = 3;
 
-/** Chooses the periods for a number of registered entries. */
+/** Computes the periods for a number of registered entries. */
 export const getPeriods = (entries: number): AgreementPeriods => {
-	const fairMs = entries * shareMs;
-	const heartbeatMs = Math.max(shortestHeartbeatMs, fairMs);
+	const minPeriodMs = entries * msPerDaemon;
+	const heartbeatMs = Math.max(minHeartbeatMs, minPeriodMs);
 	const {listLagMs, stallMarginMs, longestRequestMs} = membershipDefaults;
 	const isolationMs = missedHeartbeats * heartbeatMs;
 	return {
-		viewPollMs: Math.max(shortestViewPollMs, fairMs),
+		viewPollMs: Math.max(minViewPollMs, minPeriodMs),
 		heartbeatMs,
-		watchMs: Math.max(shortestWatchMs, fairMs),
+		watchMs: Math.max(minWatchMs, minPeriodMs),
 		leaseMs: missedHeartbeats * heartbeatMs,
 		membership: {
 			isolationMs,
--- a/packages/core/src/membership/registration.ts
+++ b/packages/core/src/membership/registration.ts
@@ -1,6 +1,7 @@
 /**
- * Registration of entries in the table service. Registered entries, not the
- * lagging list, are those whose acknowledgement a drain waits for.
+ * Registration of entries in the table service. A drain waits for the
+ * acknowledgements of all registered entries, not only of those on the
+ * platform's list, which may be out of date.
  * Source: docs/design/agreement.md, "Who must acknowledge".
  */
 import {
@@ -10,30 +11,38 @@
 } from '../types/store-write.js';
 import type {Acknowledgement, EntryIncarnation} from './acknowledgement.js';
 
-/** The row of one entry; its owner writes it with every heartbeat. */
+/** The row of one entry, which the entry writes with every heartbeat. */
 export type Registration = {
 	readonly address: string;
 	readonly availabilityZone: string;
 	readonly acknowledged: Acknowledgement;
-	/** Entries of which more than half confirm this one, itself included. */
+	/**
+	 * Entries of which more than half must confirm this one, itself included.
+	 */
 	readonly quorum: readonly string[];
-	/** How long this life has run, in milliseconds. */
+	/** Uptime of this incarnation, in milliseconds. */
 	readonly upMs: number;
-	/** Entries that asked this one to confirm them within `forgetAfterMs`. */
+	/**
+	 * Entries that requested a confirmation from this one within
+	 * `forgetAfterMs`.
+	 */
 	readonly heard: readonly string[];
 };
 
-/** The row that stands for the set of registered entries. */
+/** The row that represents the set of registered entries. */
 export type Membership = {readonly changedBy: string};
 
-/** What an entry has read when it registers. */
+/** The view that an entry has read when it registers. */
 export type CurrentView = {
 	readonly revision: number;
-	/** Version of the counter row at that revision; undefined without a row. */
+	/**
+	 * Version of the counter row at that revision; `undefined` if there is no
+	 * row.
+	 */
 	readonly counterVersion: number | undefined;
 };
 
-/** The life that a registration speaks for. */
+/** Returns the incarnation that a registration belongs to. */
 export const getEntryIncarnation = ({
 	acknowledged,
 }: Registration): EntryIncarnation => ({
@@ -41,20 +50,20 @@
 	incarnation: acknowledged.incarnation,
 });
 
-const putMembership = (changedBy: string): StoreWrite<Membership> => ({
+const createMembershipWrite = (changedBy: string): StoreWrite<Membership> => ({
 	kind: 'put',
 	table: agreementTables.membership,
 	key: singleRowKey,
 	value: {changedBy},
-	// Any version: joining entries do not make one another fail.
+	// Any version, so that joining entries do not conflict with each other.
 	when: {kind: 'any'},
 });
 
 /**
- * Registers a life. It commits only while the entry's view is the newest, so
- * that a registered entry never starts with a view older than a drain that
- * did not wait for it. The row of an earlier life is replaced, which makes
- * that life's next heartbeat fail.
+ * Builds the writes that register an incarnation. They commit only while the
+ * entry's view is the newest, so that no entry registers with a view older than
+ * a drain that did not wait for it. They replace the row of a previous
+ * incarnation, whose next heartbeat then fails.
  */
 export const registerEntry = (
 	registration: Registration,
@@ -76,13 +85,14 @@
 		value: registration,
 		when: {kind: 'any'},
 	},
-	putMembership(registration.acknowledged.entry),
+	createMembershipWrite(registration.acknowledged.entry),
 ];
 
 /**
- * Heartbeat and acknowledgement in one write, conditional on the version of
- * the row that this life wrote last. A conflict means that a later life has
- * registered or that the entry was removed: it must stop routing.
+ * Builds the write of a heartbeat with its acknowledgement, conditional on the
+ * version that this incarnation wrote last. A conflict means that a later
+ * incarnation has registered or that the entry was removed: the entry must stop
+ * routing.
  */
 export const renewRegistration = (
 	registration: Registration,
@@ -98,8 +108,9 @@
 ];
 
 /**
- * Removes a registration at the version that was judged: by the entry itself
- * at the end of a graceful stop, or by another that may forget it.
+ * Builds the writes that remove a registration at the version on which the
+ * decision was made: by the entry itself at the end of a graceful stop, or by
+ * another entry that may forget it.
  */
 export const removeEntry = (
 	entry: string,
@@ -112,5 +123,5 @@
 		key: entry,
 		when: {kind: 'version', version},
 	},
-	putMembership(removedBy),
+	createMembershipWrite(removedBy),
 ];
--- a/packages/core/src/shards/candidates.test.ts
+++ b/packages/core/src/shards/candidates.test.ts
@@ -1,4 +1,7 @@
-/** A few entries are candidates, however many there are and whichever go. */
+/**
+ * Guards against a fleet without candidates, or with a number of candidates
+ * that grows with the fleet.
+ */
 import * as fc from 'fast-check';
 import * as tap from 'tap';
 import type {EntryCapacity, LiveEntry} from './shard-assignment.js';
@@ -21,7 +24,7 @@
 	readonly entries: readonly LiveEntry[];
 	readonly states: Map<string, CandidateState>;
 	holders: ReadonlySet<string>;
-	gone: ReadonlySet<string>;
+	terminated: ReadonlySet<string>;
 	at: number;
 };
 
@@ -38,30 +41,33 @@
 		entries,
 		states: new Map(entries.map(({entry}) => [entry, observerState])),
 		holders: new Set(entries.slice(0, holderCount).map(({entry}) => entry)),
-		gone: new Set(),
+		terminated: new Set(),
 		at: 0,
 	};
 };
 
-const isBeating = ({states, holders, gone}: Fleet, entry: string): boolean =>
-	!gone.has(entry) &&
+const sendsHeartbeat = (
+	{states, holders, terminated}: Fleet,
+	entry: string,
+): boolean =>
+	!terminated.has(entry) &&
 	(holders.has(entry) || states.get(entry)?.isCandidate === true);
 
-/** All look at the heartbeats of the step before. */
+/** Every entry decides by the heartbeats of the previous step. */
 const step = (fleet: Fleet): void => {
-	const {entries, states, holders, gone} = fleet;
-	const live = entries.filter(({entry}) => isBeating(fleet, entry));
+	const {entries, states, holders, terminated} = fleet;
+	const live = entries.filter(({entry}) => sendsHeartbeat(fleet, entry));
 	const next = entries
-		.filter(({entry}) => !gone.has(entry))
+		.filter(({entry}) => !terminated.has(entry))
 		.map((self) => {
-			const view = {
+			const input = {
 				self,
 				live: live.filter(({entry}) => entry !== self.entry),
 				listKnown: () => entries.filter(({entry}) => entry !== self.entry),
 				holders,
 			};
 			const state = states.get(self.entry) ?? observerState;
-			return [self.entry, stepCandidate(state, view, fleet.at)] as const;
+			return [self.entry, stepCandidate(state, input, fleet.at)] as const;
 		});
 	for (const [entry, state] of next) {
 		states.set(entry, state);
@@ -80,46 +86,57 @@
 const listCandidates = (fleet: Fleet): readonly string[] =>
 	fleet.entries
 		.map(({entry}) => entry)
-		.filter((entry) => !fleet.holders.has(entry) && isBeating(fleet, entry));
+		.filter(
+			(entry) => !fleet.holders.has(entry) && sendsHeartbeat(fleet, entry),
+		);
 
 const sizes = [
-	{name: 'today', count: 9, largeCount: 9, holderCount: 5},
+	{name: 'small fleet', count: 9, largeCount: 9, holderCount: 5},
 	{name: 'unequal entries', count: 97, largeCount: 15, holderCount: 6},
-	{name: 'few capable ones', count: 97, largeCount: 2, holderCount: 2},
-	{name: 'hundreds', count: 378, largeCount: 378, holderCount: 6},
+	{name: 'few capable entries', count: 97, largeCount: 2, holderCount: 2},
+	{name: 'large fleet', count: 378, largeCount: 378, holderCount: 6},
 ] as const;
 
 for (const {name, count, largeCount, holderCount} of sizes) {
-	tap.t.test(`as many candidates in a fleet of any size: ${name}`, (t) => {
-		const fleet = createFleet(count, largeCount, holderCount);
-		settle(fleet);
-		const first = listCandidates(fleet);
-		t.equal(first.length, candidateCount);
-		const largeLeft = Math.min(candidateCount, largeCount - holderCount);
-		t.equal(
-			first.filter((entry) => Number(entry.slice(1)) < largeCount).length,
-			largeLeft,
-			'the most capable ones',
-		);
-		settle(fleet);
-		t.same(listCandidates(fleet), first, 'and the same ones');
-		t.end();
-	});
+	tap.t.test(
+		`the number of candidates does not depend on the fleet: ${name}`,
+		(t) => {
+			const fleet = createFleet(count, largeCount, holderCount);
+			settle(fleet);
+			const first = listCandidates(fleet);
+			t.equal(first.length, candidateCount);
+			const expectedLarge = Math.min(candidateCount, largeCount - holderCount);
+			t.equal(
+				first.filter((entry) => Number(entry.slice(1)) < largeCount).length,
+				expectedLarge,
+				'the most capable entries',
+			);
+			settle(fleet);
+			t.same(listCandidates(fleet), first, 'the same entries stay candidates');
+			t.end();
+		},
+	);
 }
 
-const losses = [
-	{name: 'all holders and candidates', isGone: (isBeater: boolean) => isBeater},
-	{name: 'all observers', isGone: (isBeater: boolean) => !isBeater},
+const failures = [
+	{
+		name: 'all holders and candidates',
+		isTerminated: (hasHeartbeat: boolean) => hasHeartbeat,
+	},
+	{
+		name: 'all observers',
+		isTerminated: (hasHeartbeat: boolean) => !hasHeartbeat,
+	},
 ] as const;
 
-for (const {name, isGone} of losses) {
-	tap.t.test(`there are candidates after the loss of ${name}`, (t) => {
+for (const {name, isTerminated} of failures) {
+	tap.t.test(`there are candidates after the failure of ${name}`, (t) => {
 		const fleet = createFleet(97, 15, 6);
 		settle(fleet);
-		fleet.gone = new Set(
+		fleet.terminated = new Set(
 			fleet.entries
 				.map(({entry}) => entry)
-				.filter((entry) => isGone(isBeating(fleet, entry))),
+				.filter((entry) => isTerminated(sendsHeartbeat(fleet, entry))),
 		);
 		settle(fleet);
 		t.equal(listCandidates(fleet).length, candidateCount);
@@ -127,41 +144,50 @@
 	});
 }
 
-tap.t.test('whoever is gone, some of the others are candidates', (t) => {
-	const fleets = fc.record({
-		count: fc.integer({min: 1, max: 60}),
-		largeCount: fc.integer({min: 0, max: 60}),
-		holderCount: fc.integer({min: 0, max: 8}),
-		gone: fc.array(fc.nat(59)),
-	});
-	fc.assert(
-		fc.property(fleets, ({count, largeCount, holderCount, gone}) => {
-			const fleet = createFleet(count, largeCount, holderCount);
-			settle(fleet);
-			fleet.gone = new Set(gone.map((index) => `e${index}`));
-			settle(fleet);
-			const left = fleet.entries.filter(
-				({entry}) => !fleet.gone.has(entry) && !fleet.holders.has(entry),
-			).length;
-			return listCandidates(fleet).length === Math.min(candidateCount, left);
-		}),
-		{numRuns: 60, seed: 7},
-	);
-	t.end();
-});
+tap.t.test(
+	'remaining entries become candidates whichever entries terminate',
+	(t) => {
+		const fleets = fc.record({
+			count: fc.integer({min: 1, max: 60}),
+			largeCount: fc.integer({min: 0, max: 60}),
+			holderCount: fc.integer({min: 0, max: 8}),
+			gone: fc.array(fc.nat(59)),
+		});
+		fc.assert(
+			fc.property(fleets, ({count, largeCount, holderCount, gone}) => {
+				const fleet = createFleet(count, largeCount, holderCount);
+				settle(fleet);
+				fleet.terminated = new Set(gone.map((index) => `e${index}`));
+				settle(fleet);
+				const remaining = fleet.entries.filter(
+					({entry}) =>
+						!fleet.terminated.has(entry) && !fleet.holders.has(entry),
+				).length;
+				return (
+					listCandidates(fleet).length === Math.min(candidateCount, remaining)
+				);
+			}),
+			{numRuns: 60, seed: 7},
+		);
+		t.end();
+	},
+);
 
-tap.t.test('those first in rank join first', (t) => {
+tap.t.test('the entry of the highest rank becomes a candidate first', (t) => {
 	const {entries} = createFleet(97, 97, 0);
 	const rank = entries.map((self) => {
-		const view = {
+		const input = {
 			self,
 			live: [],
 			listKnown: () => entries.filter(({entry}) => entry !== self.entry),
 			holders: new Set<string>(),
 		};
-		t.ok(isCandidateNeeded(view), 'without any, each is needed');
-		return stepCandidate(observerState, view, 0).isCandidate;
+		t.ok(
+			isCandidateNeeded(input),
+			'every entry is needed while there are no candidates',
+		);
+		return stepCandidate(observerState, input, 0).isCandidate;
 	});
-	t.equal(rank.filter(Boolean).length, 1, 'one joins at once');
+	t.equal(rank.filter(Boolean).length, 1, 'one becomes a candidate at once');
 	t.end();
 });
--- a/packages/core/src/shards/candidates.ts
+++ b/packages/core/src/shards/candidates.ts
@@ -1,31 +1,40 @@
 /**
- * Which entries keep a heartbeat: holders of shards, and a few candidates that
- * take over from them. All others are observers, so that the cost of heartbeats
- * does not grow with the number of entries. Entries that read the same
- * heartbeats agree; when they do not, there are more or fewer candidates for a
- * while. Who holds a shard is up to its lease alone.
+ * Decides which entries write heartbeats: holders of shards and a few
+ * candidates that take over from them. All others are observers, so that the
+ * cost of heartbeats does not grow with the number of entries. Entries that
+ * read the same heartbeats agree; otherwise there are temporarily more or fewer
+ * candidates. The lease alone decides who holds a shard.
  */
 import {rankMembers} from '../limits/rendezvous.js';
 import {listMostCapable, type LiveEntry} from './shard-assignment.js';
 
-/** Candidates wanted, beside the holders. */
+/** Number of candidates, holders not included. */
 export const candidateCount = 4;
 
-/** Head start of an entry over the next one in rank that joins, milliseconds. */
+/**
+ * Additional delay per rank before an entry becomes a candidate, in
+ * milliseconds.
+ */
 export const joinDelayPerRankMs = 50;
 
-/** Longest wait of an entry before it joins, milliseconds. */
+/** Maximum delay before an entry becomes a candidate, in milliseconds. */
 export const maxJoinDelayMs = 2000;
 
-/** A candidate that is not needed any more stays one for so long, milliseconds. */
+/**
+ * Time for which a candidate that is no longer needed remains one, in
+ * milliseconds.
+ */
 export const leaveDelayMs = 3000;
 
-/** What an entry knows when it asks whether to be a candidate. */
+/** Input of the decision whether an entry is a candidate. */
 export type CandidateInput = {
 	readonly self: LiveEntry;
-	/** Others whose heartbeat is young. */
+	/** Other entries with a recent heartbeat. */
 	readonly live: readonly LiveEntry[];
-	/** All others whose heartbeat was ever read: as many as the fleet has. */
+	/**
+	 * Lists all other entries whose heartbeat was ever read; grows with the
+	 * fleet.
+	 */
 	readonly listKnown: () => readonly LiveEntry[];
 	/** Entries that hold shards. */
 	readonly holders: ReadonlySet<string>;
@@ -34,17 +43,23 @@
 /** Whether an entry is a candidate. */
 export type CandidateState = {
 	readonly isCandidate: boolean;
-	/** Since when the opposite is wanted; absent while it is as wanted. */
+	/**
+	 * When the opposite state was first needed; `undefined` while the state is
+	 * right.
+	 */
 	readonly changeWantedSince: number | undefined;
 };
 
-/** Of an entry that is no candidate. */
+/** State of an entry that is not a candidate. */
 export const observerState: CandidateState = {
 	isCandidate: false,
 	changeWantedSince: undefined,
 };
 
-/** The most capable first, each class in an order that all entries agree on. */
+/**
+ * Ranks the most capable entries first, then the others, in an order that all
+ * entries agree on.
+ */
 const rankEntries = (entries: readonly LiveEntry[]): readonly string[] => {
 	const capable = new Set(listMostCapable(entries));
 	const ranked = rankMembers(
@@ -57,7 +72,7 @@
 	];
 };
 
-/** How many of the others that hold nothing go before this entry. */
+/** Counts the entries without shards that rank before this one. */
 const countAhead = (
 	{self, holders}: CandidateInput,
 	others: readonly LiveEntry[],
@@ -68,30 +83,33 @@
 		.filter((entry) => !holders.has(entry)).length;
 };
 
-/** Whether fewer live entries go before this one than there should be candidates. */
-export const isCandidateNeeded = (view: CandidateInput): boolean =>
-	countAhead(view, view.live) < candidateCount;
+/**
+ * Whether fewer live entries rank before this one than there should be
+ * candidates.
+ */
+export const isCandidateNeeded = (input: CandidateInput): boolean =>
+	countAhead(input, input.live) < candidateCount;
 
-/** Those that go before this one and are no candidates yet may join first. */
-const getJoinDelayMs = (view: CandidateInput): number => {
-	const absent =
-		countAhead(view, view.listKnown()) - countAhead(view, view.live);
-	return Math.min(maxJoinDelayMs, Math.max(0, absent) * joinDelayPerRankMs);
+/** Delays an entry so that entries of higher rank become candidates first. */
+const getJoinDelayMs = (input: CandidateInput): number => {
+	const missing =
+		countAhead(input, input.listKnown()) - countAhead(input, input.live);
+	return Math.min(maxJoinDelayMs, Math.max(0, missing) * joinDelayPerRankMs);
 };
 
-/** Whether an entry is a candidate from now on. */
+/** Decides whether an entry is a candidate from now on. */
 export const stepCandidate = (
 	state: CandidateState,
-	view: CandidateInput,
+	input: CandidateInput,
 	now: number,
 ): CandidateState => {
-	const isWanted = isCandidateNeeded(view);
+	const isWanted = isCandidateNeeded(input);
 	if (isWanted === state.isCandidate) {
 		return {...state, changeWantedSince: undefined};
 	}
 
 	const differsSince = state.changeWantedSince ?? now;
-	const delayMs = isWanted ? getJoinDelayMs(view) : leaveDelayMs;
+	const delayMs = isWanted ? getJoinDelayMs(input) : leaveDelayMs;
 	return now - differsSince >= delayMs
 		? {isCandidate: isWanted, changeWantedSince: undefined}
 		: {...state, changeWantedSince: differsSince};
--- a/packages/core/src/shards/shard-assignment.ts
+++ b/packages/core/src/shards/shard-assignment.ts
@@ -1,54 +1,54 @@
 /**
- * Which entry should hold which shard: rendezvous hashing with a cap, so that
- * no entry holds more than its share rounded up. Where entries differ in what
- * they can carry, only the most capable ones that live get shards. Entries
- * that see the same members agree; when they do not, the lease decides.
+ * Assigns shards to entries by rendezvous hashing with a limit of shards per
+ * entry. If entries differ in capacity, only the most capable live ones get
+ * shards. Entries with the same membership compute the same assignment;
+ * otherwise the lease decides.
  */
 import {rankMembers} from '../limits/rendezvous.js';
 
-/** What the machine of an entry has for the shards that it holds. */
+/** Capacity of an entry's machine for its shards. */
 export type EntryCapacity = {
-	/** Cores that the process may use, a fraction for a share of one. */
+	/** Cores that the process may use; may be a fraction. */
 	readonly cores: number;
-	/** The machine's link, megabits a second. */
+	/** Bandwidth of the machine's link, in megabits per second. */
 	readonly linkMbps: number;
 };
 
-/** A live entry; one of an older release doesn't tell its capacity. */
+/** A live entry; older releases do not report their capacity. */
 export type LiveEntry = {
 	readonly entry: string;
 	readonly capacity: EntryCapacity | undefined;
 };
 
-/** Entries within this factor of the largest are of the most capable class. */
-export const mostCapableFactor = 2;
-
 /**
- * Link that one core of an owner fills, megabits a second: with 0.32 cores and
- * 7 Mbit/s both are full at some 900 starts a second.
+ * An entry is among the most capable if its capacity, times this factor,
+ * reaches the largest.
  */
+export const mostCapableFactor = 2;
+
+/** Bandwidth that an owner uses per core, in megabits per second. */
 export const linkMbpsPerCore = 22;
 
-/** Cores, or fewer if the link fills before they do. */
-const getUsableCores = ({capacity}: LiveEntry): number =>
+/** Usable cores, limited by the bandwidth of the link. */
+const getEffectiveCores = ({capacity}: LiveEntry): number =>
 	capacity ? Math.min(capacity.cores, capacity.linkMbps / linkMbpsPerCore) : 0;
 
-/** Names of the most capable class. */
+/** Lists the names of the most capable entries. */
 export const listMostCapable = (
 	live: readonly LiveEntry[],
 ): readonly string[] => {
-	const largest = Math.max(0, ...live.map((each) => getUsableCores(each)));
+	const largest = Math.max(0, ...live.map((each) => getEffectiveCores(each)));
 	return live
-		.filter((each) => getUsableCores(each) * mostCapableFactor >= largest)
+		.filter((each) => getEffectiveCores(each) * mostCapableFactor >= largest)
 		.map(({entry}) => entry);
 };
 
-/** Shards that an entry has already, by shard. */
+/** Current holder of each shard. */
 export type ShardHolders = ReadonlyMap<string, string>;
 
 /**
- * Assigns every shard to an entry; none without entries. A shard whose holder
- * is among the entries stays there.
+ * Assigns every shard to an entry, or none if there are no entries. A shard
+ * whose holder is among the entries stays with it.
  */
 export const assignShards = (
 	shards: readonly string[],
@@ -56,23 +56,24 @@
 	holders: ShardHolders = new Map(),
 ): ReadonlyMap<string, string> => {
 	const assigned = new Map<string, string>();
-	const loads = new Map(entries.map((entry) => [entry, 0]));
-	const cap = Math.ceil(shards.length / Math.max(1, entries.length));
+	const shardCounts = new Map(entries.map((entry) => [entry, 0]));
+	const limit = Math.ceil(shards.length / Math.max(1, entries.length));
 	for (const shard of shards) {
 		const holder = holders.get(shard);
-		const load = holder === undefined ? undefined : loads.get(holder);
-		if (holder !== undefined && load !== undefined) {
-			loads.set(holder, load + 1);
+		const shardCount =
+			holder === undefined ? undefined : shardCounts.get(holder);
+		if (holder !== undefined && shardCount !== undefined) {
+			shardCounts.set(holder, shardCount + 1);
 			assigned.set(shard, holder);
 		}
 	}
 
-	const open = shards.filter((shard) => !assigned.has(shard));
-	for (const shard of open.toSorted()) {
+	const unassigned = shards.filter((shard) => !assigned.has(shard));
+	for (const shard of unassigned.toSorted()) {
 		const ranked = rankMembers(shard, entries);
-		const entry = ranked.find((each) => (loads.get(each) ?? 0) < cap);
+		const entry = ranked.find((each) => (shardCounts.get(each) ?? 0) < limit);
 		if (entry !== undefined) {
-			loads.set(entry, (loads.get(entry) ?? 0) + 1);
+			shardCounts.set(entry, (shardCounts.get(entry) ?? 0) + 1);
 			assigned.set(shard, entry);
 		}
 	}
@@ -80,18 +81,18 @@
 	return assigned;
 };
 
-/** Shards over the entries that should hold them. */
+/** The assignment of shards and the entries eligible for it. */
 export type ShardPlan = {
-	/** Entries of the most capable class. */
+	/** Names of the most capable entries. */
 	readonly capable: readonly string[];
 	readonly assigned: ReadonlyMap<string, string>;
 };
 
 /**
- * Assigns shards over the most capable entries. Among equals holders don't
- * count: what is held stays there anyway, since nobody gives it back. Where
- * entries differ, shards move to the capable ones one by one, and each has to
- * find one with room.
+ * Assigns shards to the most capable entries. If all live entries are equally
+ * capable, current holders are ignored, since held shards are not returned
+ * anyway. Otherwise, shards move to capable entries one by one, each to an
+ * entry below its limit.
  */
 export const planShards = (
 	shards: readonly string[],
@@ -99,28 +100,40 @@
 	holders: ShardHolders,
 ): ShardPlan => {
 	const capable = listMostCapable(live);
-	const areEqual = capable.length === live.length;
+	const areEquallyCapable = capable.length === live.length;
 	return {
 		capable,
-		assigned: assignShards(shards, capable, areEqual ? new Map() : holders),
+		assigned: assignShards(
+			shards,
+			capable,
+			areEquallyCapable ? new Map() : holders,
+		),
 	};
 };
 
-/** What an entry knows when it asks whether to give a shard back. */
+/** Input of the decision to return a shard. */
 export type ShardReturnInput = {
 	readonly self: string;
 	readonly plan: ShardPlan;
-	/** Shards that the entry holds, and for how long, milliseconds. */
+	/**
+	 * Time for which the entry has held each of its shards, in milliseconds.
+	 */
 	readonly heldForMs: ReadonlyMap<string, number>;
-	/** How long an entry has been seen live without a break, milliseconds. */
+	/**
+	 * Time for which an entry has been live without interruption, in
+	 * milliseconds.
+	 */
 	readonly getLiveForMs: (entry: string) => number;
-	/** What both have to have lasted, so that restarts don't move shards. */
+	/**
+	 * Minimum of both times, in milliseconds, so that restarts do not move
+	 * shards.
+	 */
 	readonly settleMs: number;
 };
 
 /**
- * A shard that a less capable entry should give back, since a capable one has
- * been live for a while and has room for it; undefined if there is none.
+ * Chooses a shard that a less capable entry should return to a capable one that
+ * has been live long enough and is below its limit.
  */
 export const chooseShardToReturn = ({
 	self,
@@ -134,21 +147,21 @@
 	}
 
 	return [...heldForMs.keys()].toSorted().find((shard) => {
-		const next = plan.assigned.get(shard);
+		const assignee = plan.assigned.get(shard);
 		return (
-			next !== undefined &&
+			assignee !== undefined &&
 			(heldForMs.get(shard) ?? 0) >= settleMs &&
-			getLiveForMs(next) >= settleMs
+			getLiveForMs(assignee) >= settleMs
 		);
 	});
 };
 
-/** What an entry should do about one shard. */
+/** Action of an entry on one shard. */
 export type ShardAction = 'acquire' | 'keep' | 'release' | 'none';
 
 /**
- * Compares what an entry holds with what it should hold. A shard is released
- * only if the entry that should hold it is another one.
+ * Compares the shards that an entry holds with its assignment. A shard is
+ * released only if another entry should hold it.
  */
 export const getShardAction = (
 	shard: string,
--- a/packages/core/src/shards/shard-lease.test.ts
+++ b/packages/core/src/shards/shard-lease.test.ts
@@ -44,13 +44,13 @@
 		'held',
 	],
 	[
-		'silent holder',
+		'unresponsive holder',
 		heldByTwo,
 		{registeredIncarnation: 'a', unresponsiveMs: 5000},
 		5,
 	],
 	[
-		'earlier life',
+		'earlier incarnation',
 		heldByTwo,
 		{registeredIncarnation: 'b', unresponsiveMs: 0},
 		5,
@@ -62,27 +62,27 @@
 		5,
 	],
 	[
-		'handed over',
+		'released',
 		{value: {shard: 's', holder: null, token: 4}, version: 9},
 		{registeredIncarnation: undefined, unresponsiveMs: 0},
 		5,
 	],
 	[
-		'own',
+		'own lease',
 		{value: {shard: 's', holder: one!, token: 4}, version: 9},
 		{registeredIncarnation: 'a', unresponsiveMs: 9000},
 		'already-own',
 	],
 ];
 
-for (const [name, read, evidence, wanted] of cases) {
+for (const [name, read, evidence, expected] of cases) {
 	tap.t.test(`acquires a shard: ${name}`, async (t) => {
 		const result = acquireShard('s', read, {self: one!, evidence, leaseMs});
 		t.match(
 			result,
-			typeof wanted === 'number'
-				? {ok: true, value: {value: {holder: one, token: wanted}}}
-				: {ok: false, error: wanted},
+			typeof expected === 'number'
+				? {ok: true, value: {value: {holder: one, token: expected}}}
+				: {ok: false, error: expected},
 		);
 	});
 }
@@ -94,21 +94,23 @@
 	t.equal(adoptShard(undefined, one!), undefined);
 });
 
-tap.t.test('counts on the lease only while heartbeats commit', async (t) => {
+tap.t.test('relies on the lease only while heartbeats commit', async (t) => {
 	t.ok(isLeaseCurrent(1000, leaseMs, 5999));
 	t.notOk(isLeaseCurrent(1000, leaseMs, 6000));
 });
 
 type Step = readonly ['acquire' | 'write' | 'release' | 'look', number];
 
-/** Lets holders act at any moment; `silentMs` lets any of them take over. */
+/**
+ * Lets holders act in any order; `unresponsiveMs` always permits a takeover.
+ */
 const runSteps = (steps: readonly Step[], isGuarded: boolean) => {
 	const store = createStore();
 	const held = new Map<number, HeldShard>();
 	const tokens: number[] = [];
 	for (const [step, index] of steps) {
 		const read = store.read<ShardLease>('shard', 's');
-		const mine = held.get(index);
+		const ownLease = held.get(index);
 		if (step === 'acquire') {
 			const self = {entry: `e${index}`, incarnation: 'a'};
 			const evidence = {registeredIncarnation: 'a', unresponsiveMs: leaseMs};
@@ -117,29 +119,29 @@
 				const {value, version} = store.read<ShardLease>('shard', 's')!;
 				held.set(index, {shard: 's', token: value.token, version});
 			}
-		} else if (step === 'write' && mine) {
+		} else if (step === 'write' && ownLease) {
 			const write = {
 				kind: 'put',
 				table: 'data',
 				key: 'd',
-				value: mine.token,
+				value: ownLease.token,
 				when: {kind: 'any'},
 			} as const;
-			const writes = isGuarded ? guardWithLease(mine, [write]) : [write];
+			const writes = isGuarded ? guardWithLease(ownLease, [write]) : [write];
 			if (store.commit(writes)) {
-				tokens.push(mine.token);
+				tokens.push(ownLease.token);
 			}
-		} else if (step === 'release' && mine) {
+		} else if (step === 'release' && ownLease) {
 			const holder = {entry: `e${index}`, incarnation: 'a'};
-			const lease = {shard: 's', holder, token: mine.token};
-			store.commit([releaseShard(lease, mine.version)]);
-		} else if (step === 'look' && mine && isShardLost(mine, read)) {
+			const lease = {shard: 's', holder, token: ownLease.token};
+			store.commit([releaseShard(lease, ownLease.version)]);
+		} else if (step === 'look' && ownLease && isShardLost(ownLease, read)) {
 			held.delete(index);
 		}
 	}
 
 	for (const [index, token] of tokens.entries()) {
-		assert.ok(index === 0 || token >= tokens[index - 1]!, 'token went back');
+		assert.ok(index === 0 || token >= tokens[index - 1]!, 'token decreased');
 	}
 };
 
@@ -159,11 +161,11 @@
 		{seed: 3, numRuns: 1000, endOnFailure: true},
 	);
 
-tap.t.test('a replaced holder writes nothing', async (t) => {
+tap.t.test('a replaced holder cannot write', async (t) => {
 	const {failed, errorInstance} = checkSteps(true);
 	t.notOk(failed, String(errorInstance));
 });
 
-tap.t.test('without the token check it would', async (t) => {
+tap.t.test('without the lease check a replaced holder writes', async (t) => {
 	t.ok(checkSteps(false).failed);
 });
--- a/packages/core/src/shards/shard-lease.ts
+++ b/packages/core/src/shards/shard-lease.ts
@@ -1,8 +1,8 @@
 /**
- * Leases of control shards. A lease row is written when a shard changes
- * hands, not to renew it: the heartbeat of the holder's daemon stands for all
- * its shards. Every write under a lease checks the version of the lease row,
- * so a holder that was paused and replaced changes nothing.
+ * Leases of control shards. A lease row is written when a shard changes hands,
+ * not to renew it: the heartbeat of the holder's daemon renews all its shards.
+ * Every write under a lease checks the version of the lease row, so that a
+ * holder that was paused and replaced cannot write.
  */
 import {
 	isSameIncarnation,
@@ -15,42 +15,48 @@
 	type StoreWrite,
 } from '../types/store-write.js';
 
-/** The row of one shard. */
+/** The lease row of one shard. */
 export type ShardLease = {
 	readonly shard: string;
-	/** Absent after a hand-over at a graceful stop. */
+	/** Null after a release at a graceful stop. */
 	readonly holder: EntryIncarnation | null;
-	/** Fencing token; grows by one with each acquisition. */
+	/** Fencing token, incremented by each acquisition. */
 	readonly token: number;
 };
 
-/** A lease as read; `undefined` if the shard was never held. */
+/** A stored lease; `undefined` if the shard was never held. */
 export type ReadLease =
 	{readonly value: ShardLease; readonly version: number} | undefined;
 
-/** What is known of the holder of a lease. */
+/** Evidence on whether the holder of a lease is alive. */
 export type HolderEvidence = {
-	/** Incarnation in the holder's registration; absent if it has none. */
+	/** Incarnation in the holder's registration; `undefined` if it has none. */
 	readonly registeredIncarnation: string | undefined;
-	/** How long the holder's heartbeat row has stayed the same. */
+	/**
+	 * Time for which the holder's heartbeat row has not changed, in
+	 * milliseconds.
+	 */
 	readonly unresponsiveMs: number;
 };
 
-/** Who asks for a shard, and what it knows. */
+/** A claim to a shard, with the evidence for it. */
 export type Claim = {
 	readonly self: EntryIncarnation;
 	readonly evidence: HolderEvidence;
-	/** Silence of a holder after which its shards may be taken over. */
+	/**
+	 * Time after which the shards of an unresponsive holder may be taken over,
+	 * in milliseconds.
+	 */
 	readonly leaseMs: number;
 };
 
 /**
- * Why a shard may not be acquired now. `already-own` after a lost reply: the
- * lease row is adopted, since no other entry will ever take it over.
+ * Why a shard may not be acquired now. `already-own` follows a lost reply: the
+ * entry must adopt the lease, since no other entry will take it over.
  */
 export type AcquireRefusal = 'held' | 'already-own';
 
-const isHolderGone = (
+const isHolderTerminated = (
 	holder: EntryIncarnation,
 	evidence: HolderEvidence,
 	leaseMs: number,
@@ -58,7 +64,7 @@
 	evidence.registeredIncarnation !== holder.incarnation ||
 	evidence.unresponsiveMs >= leaseMs;
 
-const putLease = (
+const createLeaseWrite = (
 	value: ShardLease,
 	read: ReadLease,
 ): StoreWrite<ShardLease> => ({
@@ -69,7 +75,10 @@
 	when: read ? {kind: 'version', version: read.version} : {kind: 'absent'},
 });
 
-/** Acquires a shard that is free or whose holder has fallen silent. */
+/**
+ * Builds the write that acquires a shard that is free or whose holder is
+ * unresponsive or terminated.
+ */
 export const acquireShard = (
 	shard: string,
 	read: ReadLease,
@@ -80,23 +89,28 @@
 		return fail('already-own');
 	}
 
-	if (holder && !isHolderGone(holder, evidence, leaseMs)) {
+	if (holder && !isHolderTerminated(holder, evidence, leaseMs)) {
 		return fail('held');
 	}
 
 	const token = (read?.value.token ?? 0) + 1;
-	return succeed(putLease({shard, holder: self, token}, read));
+	return succeed(createLeaseWrite({shard, holder: self, token}, read));
 };
 
-/** A shard that this life holds, as far as it knows. */
+/**
+ * A shard that this incarnation holds, unless it has been replaced unnoticed.
+ */
 export type HeldShard = {
 	readonly shard: string;
 	readonly token: number;
-	/** Version of the lease row when it was acquired. */
+	/** Version of the lease row at the acquisition. */
 	readonly version: number;
 };
 
-/** The lease that a row grants to this life, also after a lost reply. */
+/**
+ * Returns the lease that a row grants to this incarnation, even if the reply to
+ * its write was lost.
+ */
 export const adoptShard = (
 	read: ReadLease,
 	self: EntryIncarnation,
@@ -111,18 +125,21 @@
 		: undefined;
 };
 
-/** Hands a shard over; the next holder need not wait for the lease. */
+/**
+ * Builds the write that releases a shard, so that the next holder need not wait
+ * for the lease to expire.
+ */
 export const releaseShard = (
 	lease: ShardLease,
 	version: number,
 ): StoreWrite<ShardLease> =>
-	putLease({...lease, holder: null}, {value: lease, version});
+	createLeaseWrite({...lease, holder: null}, {value: lease, version});
 
-/** True if a read of the lease row shows that the shard is lost. */
+/** Whether a read of the lease row shows that the shard is lost. */
 export const isShardLost = (held: HeldShard, read: ReadLease): boolean =>
 	read?.version !== held.version;
 
-/** Makes writes conditional on the lease; the check comes first. */
+/** Makes writes conditional on the lease, with the check as the first step. */
 export const guardWithLease = <Value>(
 	held: HeldShard,
 	writes: ReadonlyArray<StoreWrite<Value>>,
@@ -132,11 +149,12 @@
 ];
 
 /**
- * True if the holder still counts on its lease: its own heartbeat committed
- * less than the lease ago. It only saves useless work; safety is the token.
+ * Whether the holder may still rely on its lease: its last committed heartbeat
+ * was sent less than the lease time ago. This only avoids writes that would
+ * fail; safety comes from the fencing token.
  */
 export const isLeaseCurrent = (
-	heartbeatAskedAt: number,
+	heartbeatSentAt: number,
 	leaseMs: number,
 	now: number,
-): boolean => now - heartbeatAskedAt < leaseMs;
+): boolean => now - heartbeatSentAt < leaseMs;
