--- a/packages/core/src/blame/failure-attribution.test.ts
+++ b/packages/core/src/blame/failure-attribution.test.ts
@@ -10,15 +10,15 @@
 } from './failure-attribution.js';
 
 const apply = (events: readonly AttributionEvent[]) => {
-	let blame: FailureAttribution = emptyAttribution;
+	let attribution: FailureAttribution = emptyAttribution;
 	const verdicts: AttributionVerdict[] = [];
 	for (const event of events) {
-		const step = updateAttribution(blame, event);
-		blame = step.attribution;
+		const step = updateAttribution(attribution, event);
+		attribution = step.attribution;
 		verdicts.push(...step.verdicts);
 	}
 
-	return {blame, verdicts};
+	return {attribution, verdicts};
 };
 
 const failed = (worker: string, job: string, at = 0): AttributionEvent => ({
@@ -38,15 +38,15 @@
 
 const {windowMs} = defaultAttributionConfig;
 
-const table: Row[] = [
+const cases: Row[] = [
 	['two jobs fail on a worker', [failed('w', 'a'), failed('w', 'b')], []],
 	[
-		'a third job puts the worker out',
+		'a third job quarantines the worker',
 		[failed('w', 'a'), failed('w', 'b'), failed('w', 'c')],
 		['quarantine-worker w'],
 	],
 	[
-		'one job that fails five times puts no worker out',
+		'one job that fails five times quarantines no worker',
 		Array.from({length: 5}, () => failed('w', 'a')),
 		[],
 	],
@@ -56,7 +56,7 @@
 		['park-job a'],
 	],
 	[
-		'bad jobs put no good worker out',
+		'bad jobs do not quarantine a good worker',
 		['a', 'b', 'c'].flatMap((job) => [
 			failed('u', job),
 			failed('v', job),
@@ -68,12 +68,12 @@
 		],
 	],
 	[
-		'a success between clears the worker',
+		'a success clears the worker',
 		[failed('w', 'a'), failed('w', 'b'), succeeded('w', 'c'), failed('w', 'd')],
 		[],
 	],
 	[
-		'jobs that run elsewhere after all put the worker out',
+		'a job that later runs elsewhere counts against the worker',
 		[
 			failed('w', 'a'),
 			failed('v', 'a'),
@@ -84,12 +84,12 @@
 		['quarantine-worker w'],
 	],
 	[
-		'old evidence is forgotten',
+		'old failures do not count',
 		[failed('w', 'a'), failed('w', 'b'), failed('w', 'c', windowMs)],
 		[],
 	],
 	[
-		'a worker at fault releases the job parked for it',
+		'quarantine of a worker releases a job that was parked because of it',
 		[
 			failed('w', 'a'),
 			failed('v', 'a'),
@@ -101,7 +101,7 @@
 		['park-job a', 'quarantine-worker w', 'release-job a'],
 	],
 	[
-		'a worker that is out is no evidence',
+		'failures on a quarantined worker do not count',
 		[
 			failed('w', 'a'),
 			failed('w', 'b'),
@@ -117,7 +117,7 @@
 const format = (verdict: AttributionVerdict): string =>
 	`${verdict.kind} ${'worker' in verdict ? verdict.worker : verdict.job}`;
 
-for (const [name, events, verdicts] of table) {
+for (const [name, events, verdicts] of cases) {
 	tap.t.test(name, async (t) => {
 		t.same(
 			apply(events).verdicts.map((each) => format(each)),
@@ -126,23 +126,26 @@
 	});
 }
 
-tap.t.test('a worker that fails all is out within five tasks', async (t) => {
-	const jobs = fc.array(fc.constantFrom('a', 'b', 'c', 'd', 'e', 'f'), {
-		minLength: 5,
-		maxLength: 5,
-	});
-	fc.assert(
-		fc.property(jobs, (names) => {
-			fc.pre(new Set(names).size > 2);
-			const {blame} = apply(names.map((job) => failed('w', job)));
-			return blame.quarantined.has('w');
-		}),
-		{seed: 3},
-	);
-	t.pass();
-});
+tap.t.test(
+	'a worker that fails every task is quarantined within five tasks',
+	async (t) => {
+		const jobs = fc.array(fc.constantFrom('a', 'b', 'c', 'd', 'e', 'f'), {
+			minLength: 5,
+			maxLength: 5,
+		});
+		fc.assert(
+			fc.property(jobs, (names) => {
+				fc.pre(new Set(names).size > 2);
+				const {attribution} = apply(names.map((job) => failed('w', job)));
+				return attribution.quarantined.has('w');
+			}),
+			{seed: 3},
+		);
+		t.pass();
+	},
+);
 
-tap.t.test('one bad job never puts a worker out', async (t) => {
+tap.t.test('one bad job never quarantines a worker', async (t) => {
 	const tasks = fc.array(
 		fc.record({
 			worker: fc.constantFrom('u', 'v', 'w', 'x'),
@@ -152,12 +155,12 @@
 	);
 	fc.assert(
 		fc.property(tasks, (events) => {
-			const {blame} = apply(
+			const {attribution} = apply(
 				events.map(({worker, isBad}, index) =>
 					isBad ? failed(worker, 'bad') : succeeded(worker, `good-${index}`),
 				),
 			);
-			return blame.quarantined.size === 0;
+			return attribution.quarantined.size === 0;
 		}),
 		{seed: 3, numRuns: 1000},
 	);
--- a/packages/core/src/blame/failure-attribution.ts
+++ b/packages/core/src/blame/failure-attribution.ts
@@ -1,24 +1,30 @@
 /**
- * Whose fault a failed task is: the worker's or the job's. A worker that
- * fails tasks of many jobs is quarantined; a job that fails on many workers
- * is parked. A failure counts against one side only while the other side is
- * not itself suspect, so that neither is condemned for the other's sake.
+ * Attributes failed tasks to a worker or to a job. A worker that fails tasks of
+ * many jobs is quarantined; a job that fails on many workers is parked. A
+ * failure counts against one of them only while the other is not itself
+ * suspect, so that neither is held responsible for the faults of the other.
  * Source: docs/design/blame.md.
  */
 
-/** Bounds of the two verdicts. */
+/** Thresholds of the two verdicts. */
 export type AttributionConfig = {
-	/** Jobs, not suspect themselves, that fail on a worker until it is out. */
+	/**
+	 * Number of jobs, not themselves suspect, that must fail on a worker before
+	 * it is quarantined.
+	 */
 	readonly jobsPerQuarantine: number;
-	/** Failures in a row, of any jobs, until a worker is out all the same. */
+	/**
+	 * Consecutive failures of any jobs after which a worker is quarantined even
+	 * so.
+	 */
 	readonly failuresPerQuarantine: number;
-	/** Workers that a job fails on until it is parked. */
+	/** Number of workers that a job must fail on before it is parked. */
 	readonly workersPerPark: number;
-	/** Evidence older than this is forgotten, in milliseconds. */
+	/** Age after which a failure no longer counts, in milliseconds. */
 	readonly windowMs: number;
 };
 
-/** Bounds in force when none are given. */
+/** Default thresholds. */
 export const defaultAttributionConfig: AttributionConfig = {
 	jobsPerQuarantine: 3,
 	failuresPerQuarantine: 5,
@@ -34,17 +40,23 @@
 	readonly at: number;
 };
 
-/** What is held against workers and jobs. Only `updateBlame` changes it. */
+/**
+ * Failures recorded against workers and jobs. Only `updateAttribution` changes
+ * it.
+ */
 export type FailureAttribution = {
-	/** Failures on a worker since a task last succeeded there. */
+	/** Failures by worker since its last success. */
 	readonly workers: ReadonlyMap<string, readonly TaskFailure[]>;
-	/** Failures of a job since it last succeeded, on workers not out. */
+	/**
+	 * Failures by job since its last success, on workers that are not
+	 * quarantined.
+	 */
 	readonly jobs: ReadonlyMap<string, readonly TaskFailure[]>;
 	readonly quarantined: ReadonlySet<string>;
 	readonly parked: ReadonlySet<string>;
 };
 
-/** What became known of a task or was decided by an operator. */
+/** An outcome of a task or a decision of an operator. */
 export type AttributionEvent =
 	| ({readonly kind: 'failed'} & TaskFailure)
 	| {
@@ -52,12 +64,12 @@
 			readonly worker: string;
 			readonly job: string;
 	  }
-	/** A worker was repaired, or an operator lets it back. */
+	/** A worker was repaired, or an operator returns it to service. */
 	| {readonly kind: 'worker-returned'; readonly worker: string}
-	/** A job was changed, or an operator lets it run again. */
+	/** A job was changed, or an operator allows it to run again. */
 	| {readonly kind: 'job-released'; readonly job: string};
 
-/** What follows from an event. */
+/** A decision that follows from an event. */
 export type AttributionVerdict =
 	| {
 			readonly kind: 'quarantine-worker';
@@ -69,16 +81,19 @@
 			readonly job: string;
 			readonly workers: readonly string[];
 	  }
-	/** Parked for failures on a worker that turned out to be at fault. */
+	/**
+	 * Releases a job that was parked for failures on a worker now found to be
+	 * at fault.
+	 */
 	| {readonly kind: 'release-job'; readonly job: string};
 
-/** A new state and what follows from the event. */
+/** The new state and the verdicts of an event. */
 export type AttributionStep = {
 	readonly attribution: FailureAttribution;
 	readonly verdicts: readonly AttributionVerdict[];
 };
 
-/** Nothing is held against anybody. */
+/** State without recorded failures. */
 export const emptyAttribution: FailureAttribution = {
 	workers: new Map(),
 	jobs: new Map(),
@@ -105,20 +120,25 @@
 const listJobs = (failures: readonly TaskFailure[]): readonly string[] =>
 	listDistinct(failures.map((each) => each.job));
 
-/** A job is suspect for a worker if it also fails elsewhere. */
+/**
+ * Whether a job is suspect as evidence against a worker: it also fails on
+ * others.
+ */
 const isJobSuspect = (draft: Draft, job: string, worker: string): boolean =>
 	draft.parked.has(job) ||
 	(draft.jobs.get(job) ?? []).some((each) => each.worker !== worker);
 
 const isWorkerAtFault = (draft: Draft, worker: string): boolean => {
 	const failures = draft.workers.get(worker) ?? [];
-	const clean = listJobs(failures).filter(
+	const unsuspectedJobs = listJobs(failures).filter(
 		(job) => !isJobSuspect(draft, job, worker),
 	);
 	const {jobsPerQuarantine, failuresPerQuarantine} = draft.cfg;
-	// Two clean jobs at least: one bad job alone never puts a worker out.
-	const hasRow = failures.length >= failuresPerQuarantine && clean.length > 1;
-	return clean.length >= jobsPerQuarantine || hasRow;
+	// At least two unsuspected jobs, so that one bad job never quarantines a
+	// worker.
+	const hasConsecutiveFailures =
+		failures.length >= failuresPerQuarantine && unsuspectedJobs.length > 1;
+	return unsuspectedJobs.length >= jobsPerQuarantine || hasConsecutiveFailures;
 };
 
 const isJobAtFault = (draft: Draft, job: string): boolean =>
@@ -137,10 +157,10 @@
 	draft.workers.delete(worker);
 	draft.verdicts.push({kind: 'quarantine-worker', worker, jobs});
 	for (const job of jobs) {
-		const kept = (draft.jobs.get(job) ?? []).filter(
+		const remaining = (draft.jobs.get(job) ?? []).filter(
 			(each) => each.worker !== worker,
 		);
-		draft.jobs.set(job, kept);
+		draft.jobs.set(job, remaining);
 		releaseIfCleared(draft, job);
 	}
 };
@@ -163,7 +183,7 @@
 const applyFailure = (draft: Draft, failure: TaskFailure) => {
 	const {worker, job} = failure;
 	if (draft.quarantined.has(worker)) {
-		// A worker that is out is no evidence against a job.
+		// A failure on a quarantined worker is no evidence against a job.
 		return;
 	}
 
@@ -173,7 +193,8 @@
 		addFailure(draft.workers.get(worker), failure, windowMs),
 	);
 	draft.jobs.set(job, addFailure(draft.jobs.get(job), failure, windowMs));
-	// The worker first: its fault clears the jobs that failed on it.
+	// Checks the worker first, since its fault clears the jobs that failed on
+	// it.
 	if (isWorkerAtFault(draft, worker)) {
 		quarantine(draft, worker);
 	} else if (!draft.parked.has(job) && isJobAtFault(draft, job)) {
@@ -181,7 +202,10 @@
 	}
 };
 
-/** A job that runs elsewhere after all makes the others' evidence count. */
+/**
+ * Re-evaluates workers on which a job failed, once the job has succeeded
+ * elsewhere and is no longer suspect.
+ */
 const recheckWorkers = (draft: Draft, workers: readonly string[]) => {
 	for (const worker of workers) {
 		if (isWorkerAtFault(draft, worker)) {
@@ -228,18 +252,18 @@
 	}
 };
 
-/** Applies one event. */
+/** Applies one event and returns the verdicts that follow from it. */
 export const updateAttribution = (
-	blame: FailureAttribution,
+	attribution: FailureAttribution,
 	event: AttributionEvent,
 	cfg: AttributionConfig = defaultAttributionConfig,
 ): AttributionStep => {
 	const draft: Draft = {
 		cfg,
-		workers: new Map(blame.workers),
-		jobs: new Map(blame.jobs),
-		quarantined: new Set(blame.quarantined),
-		parked: new Set(blame.parked),
+		workers: new Map(attribution.workers),
+		jobs: new Map(attribution.jobs),
+		quarantined: new Set(attribution.quarantined),
+		parked: new Set(attribution.parked),
 		verdicts: [],
 	};
 	applyEvent(draft, event);
@@ -247,8 +271,11 @@
 	return {attribution: next, verdicts};
 };
 
-/** Workers that a job has failed on lately: its next try goes elsewhere. */
+/**
+ * Lists the workers that a job recently failed on, so that its next attempt
+ * runs elsewhere.
+ */
 export const listFailedWorkers = (
-	blame: FailureAttribution,
+	attribution: FailureAttribution,
 	job: string,
-): readonly string[] => listWorkers(blame.jobs.get(job) ?? []);
+): readonly string[] => listWorkers(attribution.jobs.get(job) ?? []);
--- a/packages/core/src/job-legs/job-phases.test.ts
+++ b/packages/core/src/job-legs/job-phases.test.ts
@@ -1,4 +1,7 @@
-/** Where the time of jobs went, from lines as entries write them. */
+/**
+ * Guards against wrong causes of missed objectives, with log lines as entries
+ * write them.
+ */
 import * as tap from 'tap';
 import * as jobLegs from './index.js';
 
@@ -20,7 +23,7 @@
 	{call: 'submit', job: id, outcome, tookMs},
 ];
 
-const intake = (at: number, changes: object = {}): Line => [
+const acceptance = (at: number, changes: object = {}): Line => [
 	at,
 	'job taken in',
 	{
@@ -35,7 +38,7 @@
 	},
 ];
 
-/** A task that runs from one time to another. */
+/** Log lines of a run. */
 const run = (
 	from: number,
 	to: number,
@@ -67,12 +70,12 @@
 const cases: readonly Case[] = [
 	{
 		name: 'in time',
-		lines: [call(10, 'ok'), intake(12), ...run(20, 520), end(540)],
+		lines: [call(10, 'ok'), acceptance(12), ...run(20, 520), end(540)],
 		cause: undefined,
 	},
 	{
 		name: 'cancelled by its caller',
-		lines: [call(10, 'ok'), intake(12), end(9000, 'cancelled')],
+		lines: [call(10, 'ok'), acceptance(12), end(9000, 'cancelled')],
 		cause: undefined,
 	},
 	{
@@ -81,31 +84,31 @@
 		cause: 'refused',
 	},
 	{
-		name: 'refused first, accepted when it was too late',
+		name: 'refused first, accepted too late',
 		lines: [
 			call(10, 'store-unavailable'),
 			call(2500, 'ok'),
-			intake(2510),
+			acceptance(2510),
 			...run(2520, 3020),
 			end(3030),
 		],
 		cause: 'acceptedLate',
 	},
 	{
-		name: 'its owner was told late',
-		lines: [call(10, 'ok'), intake(2000), ...run(2010, 2510), end(2520)],
+		name: 'its owner was notified late',
+		lines: [call(10, 'ok'), acceptance(2000), ...run(2010, 2510), end(2520)],
 		cause: 'toldLate',
 	},
 	{
 		name: 'no room for its first task',
-		lines: [call(10, 'ok'), intake(12), ...run(2400, 2900), end(2910)],
+		lines: [call(10, 'ok'), acceptance(12), ...run(2400, 2900), end(2910)],
 		cause: 'noRoom',
 	},
 	{
-		name: 'no room, while machines could not be moved',
+		name: 'no room while machines could not be moved',
 		lines: [
 			call(10, 'ok'),
-			intake(12),
+			acceptance(12),
 			[1000, 'orders not noted', {shard: 'control/fleet'}],
 			...run(2400, 2900),
 			end(2910),
@@ -113,10 +116,10 @@
 		cause: 'barredMoves',
 	},
 	{
-		name: 'its service changed hands',
+		name: 'its service was taken over',
 		lines: [
 			call(10, 'ok'),
-			intake(12),
+			acceptance(12),
 			[1500, 'service taken over', {}],
 			...run(2400, 2900),
 			end(2910),
@@ -124,10 +127,10 @@
 		cause: 'noOwner',
 	},
 	{
-		name: 'another service changed hands',
+		name: 'another service was taken over',
 		lines: [
 			call(10, 'ok'),
-			intake(12),
+			acceptance(12),
 			[1500, 'service taken over', {shard: 'service/other'}],
 			...run(2400, 2900),
 			end(2910),
@@ -135,10 +138,10 @@
 		cause: 'noRoom',
 	},
 	{
-		name: 'an executor of the owner before was dark',
+		name: 'an executor of the previous owner was suspected',
 		lines: [
 			call(10, 'ok'),
-			intake(12),
+			acceptance(12),
 			[1500, 'service taken over', {}],
 			[2000, 'owner load', {tasksOfUnknownPlace: 3}],
 			...run(2400, 2900),
@@ -150,7 +153,7 @@
 		name: 'no room between its steps',
 		lines: [
 			call(10, 'ok'),
-			intake(12),
+			acceptance(12),
 			...run(20, 320),
 			...run(2200, 2400, {index: 1}),
 			end(2410),
@@ -161,7 +164,7 @@
 		name: 'a task ran more than once',
 		lines: [
 			call(10, 'ok'),
-			intake(12),
+			acceptance(12),
 			...run(20, 2400, {how: 'failed'}),
 			...run(2400, 2900, {number: 2}),
 			end(2910),
@@ -172,7 +175,7 @@
 		name: 'tasks of one step ran one after another',
 		lines: [
 			call(10, 'ok'),
-			intake(12),
+			acceptance(12),
 			...run(20, 820),
 			...run(820, 1620, {index: 1}),
 			...run(1620, 2420, {index: 2}),
@@ -183,17 +186,17 @@
 	},
 	{
 		name: 'its end was stored late',
-		lines: [call(10, 'ok'), intake(12), ...run(20, 520), end(2410)],
+		lines: [call(10, 'ok'), acceptance(12), ...run(20, 520), end(2410)],
 		cause: 'storedLate',
 	},
 	{
-		name: 'longer than estimated, and in time for that',
-		lines: [call(10, 'ok'), intake(12), ...run(20, 2400), end(2410)],
+		name: 'longer than estimated, in time for its actual work',
+		lines: [call(10, 'ok'), acceptance(12), ...run(20, 2400), end(2410)],
 		cause: undefined,
 	},
 	{
-		name: 'it never began',
-		lines: [call(10, 'ok'), intake(12)],
+		name: 'it never started',
+		lines: [call(10, 'ok'), acceptance(12)],
 		cause: 'unfinished',
 	},
 ];
@@ -205,11 +208,11 @@
 	});
 }
 
-tap.t.test('legs add up to the time that a job took', async (t) => {
+tap.t.test('the phases add up to the duration of a job', async (t) => {
 	const all = jobLegs.readJobs(
 		toLines([
 			call(110, 'ok'),
-			intake(130),
+			acceptance(130),
 			...run(200, 700),
 			...run(300, 900, {index: 1}),
 			...run(1000, 1500, {index: 2}),
@@ -226,16 +229,16 @@
 	});
 });
 
-tap.t.test('the ledger weighs jobs by their work', async (t) => {
+tap.t.test('the summary weights jobs by their work', async (t) => {
 	const other = 'ffffffffffffffff';
 	const all = jobLegs.readJobs(
 		toLines([
 			call(10, 'ok'),
-			intake(12),
+			acceptance(12),
 			...run(20, 520),
 			end(540),
-			intake(13, {job: other, work: 200}),
-			intake(14, {job: 'eeeeeeeeeeeeeeee', isLasting: true}),
+			acceptance(13, {job: other, work: 200}),
+			acceptance(14, {job: 'eeeeeeeeeeeeeeee', isLasting: true}),
 		]),
 	);
 	t.same(jobLegs.summarizeQueues(all), [
--- a/packages/core/src/job-legs/job-phases.ts
+++ b/packages/core/src/job-legs/job-phases.ts
@@ -1,34 +1,36 @@
 /**
- * Where the time of a job went, leg by leg, and why one was not in time: the
- * leg that took most beyond what the work itself needs.
+ * Splits the time of a job into phases and determines why a job missed its
+ * objective: the phase that took the most time beyond the work itself.
  */
 import {match} from 'ts-pattern';
 import type {LoggedJob, LoggedJobs, TimeInterval} from './read-jobs.js';
 
-/** Legs of a job, in milliseconds, one after another. */
+/** Consecutive phases of a job, in milliseconds. */
 export type JobPhases = {
-	/** From the first call to the acceptance, refused calls included. */
+	/**
+	 * From the first submit call to the acceptance, including refused calls.
+	 */
 	readonly accept: number;
-	/** Until its owner had it. */
+	/** From the acceptance until its owner had the job. */
 	readonly tell: number;
-	/** Until its first task ran. */
+	/** From then until its first task ran. */
 	readonly firstStart: number;
-	/** While a task ran. */
+	/** While at least one task ran. */
 	readonly running: number;
-	/** Between runs, while none of its tasks ran. */
+	/** Between runs, while no task ran. */
 	readonly between: number;
-	/** From the end of its last task until that was stored. */
+	/** From the end of its last task until the job end was stored. */
 	readonly store: number;
 };
 
-/** Why the value of a job was lost. */
+/** Reasons why jobs miss their objectives, as shown to operators. */
 export const missCauses = {
-	refused: 'refused, or given up before it was accepted',
+	refused: 'refused, or abandoned before it was accepted',
 	acceptedLate: 'accepted late',
-	toldLate: 'its owner was told late',
-	noOwner: 'its service changed hands before its first start',
-	unknownPlace: 'an executor of the owner before was dark',
-	barredMoves: 'no room, while machines could not be moved',
+	toldLate: 'its owner was notified late',
+	noOwner: 'its service was taken over before its first start',
+	unknownPlace: 'an executor of the previous owner was suspected',
+	barredMoves: 'no room while machines could not be moved',
 	noRoom: 'no room for its first task',
 	betweenSteps: 'no room between its steps',
 	repeated: 'tasks ran more than once',
@@ -37,7 +39,7 @@
 	unfinished: 'not finished',
 } as const;
 
-/** Why the value of a job was lost. */
+/** Reason why a job missed its objective. */
 export type MissCause = keyof typeof missCauses;
 
 const mergeRuns = (runs: readonly TimeInterval[]): readonly TimeInterval[] => {
@@ -54,36 +56,38 @@
 	return merged;
 };
 
-const sumMs = (stretches: readonly TimeInterval[]): number =>
-	stretches.reduce((sum, {from, to}) => sum + to - from, 0);
+const sumMs = (intervals: readonly TimeInterval[]): number =>
+	intervals.reduce((sum, {from, to}) => sum + to - from, 0);
 
-/** The legs of a job so far; those that it has not come to are 0. */
+/**
+ * Computes the phases of a job so far; phases that it has not reached are 0.
+ */
 export const getPhases = (job: LoggedJob): JobPhases => {
-	const handedInAt = job.submittedAt ?? job.ownerAcceptedAt ?? 0;
-	const acceptedAt = job.acceptedAt ?? job.ownerAcceptedAt ?? handedInAt;
-	const takenInAt = job.ownerAcceptedAt ?? acceptedAt;
+	const submittedAt = job.submittedAt ?? job.ownerAcceptedAt ?? 0;
+	const acceptedAt = job.acceptedAt ?? job.ownerAcceptedAt ?? submittedAt;
+	const ownerAcceptedAt = job.ownerAcceptedAt ?? acceptedAt;
 	const runs = mergeRuns(job.runs);
-	const firstAt = runs[0]?.from ?? takenInAt;
+	const firstAt = runs[0]?.from ?? ownerAcceptedAt;
 	const lastAt = runs.at(-1)?.to ?? firstAt;
 	const running = sumMs(runs);
 	return {
-		accept: acceptedAt - handedInAt,
-		tell: Math.max(0, takenInAt - acceptedAt),
-		firstStart: firstAt - Math.max(takenInAt, acceptedAt),
+		accept: acceptedAt - submittedAt,
+		tell: Math.max(0, ownerAcceptedAt - acceptedAt),
+		firstStart: firstAt - Math.max(ownerAcceptedAt, acceptedAt),
 		running,
 		between: lastAt - firstAt - running,
 		store: Math.max(0, (job.endedAt ?? lastAt) - lastAt),
 	};
 };
 
-const getTookMs = (job: LoggedJob): number | undefined =>
+const getDurationMs = (job: LoggedJob): number | undefined =>
 	job.endedAt === undefined
 		? undefined
 		: job.endedAt - (job.submittedAt ?? job.ownerAcceptedAt ?? job.endedAt);
 
 /**
- * The time of the work itself: of each step the longest run that was done, one
- * step after another; by the caller's estimate while none was.
+ * Time of the work itself, in milliseconds: the sum over all steps of the
+ * longest completed run, or the caller's estimate if none has completed.
  */
 export const getCriticalPathMs = ({
 	runs,
@@ -91,22 +95,22 @@
 }: LoggedJob): number => {
 	const longest = new Map<number, number>();
 	for (const {step, from, to, isDone} of runs) {
-		const known = longest.get(step) ?? 0;
-		longest.set(step, isDone ? Math.max(known, to - from) : known);
+		const longestMs = longest.get(step) ?? 0;
+		longest.set(step, isDone ? Math.max(longestMs, to - from) : longestMs);
 	}
 
 	const sum = [...longest.values()].reduce((total, each) => total + each, 0);
 	return sum === 0 ? estimatedCriticalPathMs : sum;
 };
 
-/** Time within which a job was wanted, by the work that it turned out to be. */
+/** Time in which a job should complete, by its actual work, in milliseconds. */
 export const getObjectiveMs = (job: LoggedJob): number =>
 	job.stretch * getCriticalPathMs(job) + job.targetLatencyMs;
 
-/** Whether a job was done within its objective. */
+/** Whether a job completed within its objective. */
 export const isInTime = (job: LoggedJob): boolean =>
 	job.end === 'completed' &&
-	(getTookMs(job) ?? Infinity) <= getObjectiveMs(job);
+	(getDurationMs(job) ?? Infinity) <= getObjectiveMs(job);
 
 const findStartCause = (
 	{owners, takeovers, blockedMoves}: LoggedJobs,
@@ -127,19 +131,22 @@
 	return blockedMoves.some((at) => isWithin(at)) ? 'barredMoves' : 'noRoom';
 };
 
-const findLongestLeg = (job: LoggedJob): keyof JobPhases => {
-	const legs = getPhases(job);
-	const beyond = {
-		...legs,
-		running: Math.max(0, legs.running - getCriticalPathMs(job)),
+const findLongestPhase = (job: LoggedJob): keyof JobPhases => {
+	const phases = getPhases(job);
+	const excess = {
+		...phases,
+		running: Math.max(0, phases.running - getCriticalPathMs(job)),
 	} satisfies JobPhases;
-	const [longest] = (Object.keys(beyond) as Array<keyof JobPhases>).toSorted(
-		(one, two) => beyond[two] - beyond[one],
+	const [longest] = (Object.keys(excess) as Array<keyof JobPhases>).toSorted(
+		(one, two) => excess[two] - excess[one],
 	);
 	return longest ?? 'running';
 };
 
-/** Why a job was not in time; absent if it was, or its caller cancelled it. */
+/**
+ * Determines why a job missed its objective; `undefined` if it did not, or if
+ * its caller cancelled it.
+ */
 export const findMissCause = (
 	all: LoggedJobs,
 	job: LoggedJob,
@@ -156,48 +163,49 @@
 		return 'unfinished';
 	}
 
-	const isRepeated = job.runs.some(({isDone}) => !isDone);
-	const legs = getPhases(job);
-	const startedAt = job.ownerAcceptedAt + legs.firstStart;
-	return match(findLongestLeg(job))
+	const hasFailedRun = job.runs.some(({isDone}) => !isDone);
+	const phases = getPhases(job);
+	const startedAt = job.ownerAcceptedAt + phases.firstStart;
+	return match(findLongestPhase(job))
 		.returnType<MissCause>()
 		.with('accept', () => 'acceptedLate')
 		.with('tell', () => 'toldLate')
 		.with('firstStart', () =>
 			findStartCause(all, job, {from: job.ownerAcceptedAt ?? 0, to: startedAt}),
 		)
-		.with('running', () => (isRepeated ? 'repeated' : 'slow'))
-		.with('between', () => (isRepeated ? 'repeated' : 'betweenSteps'))
+		.with('running', () => (hasFailedRun ? 'repeated' : 'slow'))
+		.with('between', () => (hasFailedRun ? 'repeated' : 'betweenSteps'))
 		.with('store', () => 'storedLate')
 		.exhaustive();
 };
 
-/** Shares of all work that was asked for, by the cause of its loss. */
+/** Shares of the requested work that missed its objective, by cause. */
 export type CauseShares = Readonly<Partial<Record<MissCause, number>>>;
 
-/** Jobs of a queue and what was lost of their work, by cause. */
+/** Jobs of a queue and the share of their work that missed its objective. */
 export type QueueSummary = {
 	readonly queue: string;
 	readonly jobs: number;
 	readonly inTime: number;
-	/** Share of the queue's work, by cause. */
+	/** Share of the queue's work that missed its objective, by cause. */
 	readonly lost: CauseShares;
 };
 
-const sumQueue = (
+const summarizeQueue = (
 	all: LoggedJobs,
 	queue: string,
 	jobs: readonly LoggedJob[],
 ): QueueSummary => {
-	const known = jobs.filter(({work}) => work > 0);
+	const jobsWithWork = jobs.filter(({work}) => work > 0);
 	const meanWork =
-		known.reduce((sum, {work}) => sum + work, 0) / Math.max(1, known.length);
+		jobsWithWork.reduce((sum, {work}) => sum + work, 0) /
+		Math.max(1, jobsWithWork.length);
 	const lost: Partial<Record<MissCause, number>> = {};
-	let owed = 0;
+	let totalWork = 0;
 	for (const job of jobs) {
-		// What a refused job asked for is not told.
+		// The work of a refused job is not logged.
 		const work = job.work || meanWork || 1;
-		owed += work;
+		totalWork += work;
 		const cause = findMissCause(all, job);
 		if (cause) {
 			lost[cause] = (lost[cause] ?? 0) + work;
@@ -207,7 +215,7 @@
 	const inTime = jobs.filter((job) => isInTime(job)).length;
 	const shares = Object.entries(lost).map(([cause, work]) => [
 		cause,
-		work / owed,
+		work / totalWork,
 	]);
 	return {
 		queue,
@@ -217,7 +225,7 @@
 	};
 };
 
-/** The ledger of each queue; jobs that no owner took in stand under ''. */
+/** Summarizes each queue; jobs that no owner accepted are listed under ''. */
 export const summarizeQueues = (all: LoggedJobs): readonly QueueSummary[] => {
 	const queues = new Map<string, LoggedJob[]>();
 	for (const job of all.jobs.values()) {
@@ -229,10 +237,10 @@
 
 	return [...queues]
 		.toSorted(([one], [two]) => (one < two ? -1 : 1))
-		.map(([queue, jobs]) => sumQueue(all, queue, jobs));
+		.map(([queue, jobs]) => summarizeQueue(all, queue, jobs));
 };
 
-/** What was lost of all queues together, each weighing the same. */
+/** Sums the shares of all queues by cause, with equal weight for each queue. */
 export const sumSharesByCause = (all: LoggedJobs): CauseShares => {
 	const queues = summarizeQueues(all).filter(({queue}) => queue !== '');
 	const shares: Partial<Record<MissCause, number>> = {};
--- a/packages/core/src/job-legs/pool-capacity.ts
+++ b/packages/core/src/job-legs/pool-capacity.ts
@@ -1,17 +1,20 @@
-/** Room asked for and room held in a pool over time, from log lines. */
+/** Required and available capacity of a pool over time, from log lines. */
 import type {LogLine} from './read-jobs.js';
 
-/** A pool at one time, in machines. */
+/** Capacity of a pool at one time, in machines. */
 export type PoolCapacity = {
 	readonly at: number;
-	/** What runs and waits. */
+	/** Machines required by running and waiting tasks. */
 	readonly asked: number;
 	readonly held: number;
 };
 
 type PoolFields = {readonly asked?: unknown; readonly held?: unknown};
 
-/** What the fleet's holders told of a pool, the earliest first. */
+/**
+ * Reads the capacity of a pool as logged by the holders of the fleet shard, the
+ * earliest first.
+ */
 export const readPoolCapacity = (
 	lines: readonly LogLine[],
 	pool: string,
@@ -19,9 +22,9 @@
 	lines
 		.flatMap(({at, message, fields}) => {
 			const pools = fields.pools as Record<string, PoolFields> | undefined;
-			const own = message === 'pools' ? pools?.[pool] : undefined;
-			return own
-				? [{at, asked: Number(own.asked), held: Number(own.held)}]
+			const logged = message === 'pools' ? pools?.[pool] : undefined;
+			return logged
+				? [{at, asked: Number(logged.asked), held: Number(logged.held)}]
 				: [];
 		})
 		.toSorted((one, two) => one.at - two.at);
--- a/packages/core/src/job-legs/read-jobs.ts
+++ b/packages/core/src/job-legs/read-jobs.ts
@@ -1,40 +1,40 @@
-/** What the log lines of all entries tell of each job. */
+/** Reconstructs the course of each job from the log lines of all entries. */
 
-/** A line as an entry wrote it. */
+/** A log line of an entry. */
 export type LogLine = {
-	/** Time of day, in milliseconds since 1970. */
+	/** Time of the line, in milliseconds since 1970. */
 	readonly at: number;
 	readonly message: string;
 	readonly fields: Readonly<Record<string, unknown>>;
 };
 
-/** A stretch of time, in milliseconds since 1970. */
+/** An interval of time, in milliseconds since 1970. */
 export type TimeInterval = {readonly from: number; readonly to: number};
 
-/** A run of one of its tasks. */
+/** A run of a task of a job. */
 export type LoggedRun = TimeInterval & {
 	readonly step: number;
 	readonly isDone: boolean;
 };
 
-/** What is known of one job. */
+/** A job as reconstructed from the log. */
 export type LoggedJob = {
 	readonly id: string;
-	/** Service of its owner; absent if no owner took it in. */
+	/** Shard of its service; `undefined` if no owner accepted the job. */
 	shard: string | undefined;
 	queue: string | undefined;
 	submittedAt: number | undefined;
-	/** Answer to the latest call that handed it in. */
+	/** Outcome of the latest submit call. */
 	submitOutcome: string | undefined;
 	acceptedAt: number | undefined;
 	ownerAcceptedAt: number | undefined;
-	/** Its objective is this many times the longest chain of work ... */
+	/** Factor on the critical path in the job's objective. */
 	stretch: number;
-	/** ... and so much more. */
+	/** Fixed part of the job's objective, in milliseconds. */
 	targetLatencyMs: number;
-	/** Estimated time of that chain, in milliseconds. */
+	/** Estimated time of the critical path, in milliseconds. */
 	estimatedCriticalPathMs: number;
-	/** Cpu-milliseconds by the caller's estimate. */
+	/** Work by the caller's estimate, in CPU-milliseconds. */
 	work: number;
 	isLongRunning: boolean;
 	readonly runs: LoggedRun[];
@@ -42,20 +42,23 @@
 	endedAt: number | undefined;
 };
 
-/** What an owner said of itself. */
+/** State that an owner logged about itself. */
 export type OwnerReport = {
 	readonly at: number;
 	readonly shard: string;
 	readonly tasksOfUnknownPlace: number;
 };
 
-/** All that the lines tell. */
+/** Jobs and events reconstructed from the log. */
 export type LoggedJobs = {
 	readonly jobs: ReadonlyMap<string, LoggedJob>;
 	readonly owners: readonly OwnerReport[];
 	/** Takeovers of services. */
 	readonly takeovers: readonly OwnerReport[];
-	/** When the fleet's holder could not order moves. */
+	/**
+	 * Times when the holder of the fleet shard could not start moves, in
+	 * milliseconds since 1970.
+	 */
 	readonly blockedMoves: readonly number[];
 };
 
@@ -77,114 +80,114 @@
 	endedAt: undefined,
 });
 
-const toText = (value: unknown): string =>
+const readText = (value: unknown): string =>
 	typeof value === 'string' ? value : '';
 
-const toNumber = (value: unknown): number =>
+const readNumber = (value: unknown): number =>
 	typeof value === 'number' ? value : 0;
 
-/** Place of the step's number in the id of a task. */
-const stepPart = 2;
+/** Position of the step number in a task id. */
+const stepPosition = 2;
 
-const jobOfTask = (task: string): string => task.split('.', 1)[0] ?? '';
+const getJobId = (task: string): string => task.split('.', 1)[0] ?? '';
 
-type Reading = {
+type ReadState = {
 	readonly jobs: Map<string, LoggedJob>;
-	/** Starts whose end has not been read, by task and run. */
+	/** Start times of runs whose end has not been read, by task and run. */
 	readonly started: Map<string, number>;
 	readonly owners: OwnerReport[];
 	readonly takeovers: OwnerReport[];
 	readonly blockedMoves: number[];
 };
 
-const getJob = ({jobs}: Reading, id: string): LoggedJob => {
+const getJob = ({jobs}: ReadState, id: string): LoggedJob => {
 	const job = jobs.get(id) ?? createLoggedJob(id);
 	jobs.set(id, job);
 	return job;
 };
 
-const takeCall = (reading: Reading, {at, fields}: LogLine): void => {
+const applyCall = (state: ReadState, {at, fields}: LogLine): void => {
 	if (fields.call !== 'submit') {
 		return;
 	}
 
-	const job = getJob(reading, toText(fields.job));
-	const handedInAt = at - toNumber(fields.tookMs);
-	job.submittedAt = Math.min(job.submittedAt ?? handedInAt, handedInAt);
+	const job = getJob(state, readText(fields.job));
+	const submittedAt = at - readNumber(fields.tookMs);
+	job.submittedAt = Math.min(job.submittedAt ?? submittedAt, submittedAt);
 	if (job.acceptedAt === undefined) {
-		job.submitOutcome = toText(fields.outcome);
+		job.submitOutcome = readText(fields.outcome);
 		job.acceptedAt = fields.outcome === 'ok' ? at : undefined;
 	}
 };
 
-const takeIntake = (reading: Reading, {at, fields}: LogLine): void => {
-	const job = getJob(reading, toText(fields.job));
+const applyAcceptance = (state: ReadState, {at, fields}: LogLine): void => {
+	const job = getJob(state, readText(fields.job));
 	job.ownerAcceptedAt ??= at;
-	job.shard = toText(fields.shard);
-	job.queue = toText(fields.queue);
-	job.stretch = toNumber(fields.stretch);
-	job.targetLatencyMs = toNumber(fields.targetLatencyMs);
-	job.estimatedCriticalPathMs = toNumber(fields.chainMs);
-	job.work = toNumber(fields.work);
+	job.shard = readText(fields.shard);
+	job.queue = readText(fields.queue);
+	job.stretch = readNumber(fields.stretch);
+	job.targetLatencyMs = readNumber(fields.targetLatencyMs);
+	job.estimatedCriticalPathMs = readNumber(fields.chainMs);
+	job.work = readNumber(fields.work);
 	job.isLongRunning = fields.isLasting === true;
 };
 
-const takeStart = (reading: Reading, {at, fields}: LogLine): void => {
+const applyTaskStart = (state: ReadState, {at, fields}: LogLine): void => {
 	if (fields.outcome === 'started') {
-		const key = `${toText(fields.task)}/${toNumber(fields.run)}`;
-		reading.started.set(key, at - toNumber(fields.tookMs));
+		const key = `${readText(fields.task)}/${readNumber(fields.run)}`;
+		state.started.set(key, at - readNumber(fields.tookMs));
 	}
 };
 
-const takeRunEnd = (reading: Reading, {at, fields}: LogLine): void => {
-	const task = toText(fields.task);
-	const key = `${task}/${toNumber(fields.run)}`;
-	const from = reading.started.get(key);
+const applyRunEnd = (state: ReadState, {at, fields}: LogLine): void => {
+	const task = readText(fields.task);
+	const key = `${task}/${readNumber(fields.run)}`;
+	const from = state.started.get(key);
 	if (from === undefined) {
 		return;
 	}
 
-	reading.started.delete(key);
-	const job = getJob(reading, jobOfTask(task));
-	const step = Number(task.split('.')[stepPart]);
+	state.started.delete(key);
+	const job = getJob(state, getJobId(task));
+	const step = Number(task.split('.')[stepPosition]);
 	job.runs.push({from, to: at, step, isDone: fields.how === 'done'});
 };
 
-const takeJobEnd = (reading: Reading, {at, fields}: LogLine): void => {
-	const job = getJob(reading, toText(fields.job));
-	job.end = toText(fields.end);
+const applyJobEnd = (state: ReadState, {at, fields}: LogLine): void => {
+	const job = getJob(state, readText(fields.job));
+	job.end = readText(fields.end);
 	job.endedAt = at;
 };
 
-const toOwner = ({at, fields}: LogLine): OwnerReport => ({
+const toOwnerReport = ({at, fields}: LogLine): OwnerReport => ({
 	at,
-	shard: toText(fields.shard),
-	tasksOfUnknownPlace: toNumber(fields.tasksOfUnknownPlace),
+	shard: readText(fields.shard),
+	tasksOfUnknownPlace: readNumber(fields.tasksOfUnknownPlace),
 });
 
-const takers: Readonly<
-	Record<string, (reading: Reading, line: LogLine) => void>
+const handlers: Readonly<
+	Record<string, (state: ReadState, line: LogLine) => void>
 > = {
-	'call answered': takeCall,
-	'job taken in': takeIntake,
-	'task start': takeStart,
-	'task end': takeRunEnd,
-	'run given up': takeRunEnd,
-	'job ended': takeJobEnd,
+	'call answered': applyCall,
+	'job taken in': applyAcceptance,
+	'task start': applyTaskStart,
+	'task end': applyRunEnd,
+	'run given up': applyRunEnd,
+	'job ended': applyJobEnd,
 	'owner load'({owners}, line) {
-		owners.push(toOwner(line));
+		owners.push(toOwnerReport(line));
 	},
 	'service taken over'({takeovers}, line) {
-		takeovers.push(toOwner(line));
+		takeovers.push(toOwnerReport(line));
 	},
 	'orders not noted'({blockedMoves}, {at}) {
 		blockedMoves.push(at);
 	},
 };
 
-/** Reads lines of all entries, in any order. */
+/** Reconstructs jobs from the log lines of all entries, in any order. */
 export const readJobs = (lines: readonly LogLine[]): LoggedJobs => {
-	const reading: Reading = {
+	const state: ReadState = {
 		jobs: new Map(),
 		started: new Map(),
 		owners: [],
@@ -192,8 +195,8 @@
 		blockedMoves: [],
 	};
 	for (const line of lines.toSorted((one, two) => one.at - two.at)) {
-		takers[line.message]?.(reading, line);
+		handlers[line.message]?.(state, line);
 	}
 
-	return reading;
+	return state;
 };
--- a/packages/core/src/jobs/index.ts
+++ b/packages/core/src/jobs/index.ts
@@ -1,4 +1,4 @@
-/** Jobs: their rows, what follows from events, and the leases of tasks. */
+/** Jobs: their rows, transitions and task leases. */
 export * from './job-row.js';
 export * from './step-job.js';
 export * from './task-lease.js';
--- a/packages/core/src/jobs/job-row.ts
+++ b/packages/core/src/jobs/job-row.ts
@@ -1,17 +1,20 @@
 /**
- * The row of a job in the table service: the only truth about it.
+ * The row of a job in the table service, the only authoritative record of the
+ * job.
  * Source: docs/design/jobs.md.
  */
 import type {Job} from '../types/job.js';
 
-/** Why a job does not run. */
+/** Why a job is parked. */
 export type ParkReason =
 	'too-large' | 'over-quota' | 'fails-on-many-workers' | 'by-operator';
 
-/** Where a job stands. A token is that of its latest start. */
+/** State of a job. */
 export type JobState =
 	| {readonly kind: 'pending'; readonly checkpoint?: string}
-	/** Written before the worker is asked; the ask may have had effect. */
+	/**
+	 * Stored before the start command is sent; the worker may have executed it.
+	 */
 	| {
 			readonly kind: 'starting';
 			readonly worker: string;
@@ -22,7 +25,7 @@
 			readonly worker: string;
 			readonly checkpoint?: string;
 	  }
-	/** Asked to save its work and stop, to go on elsewhere. */
+	/** Commanded to save a checkpoint and stop, to continue elsewhere. */
 	| {
 			readonly kind: 'checkpointing';
 			readonly worker: string;
@@ -32,21 +35,21 @@
 	| {readonly kind: 'parked'; readonly reason: ParkReason}
 	| {readonly kind: 'done'}
 	| {readonly kind: 'cancelled'}
-	/** Not repeatable, and nobody knows whether it ran: for an operator. */
+	/** Not repeatable, and its outcome is unknown: an operator must decide. */
 	| {readonly kind: 'unknown'; readonly worker: string};
 
 /** A job's row. */
 export type JobRow = {
 	readonly job: Job;
 	readonly state: JobState;
-	/** Grows with each start; a worker refuses a lower one. */
+	/** Fencing token, incremented by each start; workers refuse a lower one. */
 	readonly token: number;
-	/** Starts that a worker may have carried out. */
+	/** Number of starts that a worker may have executed. */
 	readonly starts: number;
 	readonly failures: number;
 };
 
-/** A job as submitted. */
+/** Creates the row of a submitted job. */
 export const createJobRow = (job: Job): JobRow => ({
 	job,
 	state: {kind: 'pending'},
@@ -55,12 +58,12 @@
 	failures: 0,
 });
 
-/** States that nothing but an operator leaves. */
+/** Whether a job is in a state that only an operator can change. */
 export const isEnded = ({state}: JobRow): boolean =>
 	state.kind === 'done' ||
 	state.kind === 'cancelled' ||
 	state.kind === 'unknown';
 
-/** The worker that may be running the job. */
+/** Returns the worker that may be running the job. */
 export const getWorker = ({state}: JobRow): string | undefined =>
 	'worker' in state && state.kind !== 'unknown' ? state.worker : undefined;
--- a/packages/core/src/jobs/jobs.test.ts
+++ b/packages/core/src/jobs/jobs.test.ts
@@ -30,7 +30,7 @@
 
 const placed = {kind: 'placed', worker: 'w'} as const;
 const running = {kind: 'seen-running', token: 1} as const;
-const over = {kind: 'lease-over', token: 1} as const;
+const expired = {kind: 'lease-over', token: 1} as const;
 const refused = {kind: 'not-started', token: 1} as const;
 const failed = {kind: 'seen-failed', token: 1} as const;
 const cancel = {kind: 'cancel'} as const;
@@ -48,48 +48,53 @@
 const unknown = {kind: 'unknown', worker: 'w'} as const;
 const cancelled = {kind: 'cancelled'} as const;
 
-const table: Row[] = [
-	['a lost worker, repeatable', true, [placed, running, over], pending],
-	['a lost worker, not repeatable', false, [placed, running, over], unknown],
-	['a start in doubt, not repeatable', false, [placed, over], unknown],
-	['a refused start, not repeatable', false, [placed, refused], pending],
-	['a failure, not repeatable', false, [placed, running, failed], unknown],
-	['a failure, repeatable', true, [placed, running, failed], pending],
+const cases: Row[] = [
+	['lost worker, repeatable', true, [placed, running, expired], pending],
+	['lost worker, not repeatable', false, [placed, running, expired], unknown],
+	['unconfirmed start, not repeatable', false, [placed, expired], unknown],
+	['refused start, not repeatable', false, [placed, refused], pending],
+	['failure, not repeatable', false, [placed, running, failed], unknown],
+	['failure, repeatable', true, [placed, running, failed], pending],
 	[
-		'a job that moves goes on from its checkpoint',
+		'a relocated job continues from its checkpoint',
 		true,
 		[placed, running, relocate, saved],
 		{kind: 'pending', checkpoint: 'x'},
 	],
 	[
-		'a lost worker after a move goes back to the checkpoint',
+		'a worker lost after a relocation returns the job to its checkpoint',
 		true,
-		[placed, running, relocate, saved, placed, {...over, token: 2}],
+		[placed, running, relocate, saved, placed, {...expired, token: 2}],
 		{kind: 'pending', checkpoint: 'x'},
 	],
 	[
-		'a report of an earlier start changes nothing',
+		'an event of an earlier start changes nothing',
 		true,
-		[placed, running, over, placed, {kind: 'seen-done', token: 1}],
+		[placed, running, expired, placed, {kind: 'seen-done', token: 1}],
 		{kind: 'starting', worker: 'w'},
 	],
 	[
-		'not repeatable, and not moved',
+		'a job that is not repeatable is not relocated',
 		false,
 		[placed, running, relocate],
 		{kind: 'running', worker: 'w'},
 	],
-	['cancelled while it waits', true, [cancel], cancelled],
+	['cancelled while pending', true, [cancel], cancelled],
 	[
-		'cancelled while a start is in doubt',
+		'cancelled before its start is confirmed',
 		true,
 		[placed, cancel],
 		{kind: 'cancelling', worker: 'w'},
 	],
-	['cancelled, and never started', false, [placed, cancel, refused], cancelled],
-	['cancelled, and lost', true, [placed, running, cancel, over], cancelled],
+	['cancelled, never started', false, [placed, cancel, refused], cancelled],
 	[
-		'done before the stop came',
+		'cancelled, worker lost',
+		true,
+		[placed, running, cancel, expired],
+		cancelled,
+	],
+	[
+		'done before the stop arrived',
 		true,
 		[placed, running, cancel, {kind: 'seen-done', token: 1}],
 		{kind: 'done'},
@@ -101,20 +106,20 @@
 		{kind: 'parked', reason: 'too-large'},
 	],
 	[
-		'parked and let run again',
+		'parked, then allowed to run again',
 		true,
 		[{kind: 'blamed'}, {kind: 'resolve', as: 'run-again'}],
 		pending,
 	],
 	[
-		'unknown, and an operator knows that it did not run',
+		'unknown, resolved by an operator as not run',
 		false,
-		[placed, over, {kind: 'resolve', as: 'not-run'}],
+		[placed, expired, {kind: 'resolve', as: 'not-run'}],
 		pending,
 	],
 ];
 
-for (const [name, repeatable, events, state] of table) {
+for (const [name, repeatable, events, state] of cases) {
 	tap.t.test(name, async (t) => {
 		t.same(run(repeatable, events).row.state, state);
 	});
@@ -147,12 +152,12 @@
 
 const runs = {seed: 11, numRuns: 5000};
 
-tap.t.test('a job that may not be repeated starts once', async (t) => {
+tap.t.test('a job that is not repeatable starts once', async (t) => {
 	fc.assert(
 		fc.property(fc.array(event, {maxLength: 30}), (events) => {
 			const {row, actions} = run(false, events);
 			const starts = actions.filter((each) => each.kind === 'start').length;
-			// Each start but the last was certainly not carried out.
+			// Each start but the last was certainly not executed.
 			return row.starts <= 1 && starts === row.token;
 		}),
 		runs,
@@ -178,7 +183,7 @@
 	t.pass();
 });
 
-tap.t.test('a lease is over only when no request can extend it', async (t) => {
+tap.t.test('a lease expires only when no request can extend it', async (t) => {
 	const cfg = jobs.defaultTaskLeaseConfig;
 	const sent = jobs.recordRenewal(jobs.startLease(0), 10_000, false);
 	t.ok(jobs.isRenewalDue(sent, 15_000), 'an unanswered renewal is repeated');
@@ -187,5 +192,9 @@
 	t.notOk(jobs.isLeaseExpired(sent, end));
 	t.ok(jobs.isLeaseExpired(sent, end + 1));
 	const older = jobs.recordRenewal(sent, 5000, true);
-	t.equal(older.lastSentAt, 10_000, 'an older reply shortens nothing');
+	t.equal(
+		older.lastSentAt,
+		10_000,
+		'an older reply does not shorten the lease',
+	);
 });
--- a/packages/core/src/jobs/step-job.ts
+++ b/packages/core/src/jobs/step-job.ts
@@ -1,42 +1,47 @@
 /**
- * What follows for a job from an event. The new row is committed on the old
- * row's version and the holder's fencing token before any action is taken; a
- * holder that resumes from a pause commits nothing and does nothing.
+ * State transitions of a job. The new row is committed on condition of the old
+ * row's version and the holder's fencing token before any action is taken, so
+ * that a holder that resumes after a pause neither commits nor acts.
  * Source: docs/design/jobs.md.
  */
 import {match} from 'ts-pattern';
 import type {JobRow, JobState, ParkReason} from './job-row.js';
 
-/** What happened. Events of an older start carry its token. */
+/** An event of a job. Events of a start carry its token. */
 export type JobEvent =
 	| {readonly kind: 'placed'; readonly worker: string}
-	/** Placement found that no worker or quota could ever hold it. */
+	/** Placement found that no worker or quota can ever fit the job. */
 	| {readonly kind: 'impossible'; readonly reason: ParkReason}
-	/** The worker refused, or was not reached: it certainly did not start. */
+	/**
+	 * The worker refused the start or was not reached: the job certainly did
+	 * not start.
+	 */
 	| {readonly kind: 'not-started'; readonly token: number}
 	| {readonly kind: 'seen-running'; readonly token: number}
 	| {readonly kind: 'seen-done'; readonly token: number}
 	| {readonly kind: 'seen-failed'; readonly token: number}
-	/** Stopped at a checkpoint, by our request. */
+	/** The job stopped at a checkpoint, as commanded. */
 	| {
 			readonly kind: 'checkpointed';
 			readonly token: number;
 			readonly checkpoint: string;
 	  }
-	/** Stopped by our request, without a checkpoint. */
+	/** The job stopped without a checkpoint, as commanded. */
 	| {readonly kind: 'seen-stopped'; readonly token: number}
-	/** The worker has been silent until its lease was certainly over. */
+	/** The worker was unresponsive until its lease had certainly expired. */
 	| {readonly kind: 'lease-over'; readonly token: number}
 	| {readonly kind: 'relocate'}
 	| {readonly kind: 'blamed'}
 	| {readonly kind: 'cancel'}
-	/** An operator says what became of an unknown job, or lets one run. */
+	/**
+	 * An operator sets the outcome of an unknown job, or lets a job run again.
+	 */
 	| {
 			readonly kind: 'resolve';
 			readonly as: 'done' | 'not-run' | 'run-again';
 	  };
 
-/** What to do once the row is committed. */
+/** Action to take once the row is committed. */
 export type JobAction =
 	| {
 			readonly kind: 'start';
@@ -51,13 +56,13 @@
 	  }
 	| {readonly kind: 'stop'; readonly worker: string; readonly token: number};
 
-/** The row to commit and what to do then; no row if nothing changes. */
+/** The row to commit and the action that follows; no row if nothing changes. */
 export type JobStep = {
 	readonly row?: JobRow;
 	readonly action?: JobAction;
 };
 
-const nothing: JobStep = {};
+const unchanged: JobStep = {};
 
 const withState = (row: JobRow, state: JobState): JobStep => ({
 	row: {...row, state},
@@ -70,7 +75,7 @@
 
 const place = (row: JobRow, worker: string): JobStep => {
 	if (row.state.kind !== 'pending') {
-		return nothing;
+		return unchanged;
 	}
 
 	const token = row.token + 1;
@@ -86,8 +91,8 @@
 	};
 };
 
-/** Back to the queue after a start that certainly did nothing. */
-const takeBackStart = (row: JobRow): JobStep => {
+/** Returns a job to the queue after a start that was certainly not executed. */
+const undoStart = (row: JobRow): JobStep => {
 	const starts = row.starts - 1;
 	return match(row.state)
 		.returnType<JobStep>()
@@ -101,17 +106,18 @@
 		.with({kind: 'cancelling'}, () => ({
 			row: {...row, starts, state: {kind: 'cancelled'}},
 		}))
-		.otherwise(() => nothing);
+		.otherwise(() => unchanged);
 };
 
-const noteRunning = (row: JobRow): JobStep =>
+const recordRunning = (row: JobRow): JobStep =>
 	row.state.kind === 'starting'
 		? withState(row, {...row.state, kind: 'running'})
-		: nothing;
+		: unchanged;
 
 /**
- * A run that ended without its work done: a repeatable job goes back to the
- * queue; another one ran in part and is never started again by itself.
+ * Ends a run that did not complete its work. A repeatable job returns to the
+ * queue; any other job may have run in part and is never restarted
+ * automatically.
  */
 const endRun = (row: JobRow, failures: number): JobStep => {
 	const {state, job} = row;
@@ -126,17 +132,18 @@
 	return {row: {...row, failures, state: next}};
 };
 
-const takeCheckpoint = (row: JobRow, checkpoint: string): JobStep =>
+const applyCheckpoint = (row: JobRow, checkpoint: string): JobStep =>
 	row.state.kind === 'checkpointing'
 		? withState(row, {kind: 'pending', checkpoint})
 		: endRun(row, row.failures);
 
 const relocate = (row: JobRow): JobStep => {
 	const {state, token, job} = row;
-	// Going on from a checkpoint is a second start: only for repeatable work.
+	// Continuing from a checkpoint is a second start, so the job must be
+	// repeatable.
 	const mayMove = job.repeatable && job.canCheckpoint;
 	if (state.kind !== 'running' || !mayMove) {
-		return nothing;
+		return unchanged;
 	}
 
 	const {worker} = state;
@@ -166,7 +173,7 @@
 			{kind: 'done'},
 			{kind: 'cancelled'},
 			{kind: 'unknown'},
-			() => nothing,
+			() => unchanged,
 		)
 		.exhaustive();
 
@@ -181,37 +188,40 @@
 
 	return kind === 'parked' && as === 'run-again'
 		? withState(row, {kind: 'pending'})
-		: nothing;
+		: unchanged;
 };
 
 const park = (row: JobRow, reason: ParkReason): JobStep =>
 	row.state.kind === 'pending'
 		? withState(row, {kind: 'parked', reason})
-		: nothing;
+		: unchanged;
 
-/** An event of an older start, or of one that has ended, changes nothing. */
+/**
+ * Whether an event belongs to the current start; events of an older or ended
+ * start change nothing.
+ */
 const isCurrent = (row: JobRow, event: JobEvent): boolean =>
 	!('token' in event) ||
 	(event.token === row.token &&
 		'worker' in row.state &&
 		row.state.kind !== 'unknown');
 
-/** Applies one event. */
+/** Applies one event to the row of a job. */
 export const stepJob = (row: JobRow, event: JobEvent): JobStep => {
 	if (!isCurrent(row, event)) {
-		return nothing;
+		return unchanged;
 	}
 
 	return match(event)
 		.returnType<JobStep>()
 		.with({kind: 'placed'}, ({worker}) => place(row, worker))
 		.with({kind: 'impossible'}, ({reason}) => park(row, reason))
-		.with({kind: 'not-started'}, () => takeBackStart(row))
-		.with({kind: 'seen-running'}, () => noteRunning(row))
+		.with({kind: 'not-started'}, () => undoStart(row))
+		.with({kind: 'seen-running'}, () => recordRunning(row))
 		.with({kind: 'seen-done'}, () => withState(row, {kind: 'done'}))
 		.with({kind: 'seen-failed'}, () => endRun(row, row.failures + 1))
 		.with({kind: 'checkpointed'}, ({checkpoint}) =>
-			takeCheckpoint(row, checkpoint),
+			applyCheckpoint(row, checkpoint),
 		)
 		.with({kind: 'seen-stopped'}, {kind: 'lease-over'}, () =>
 			endRun(row, row.failures),
--- a/packages/core/src/jobs/task-lease.ts
+++ b/packages/core/src/jobs/task-lease.ts
@@ -1,22 +1,25 @@
 /**
- * Leases of tasks as their holder sees them: when to renew and when a silent
- * worker's lease is certainly over. Times are the holder's own; a worker's
- * clock may run slower by `maxDrift`.
+ * Leases of tasks as seen by their holder: when to renew one and when the lease
+ * of an unresponsive worker has certainly expired. Times are of the holder's
+ * local clock; a worker's clock may run slower by `maxDrift`.
  * Source: docs/design/jobs.md.
  */
 
 /** Settings of task leases. */
 export type TaskLeaseConfig = {
 	readonly leaseMs: number;
-	/** Time before the end at which a lease is renewed. */
+	/** Time before expiry at which a lease is renewed. */
 	readonly renewBeforeMs: number;
-	/** How much slower a worker's clock may run, as a share. */
+	/**
+	 * Maximum clock drift: how much slower a worker's clock may run, as a
+	 * share.
+	 */
 	readonly maxDrift: number;
-	/** Longest time that a request may be under way. */
+	/** Maximum time that a request may be in transit. */
 	readonly maxTransitMs: number;
 };
 
-/** Settings in force when none are given. */
+/** Default settings. */
 export const defaultTaskLeaseConfig: TaskLeaseConfig = {
 	leaseMs: 30_000,
 	renewBeforeMs: 15_000,
@@ -26,26 +29,26 @@
 
 /** The lease of one task. */
 export type TaskLease = {
-	/** When the last request that may have extended it was sent. */
+	/** When the last request that may have extended the lease was sent. */
 	readonly lastSentAt: number;
-	/** When a request that certainly extended it was sent. */
+	/** When the last request that certainly extended the lease was sent. */
 	readonly confirmedAt: number;
 };
 
-/** A lease that this holder has just asked for. */
+/** Creates a lease that this holder requests now. */
 export const startLease = (now: number): TaskLease => ({
 	lastSentAt: now,
 	confirmedAt: now,
 });
 
 /**
- * A lease taken over from another holder: its last request may have been
- * sent just before this holder's fencing token was taken.
+ * Creates a lease taken over from another holder, whose last request may have
+ * been sent just before this holder acquired its fencing token.
  */
 export const takeOverLease = (takenOverAt: number): TaskLease =>
 	startLease(takenOverAt);
 
-/** A renewal was sent at `sentAt`; its reply may never come. */
+/** Records a renewal sent at `sentAt`, whether or not its reply arrived. */
 export const recordRenewal = (
 	lease: TaskLease,
 	sentAt: number,
@@ -57,21 +60,21 @@
 		: lease.confirmedAt,
 });
 
-/** Whether to renew now. */
+/** Whether the lease must be renewed now. */
 export const isRenewalDue = (
 	lease: TaskLease,
 	now: number,
 	cfg: TaskLeaseConfig = defaultTaskLeaseConfig,
 ): boolean => now - lease.confirmedAt >= cfg.leaseMs - cfg.renewBeforeMs;
 
-/** When the worker has certainly stopped the task by itself. */
+/** Latest time at which the worker stops the task by itself. */
 export const getLatestExpiry = (
 	lease: TaskLease,
 	cfg: TaskLeaseConfig = defaultTaskLeaseConfig,
 ): number =>
 	lease.lastSentAt + cfg.maxTransitMs + cfg.leaseMs * (1 + cfg.maxDrift);
 
-/** Whether a silent worker's lease is certainly over. */
+/** Whether the lease of an unresponsive worker has certainly expired. */
 export const isLeaseExpired = (
 	lease: TaskLease,
 	now: number,
--- a/packages/core/src/store/breaker.ts
+++ b/packages/core/src/store/breaker.ts
@@ -1,26 +1,26 @@
 /**
- * Circuit breaker before the table service. While open it refuses at once;
- * then one probe at a time goes through; after the return the admitted rate
- * rises slowly, so that many daemons do not return as one burst.
+ * Circuit breaker for the table service. While open, it refuses calls at once;
+ * then it admits one probe at a time. After recovery the admitted rate rises
+ * slowly, so that daemons do not return in one burst.
  * Source: M. Nygard, Release It!; docs/design/platform-port.md.
  */
 import {match} from 'ts-pattern';
 
 /** Settings of a breaker; times in milliseconds. */
 export type BreakerConfig = {
-	/** Failures in a row that open it. */
+	/** Consecutive failures that open the breaker. */
 	readonly openAfterFailures: number;
 	readonly firstOpenMs: number;
 	readonly maxOpenMs: number;
-	/** A probe without an outcome counts as failed after this. */
+	/** Time after which a probe without an outcome counts as failed. */
 	readonly probeTimeoutMs: number;
-	/** Time in which the admitted rate rises to all of it. */
+	/** Time in which the admitted rate rises to the full rate. */
 	readonly rampMs: number;
-	/** Share of the rate right after the return, from 0 to 1. */
+	/** Share of the rate at recovery, from 0 to 1. */
 	readonly firstShare: number;
 };
 
-/** Settings in force when none are given. */
+/** Default settings. */
 export const defaultBreakerConfig: BreakerConfig = {
 	openAfterFailures: 5,
 	firstOpenMs: 500,
@@ -35,10 +35,10 @@
 	| {
 			readonly kind: 'closed';
 			readonly failures: number;
-			/** When it last closed; absent if it never opened. */
+			/** When the breaker last closed; absent if it never opened. */
 			readonly closedAt?: number;
 	  }
-	/** `openings` counts those since it was last closed. */
+	/** `openings` counts how often it opened since it was last closed. */
 	| {readonly kind: 'open'; readonly until: number; readonly openings: number}
 	| {
 			readonly kind: 'probing';
@@ -46,16 +46,19 @@
 			readonly openings: number;
 	  };
 
-/** A breaker that has seen nothing. */
+/** Initial state. */
 export const closedBreaker: Breaker = {kind: 'closed', failures: 0};
 
-/** Whether a call may go, and the state after it has been asked. */
+/** The decision on a call and the new state. */
 export type Admission = {
 	readonly breaker: Breaker;
 	readonly isAdmitted: boolean;
 };
 
-/** Decides on one call. An admitted call must report its outcome. */
+/**
+ * Decides whether a call is admitted. The caller must report the outcome of an
+ * admitted call.
+ */
 export const admitCall = (
 	breaker: Breaker,
 	cfg: BreakerConfig,
@@ -81,14 +84,14 @@
 		)
 		.exhaustive();
 
-/** True if a call that starts now would be refused; changes nothing. */
+/** Whether a call that starts now would be refused; changes nothing. */
 export const isRefusing = (
 	breaker: Breaker,
 	cfg: BreakerConfig,
 	now: number,
 ): boolean => !admitCall(breaker, cfg, now).isAdmitted;
 
-/** Takes in a call that the service answered. */
+/** Records a call that the service answered. */
 export const recordAnswer = (breaker: Breaker, now: number): Breaker =>
 	match(breaker)
 		.with({kind: 'closed'}, (closed) =>
@@ -99,22 +102,25 @@
 			failures: 0,
 			closedAt: now,
 		}))
-		// A late answer to a call from before; the probe will tell.
+		// A late answer to an earlier call; only the probe decides.
 		.with({kind: 'open'}, (open) => open)
 		.exhaustive();
 
-/** Half to all of an exponentially growing time. */
+/**
+ * Exponentially growing open time, with jitter on its upper half, in
+ * milliseconds.
+ */
 const getOpenMs = (
 	cfg: BreakerConfig,
 	openings: number,
 	random: number,
 ): number => {
-	const grownMs = cfg.firstOpenMs * 2 ** Math.min(openings, 30);
-	return Math.min(cfg.maxOpenMs, grownMs) * (0.5 + random / 2);
+	const uncappedMs = cfg.firstOpenMs * 2 ** Math.min(openings, 30);
+	return Math.min(cfg.maxOpenMs, uncappedMs) * (0.5 + random / 2);
 };
 
 /**
- * Takes in a call that failed as unavailable or timed out.
+ * Records a call that failed as unavailable or timed out.
  * @param random - A number in [0, 1) for jitter.
  */
 export const recordFailure = (
@@ -138,7 +144,7 @@
 		.exhaustive();
 };
 
-/** Share of the rate that may be used now, from 0 to 1. */
+/** Share of the rate that is admitted now, from 0 to 1. */
 export const getRampShare = (
 	breaker: Breaker,
 	cfg: BreakerConfig,
@@ -152,6 +158,6 @@
 		return 1;
 	}
 
-	const passed = Math.max(0, now - breaker.closedAt) / cfg.rampMs;
-	return Math.min(1, cfg.firstShare + (1 - cfg.firstShare) * passed);
+	const elapsedShare = Math.max(0, now - breaker.closedAt) / cfg.rampMs;
+	return Math.min(1, cfg.firstShare + (1 - cfg.firstShare) * elapsedShare);
 };
--- a/packages/core/src/store/demand.ts
+++ b/packages/core/src/store/demand.ts
@@ -1,12 +1,12 @@
 /**
- * Demand for a rate, as an exponentially weighted average of what was asked
- * for, whether it was granted or not.
+ * Demand for a rate, as an exponentially weighted average of requested tokens,
+ * whether granted or not.
  */
 
-/** The average; updated in place. */
+/** State of the average; updated in place. */
 export type Demand = {
 	perSecond: number;
-	/** When `perSecond` was right, in milliseconds. */
+	/** Time at which `perSecond` was computed, in milliseconds. */
 	updatedAt: number;
 };
 
@@ -15,19 +15,19 @@
 
 const msPerSecond = 1000;
 
-/** A demand that starts at a value. */
+/** Creates a demand with an initial value. */
 export const createDemand = (perSecond: number, now: number): Demand => ({
 	perSecond,
 	updatedAt: now,
 });
 
-/** The demand at a time. */
+/** Returns the demand at a time, per second. */
 export const getDemand = (demand: Demand, now: number): number => {
 	const elapsedMs = Math.max(0, now - demand.updatedAt);
 	return demand.perSecond * Math.exp(-elapsedMs / averageMs);
 };
 
-/** Counts tokens that were asked for. */
+/** Records requested tokens. */
 export const recordDemand = (
 	demand: Demand,
 	tokens: number,
--- a/packages/core/src/store/index.ts
+++ b/packages/core/src/store/index.ts
@@ -1,4 +1,4 @@
-/** Decisions of a client of the table service. */
+/** Decisions of a table service client. */
 export * from './token-bucket.js';
 export * from './rate-share.js';
 export * from './demand.js';
--- a/packages/core/src/store/read-back.ts
+++ b/packages/core/src/store/read-back.ts
@@ -1,35 +1,41 @@
 /**
- * What became of a transaction whose reply was lost, told from a row that it
- * wrote. A transaction that no longer can commit is told apart from one that
- * may still be under way.
+ * Determines the outcome of a transaction whose reply was lost by reading back
+ * a row that it wrote. Distinguishes a transaction that can no longer commit
+ * from one that may still be in progress.
  * Source: docs/design/platform-port.md.
  */
 import {match} from 'ts-pattern';
 
 /**
- * The row by which a transaction is known.
- * `write-once` rows are created by it and never changed or deleted while
- * anyone may ask; a `shared` row has a version that the transaction expects.
+ * How the witness row identifies a transaction. A `write-once` row is created
+ * by the transaction and neither changed nor deleted while anyone may read it
+ * back. A `shared` row has a version that the transaction expects.
  */
 export type Witness =
 	| {readonly kind: 'write-once'}
 	| {readonly kind: 'shared'; readonly expectedVersion: number};
 
-/** The witness row as it was read; undefined if there is none. */
+/** The witness row as read; `undefined` if there is none. */
 export type WitnessRow =
 	{readonly version: number; readonly operationId: string} | undefined;
 
-/** What a read of the witness says. */
+/** Outcome of a transaction according to its witness row. */
 export type ReadBackVerdict =
 	| {readonly kind: 'committed'; readonly version: number}
-	/** Another transaction took its place: it never commits. */
+	/** Another transaction committed instead: this one never will. */
 	| {readonly kind: 'superseded'}
-	/** Not yet: it may be under way; the same writes may be sent again. */
+	/**
+	 * Not committed yet: it may be in progress, and the same writes may be sent
+	 * again.
+	 */
 	| {readonly kind: 'pending'}
-	/** The row has moved on, and its maker is no longer told. */
+	/**
+	 * The row has a newer version, which no longer shows whether this
+	 * transaction committed.
+	 */
 	| {readonly kind: 'overwritten'};
 
-/** Judges one read of the witness. */
+/** Evaluates one read of the witness row. */
 export const judgeWitness = (
 	witness: Witness,
 	row: WitnessRow,
@@ -51,20 +57,21 @@
 		.exhaustive();
 };
 
-/** Settings of a commit that is read back; times in milliseconds. */
+/** Settings of reading back a commit; times in milliseconds. */
 export type ReadBackConfig = {
 	readonly firstDelayMs: number;
 	readonly maxDelayMs: number;
 };
 
-/** Settings in force when none are given. */
+/** Default settings. */
 export const defaultReadBackConfig: ReadBackConfig = {
 	firstDelayMs: 50,
 	maxDelayMs: 2000,
 };
 
 /**
- * Time before the next attempt, with full jitter on its upper half.
+ * Delay before the next attempt, with jitter on its upper half, in
+ * milliseconds.
  * @param attempt - Attempts so far, from 1.
  * @param random - A number in [0, 1).
  */
@@ -73,6 +80,6 @@
 	attempt: number,
 	random: number,
 ): number => {
-	const grownMs = cfg.firstDelayMs * 2 ** Math.min(attempt - 1, 30);
-	return Math.min(cfg.maxDelayMs, grownMs) * (0.5 + random / 2);
+	const uncappedMs = cfg.firstDelayMs * 2 ** Math.min(attempt - 1, 30);
+	return Math.min(cfg.maxDelayMs, uncappedMs) * (0.5 + random / 2);
 };
--- a/packages/core/src/store/store.test.ts
+++ b/packages/core/src/store/store.test.ts
@@ -3,7 +3,7 @@
 import * as tap from 'tap';
 import * as store from './index.js';
 
-tap.t.test('no second sees more than the rate', async (t) => {
+tap.t.test('no second exceeds the rate', async (t) => {
 	const rate = 50;
 	t.doesNotThrow(() => {
 		fc.assert(
@@ -26,7 +26,8 @@
 						const sum = used
 							.filter(({at}) => at >= from && at < from + 1000)
 							.reduce((total, {count}) => total + count, 0);
-						// A call's tokens were saved up before it, at most its own count.
+						// The allowance is one call's count, since its tokens
+						// may have been saved up before.
 						assert.ok(sum <= rate + 6, `${sum} in a second`);
 					}
 				},
@@ -54,10 +55,15 @@
 });
 
 const shares: Array<[string, number, Array<number | undefined>, number]> = [
-	['all want more', 100, [100, 100, 100], 25],
-	['others are idle but keep their floors', 100, [0, 0, 0], 62.5],
-	['idle keeps its floor', 0, [100, 100, 100], 12.5],
-	['silent ones count with an equal share', 100, [undefined, 0, 0], 50],
+	['all daemons need more', 100, [100, 100, 100], 25],
+	['idle daemons keep their guaranteed part', 100, [0, 0, 0], 62.5],
+	['an idle daemon keeps its guaranteed part', 0, [100, 100, 100], 12.5],
+	[
+		'daemons without a report count with an equal share',
+		100,
+		[undefined, 0, 0],
+		50,
+	],
 ];
 for (const [name, own, others, share] of shares) {
 	tap.t.test(`share: ${name}`, async (t) => {
@@ -65,7 +71,7 @@
 	});
 }
 
-tap.t.test('shares never add up to more than the rate', async (t) => {
+tap.t.test('the sum of shares never exceeds the rate', async (t) => {
 	t.doesNotThrow(() => {
 		fc.assert(
 			fc.property(fc.array(fc.nat(200), {minLength: 1}), (demands) => {
@@ -93,7 +99,7 @@
 	return breaker;
 };
 
-tap.t.test('opens after failures in a row only', async (t) => {
+tap.t.test('opens only after consecutive failures', async (t) => {
 	let breaker = failTimes(cfg.openAfterFailures - 1, 0);
 	t.notOk(store.isRefusing(breaker, cfg, 0));
 	breaker = store.recordAnswer(breaker, 0);
@@ -102,7 +108,7 @@
 	t.ok(store.isRefusing(failTimes(cfg.openAfterFailures, 0), cfg, 0));
 });
 
-tap.t.test('sends one probe at a time and backs off', async (t) => {
+tap.t.test('admits one probe at a time and backs off', async (t) => {
 	const open = failTimes(cfg.openAfterFailures, 0);
 	t.match(open, {kind: 'open', until: 375, openings: 1});
 	const first = store.admitCall(open, cfg, 375);
@@ -115,7 +121,7 @@
 	t.match(again, {kind: 'open', until: 1150, openings: 2});
 });
 
-tap.t.test('the rate rises slowly after the return', async (t) => {
+tap.t.test('the rate rises slowly after recovery', async (t) => {
 	const open = failTimes(cfg.openAfterFailures, 0);
 	const {breaker} = store.admitCall(open, cfg, 1000);
 	const closed = store.recordAnswer(breaker, 1000);
@@ -133,7 +139,7 @@
 	[once, {version: 4, operationId: 'other'}, 'superseded'],
 	[shared, {version: 3, operationId: 'before'}, 'pending'],
 	[shared, {version: 4, operationId: 'own'}, 'committed'],
-	// Own commit may lie under the other's.
+	// The own commit may have been overwritten by the other one.
 	[shared, {version: 5, operationId: 'other'}, 'overwritten'],
 	[shared, undefined, 'overwritten'],
 ];
--- a/packages/core/src/store/token-bucket.ts
+++ b/packages/core/src/store/token-bucket.ts
@@ -1,31 +1,32 @@
 /**
- * Token bucket that lends: a call reserves its tokens at once and is told how
- * long to wait for them, so that callers queue in order without a queue.
+ * Token bucket with reservations: a call reserves its tokens at once and learns
+ * how long to wait for them, so that callers are served in order without a
+ * queue.
  * Source: docs/design/platform-port.md.
  */
 
 /** Settings of a bucket. */
 export type TokenBucketConfig = {
 	readonly tokensPerSecond: number;
-	/** Tokens kept at most. */
+	/** Maximum number of saved tokens. */
 	readonly burst: number;
 };
 
-/** The bucket; updated in place. */
+/** State of a bucket; updated in place. */
 export type TokenBucket = {
 	cfg: TokenBucketConfig;
-	/** Negative while tokens are lent. */
+	/** Negative while tokens are reserved in advance. */
 	tokens: number;
-	/** When `tokens` was right, in milliseconds. */
+	/** Time at which `tokens` was computed, in milliseconds. */
 	updatedAt: number;
 };
 
 const msPerSecond = 1000;
 
 /**
- * Splits a rate into a steady part and a burst, so that no second ever sees
- * more than the rate. The burst is at least one token: below that every call
- * would wait, also that of an idle daemon.
+ * Splits a rate into a steady part and a burst, so that no second exceeds the
+ * rate. The burst is at least one token: with less, every call would wait, even
+ * on an idle daemon.
  */
 export const createBucketConfig = (
 	ratePerSecond: number,
@@ -35,7 +36,7 @@
 	burst: Math.max(1, ratePerSecond * burstShare),
 });
 
-/** Makes an empty bucket: a daemon that starts has no burst to spend. */
+/** Creates an empty bucket, so that a restart grants no burst. */
 export const createTokenBucket = (
 	cfg: TokenBucketConfig,
 	now: number,
@@ -51,7 +52,7 @@
 	bucket.updatedAt = Math.max(now, bucket.updatedAt);
 };
 
-/** Changes the rate; tokens above the new burst are lost. */
+/** Changes the rate; tokens above the new burst are discarded. */
 export const updateRate = (
 	bucket: TokenBucket,
 	cfg: TokenBucketConfig,
@@ -62,7 +63,7 @@
 	bucket.tokens = Math.min(bucket.tokens, cfg.burst);
 };
 
-/** Takes back what was saved up; what is lent stays lent. */
+/** Discards saved tokens; reservations stay. */
 export const drainTokens = (bucket: TokenBucket, now: number): void => {
 	refill(bucket, now);
 	bucket.tokens = Math.min(bucket.tokens, 0);
@@ -71,7 +72,7 @@
 /**
  * Reserves tokens.
  * @returns The time to wait before they may be used, in milliseconds;
- * undefined, and nothing is reserved, if that is above `maxWaitMs`.
+ * `undefined`, without a reservation, if that exceeds `maxWaitMs`.
  */
 export const reserveTokens = (
 	bucket: TokenBucket,
--- a/packages/core/src/types/job.ts
+++ b/packages/core/src/types/job.ts
@@ -1,24 +1,27 @@
 /** Jobs and the workers that they are placed on. */
 import type {Placement} from './instance.js';
 
-/** Amounts of what a worker has and a job uses. */
+/** Amounts of resources of a worker or a job. */
 export type Resources = {
 	readonly cores: number;
 	readonly memoryMb: number;
 	readonly accelerators: number;
 };
 
-/** A job as its customer declares it; declared sizes are often wrong. */
+/**
+ * A job as its customer declares it; the declared resources are often
+ * inaccurate.
+ */
 export type Job = {
 	readonly id: string;
 	readonly customer: string;
-	/** Starts within the contract's `urgentStartMs`, if capacity allows. */
+	/** Whether it should start within the contract's `urgentStartMs`. */
 	readonly urgent: boolean;
-	/** May be started again after it ran in part. */
+	/** Whether it may be started again after a partial run. */
 	readonly repeatable: boolean;
-	/** Whether it can stop at a checkpoint and go on elsewhere. */
+	/** Whether it can stop at a checkpoint and continue on another worker. */
 	readonly canCheckpoint: boolean;
-	/** Whether it can run on with a share of its cores. */
+	/** Whether it can continue with a share of its cores. */
 	readonly canThrottle: boolean;
 	readonly declared: Resources;
 	readonly submittedAt: number;
@@ -29,6 +32,6 @@
 	readonly id: string;
 	readonly pool: string;
 	readonly capacity: Resources;
-	/** Whether it may get new tasks. */
+	/** Whether it accepts new tasks. */
 	readonly isOpen: boolean;
 };
--- a/packages/core/src/types/outcome.ts
+++ b/packages/core/src/types/outcome.ts
@@ -1,18 +1,19 @@
-/** What a caller may conclude about a request from its answer. */
+/** What a caller can conclude about a request from its response. */
 
-/** `ran` once, certainly `not-run`, or `unknown`. */
+/**
+ * The request `ran` once, certainly did `not-run`, or its outcome is `unknown`.
+ */
 export const outcomes = ['ran', 'not-run', 'unknown'] as const;
 
-/** Outcome of a request. */
 export type Outcome = (typeof outcomes)[number];
 
-/** What a caller does next after an error. */
+/** What a caller should do after an error. */
 export type RetryAdvice =
-	/** The same request will fail again. */
+	/** The same request would fail again. */
 	| 'never'
-	/** Repeat after the time in `Retry-After`. */
+	/** Retry after the time in `Retry-After`. */
 	| 'later'
-	/** Repeat only if the request is idempotent. */
+	/** Retry only if the request is idempotent. */
 	| 'if-idempotent'
-	/** Repeat with the same `Idempotency-Key`, to learn the outcome. */
+	/** Retry with the same `Idempotency-Key` to learn the outcome. */
 	| 'same-key';
--- a/packages/core/src/types/row-store.test.fixture.ts
+++ b/packages/core/src/types/row-store.test.fixture.ts
@@ -1,4 +1,4 @@
-/** Transactional rows in memory, for tests of conditional writes. */
+/** In-memory transactional row store for tests of conditional writes. */
 import type {StoreWrite} from './store-write.js';
 
 type Row = {readonly value: unknown; readonly version: number};
@@ -12,7 +12,7 @@
 	const getKey = (table: string, key: string) => `${table}/${key}`;
 	const read = <Value>(table: string, key: string) =>
 		rows.get(getKey(table, key)) as ReadRow<Value> | undefined;
-	const holds = ({table, key, when}: StoreWrite<unknown>) => {
+	const isPreconditionMet = ({table, key, when}: StoreWrite<unknown>) => {
 		const version = read(table, key)?.version;
 		return (
 			when.kind === 'any' ||
@@ -23,7 +23,7 @@
 	};
 
 	const commit = (writes: ReadonlyArray<StoreWrite<unknown>>): boolean => {
-		if (!writes.every((each) => holds(each))) {
+		if (!writes.every((each) => isPreconditionMet(each))) {
 			return false;
 		}
 
--- a/packages/core/src/types/service.ts
+++ b/packages/core/src/types/service.ts
@@ -1,25 +1,27 @@
-/** Services: named upstreams that callers ask for by name. */
+/** Services: upstreams that callers ask for by name. */
 
-/** How an upstream says that it did not run a request. */
+/** How an upstream signals that it did not run a request. */
 export type Refusal = {
-	/** Statuses which mean "refused, not run". */
+	/** Status codes that mean "refused, not run". */
 	readonly statuses: readonly number[];
 	/** Header that must also be present, in lower case. */
 	readonly header?: string;
 };
 
-/** One service and the limits of each of its executors. */
+/** A service and the limits of each of its executors. */
 export type Service = {
 	readonly name: string;
 	/** Pool whose instances serve it. */
 	readonly pool: string;
-	/** Requests in flight on one executor, over all entries, at most. */
+	/**
+	 * Maximum number of requests in flight on one executor, over all entries.
+	 */
 	readonly slotsPerExecutor: number;
-	/** Open connections to one executor, over all entries, at most. */
+	/** Maximum number of open connections to one executor, over all entries. */
 	readonly connectionsPerExecutor: number;
-	/** True if a request may be sent again after an unknown outcome. */
+	/** Whether a request may be sent again after an unknown outcome. */
 	readonly idempotent: boolean;
-	/** Path prefixes that may not be repeated although the service may. */
+	/** Path prefixes that are not idempotent although the service is. */
 	readonly nonRepeatableRoutes: readonly string[];
 	readonly refusal: Refusal;
 };
--- a/packages/core/src/types/store-write.ts
+++ b/packages/core/src/types/store-write.ts
@@ -1,9 +1,9 @@
 /**
- * Writes to the table service as data, so that a decision states what must
- * hold for it to commit. The shape is that of the platform's port.
+ * Writes to the table service as data, so that a decision includes the
+ * preconditions of its commit. The shape is that of the platform's port.
  */
 
-/** What must hold of a row for the transaction to commit. */
+/** Precondition on a row for the transaction to commit. */
 export type StorePrecondition =
 	| {readonly kind: 'any'}
 	| {readonly kind: 'absent'}
@@ -26,7 +26,7 @@
 	  }
 	| StoreCheck;
 
-/** Commits only if the precondition holds; changes nothing. */
+/** A step that commits only if the precondition holds and changes nothing. */
 export type StoreCheck = {
 	readonly kind: 'check';
 	readonly table: string;
@@ -34,24 +34,24 @@
 	readonly when: StorePrecondition;
 };
 
-/** Tables of agreement among entries. */
+/** Tables of the agreement protocol between entries. */
 export const agreementTables = {
-	/** The revision counter of the view, one row. */
+	/** The revision counter of the view; a single row. */
 	counter: 'counter',
-	/** Registrations, one row an entry. */
+	/** Registrations; one row per entry. */
 	entry: 'entry',
-	/** One row whose version grows when an entry joins or is removed. */
+	/** A single row whose version grows when an entry joins or is removed. */
 	membership: 'membership',
-	/** Moves that are under way, one row an instance. */
+	/** Moves in progress; one row per instance. */
 	move: 'move',
-	/** Leases of control shards, one row a shard. */
+	/** Leases of control shards; one row per shard. */
 	shard: 'shard',
 } as const;
 
-/** Key of the one row of the tables that have a single row. */
+/** Key of the row in tables with a single row. */
 export const singleRowKey = 'view';
 
-/** Requires that a row is still as it was read. */
+/** Creates a check that a row has not changed since it was read. */
 export const checkVersion = (
 	table: string,
 	key: string,
--- a/packages/core/src/types/view.ts
+++ b/packages/core/src/types/view.ts
@@ -1,18 +1,18 @@
-/** The view: the snapshot by which every entry routes. */
+/** The view: the snapshot that every entry uses for routing. */
 import type {Contract} from './contract.js';
 import type {Instance} from './instance.js';
 import type {Service} from './service.js';
 
 /** Contracts, services and instances at one revision. */
 export type View = {
-	/** Grows with every committed change; an entry never goes back. */
+	/** Grows with every committed change; never decreases on an entry. */
 	readonly revision: number;
 	readonly contracts: ReadonlyMap<string, Contract>;
 	readonly services: ReadonlyMap<string, Service>;
 	readonly instances: ReadonlyMap<string, Instance>;
 };
 
-/** The view before anything was read. */
+/** The view before the first read. */
 export const emptyView: View = {
 	revision: 0,
 	contracts: new Map(),
--- a/packages/core/src/view/followed-view.ts
+++ b/packages/core/src/view/followed-view.ts
@@ -1,6 +1,6 @@
 /**
- * The view as an entry follows it: revisions only grow, and each delta must
- * continue the chain of the one before it.
+ * The view as an entry follows it: revisions only increase, and each delta must
+ * continue the chain of the previous one.
  * Source: docs/design/agreement.md.
  */
 import type {Instance} from '../types/instance.js';
@@ -8,29 +8,29 @@
 import {emptyView, type View} from '../types/view.js';
 import {applyChange, type ViewChange, type ViewDelta} from './view-change.js';
 
-/** A view and the delta that made it. */
+/** A view and the id of the delta that produced it. */
 export type FollowedView = {
 	readonly view: View;
 	/** Id of the last delta; empty at revision 0. */
 	readonly deltaId: string;
 };
 
-/** Why a delta or snapshot was not applied; the view stays as it was. */
+/** Why a delta or snapshot was not applied; the view does not change. */
 export type ViewRefusal =
-	/** At or below the view's revision: a repeated or reordered message. */
+	/** Not newer than the view: a repeated or reordered message. */
 	| {readonly kind: 'stale'; readonly revision: number}
-	/** Deltas between are missing; read the log from `expected`. */
+	/** Deltas are missing; the log must be read from `expected`. */
 	| {
 			readonly kind: 'gap';
 			readonly expected: number;
 			readonly revision: number;
 	  }
-	/** Another history at the same revision: the store lost commits. */
+	/** A different history at the same revision: the store lost commits. */
 	| {readonly kind: 'diverged'; readonly revision: number}
-	/** An instance row went back; the store served an older row. */
+	/** The epoch of an instance decreased: the store returned an older row. */
 	| {readonly kind: 'epoch-regressed'; readonly instance: string};
 
-/** The state before anything was read. */
+/** The state before the first read. */
 export const emptyFollowedView: FollowedView = {view: emptyView, deltaId: ''};
 
 const isRegressed = (known: Instance, next: Instance): boolean =>
@@ -56,7 +56,7 @@
 	return undefined;
 };
 
-/** Applies the delta that follows the view, whole or not at all. */
+/** Applies the next delta, completely or not at all. */
 export const applyDelta = (
 	followed: FollowedView,
 	delta: ViewDelta,
@@ -93,17 +93,17 @@
 	return succeed({view: {...changed, revision}, deltaId: delta.id});
 };
 
-/** What became of a batch of deltas. */
+/** Result of applying a batch of deltas. */
 export type AppliedDeltas = {
 	readonly followed: FollowedView;
 	readonly applied: readonly ViewDelta[];
-	/** The first refusal other than `stale`; later deltas were not tried. */
+	/** The first refusal other than `stale`; later deltas were not applied. */
 	readonly refusal?: ViewRefusal;
 };
 
 /**
- * Applies deltas in the order of their revisions, whatever order they came
- * in; repeated ones are skipped.
+ * Applies deltas in the order of their revisions, regardless of the order of
+ * arrival; repeated ones are skipped.
  */
 export const applyDeltas = (
 	followed: FollowedView,
@@ -124,7 +124,7 @@
 	return {followed: current, applied};
 };
 
-/** Takes over a peer's or the object store's snapshot if it is newer. */
+/** Adopts a snapshot of a peer or of the object store if it is newer. */
 export const adoptSnapshot = (
 	followed: FollowedView,
 	snapshot: FollowedView,
--- a/packages/core/src/view/read-check.ts
+++ b/packages/core/src/view/read-check.ts
@@ -1,21 +1,21 @@
 /**
- * Judges each read of the revision counter against what was seen before, so
- * that a store restored to an older state cannot take an entry back.
+ * Checks each read of the revision counter against earlier reads, so that a
+ * store restored to an older state cannot revert an entry's view.
  */
 
-/** What a read of the revision says to a reader that has seen `highest`. */
+/** Result of a read for a reader that knows the revision `highest`. */
 export type RevisionVerdict =
 	| {readonly kind: 'unchanged'}
-	/** Deltas `from` to `to`, both included, are to be read. */
+	/** Deltas `from` to `to`, both included, must be read. */
 	| {readonly kind: 'newer'; readonly from: number; readonly to: number}
-	/** The store answered with an older state: use nothing of this read. */
+	/** The store returned an older state: this read must not be used. */
 	| {readonly kind: 'regressed'; readonly lost: number};
 
 /**
- * Compares a read revision.
+ * Compares a revision read from the store with the known ones.
  * @param applied - Revision of the view.
- * @param highest - Highest revision that anyone credible has shown.
- * @param read - Revision that the store just answered with.
+ * @param highest - Highest revision reported by a trusted source.
+ * @param read - Revision that the store returned.
  */
 export const checkReadRevision = (
 	applied: number,
--- a/packages/core/src/view/view-change.ts
+++ b/packages/core/src/view/view-change.ts
@@ -1,6 +1,6 @@
 /**
- * Changes of the view, as the change log of the table service holds them.
- * Each committed change is one delta with the next revision.
+ * Changes of the view as stored in the change log of the table service. Each
+ * committed change is one delta with the next revision.
  * Source: docs/design/agreement.md.
  */
 import {match} from 'ts-pattern';
@@ -9,7 +9,7 @@
 import type {Service} from '../types/service.js';
 import type {View} from '../types/view.js';
 
-/** One object put or deleted. */
+/** Creation, replacement or deletion of one object. */
 export type ViewChange =
 	| {readonly kind: 'put-contract'; readonly contract: Contract}
 	| {readonly kind: 'delete-contract'; readonly customer: string}
@@ -20,14 +20,16 @@
 
 /** One committed transaction on the view. */
 export type ViewDelta = {
-	/** One more than that of the delta before it. */
+	/** One more than the revision of the previous delta. */
 	readonly revision: number;
 	/** Operation id of the transaction. */
 	readonly id: string;
-	/** Id of the delta before it; a store that lost commits breaks the chain. */
+	/**
+	 * Id of the previous delta; a mismatch shows that the store lost commits.
+	 */
 	readonly previousId: string;
 	readonly author: string;
-	/** When it was committed, in milliseconds of the writer's clock. */
+	/** Time of the commit by the writer's clock, in milliseconds. */
 	readonly committedAt: number;
 	readonly changes: readonly ViewChange[];
 };
@@ -47,7 +49,7 @@
 	return copy;
 };
 
-/** Applies one change; the revision stays as it is. */
+/** Applies one change; the revision does not change. */
 export const applyChange = (view: View, change: ViewChange): View =>
 	match(change)
 		.with({kind: 'put-contract'}, ({contract}) => ({
--- a/packages/core/src/view/view-diff.ts
+++ b/packages/core/src/view/view-diff.ts
@@ -1,26 +1,35 @@
-/** The changes that lead from one view to another. */
+/** Computes the changes between two views. */
 import type {View} from '../types/view.js';
 import type {ViewChange} from './view-change.js';
 
-/** Compares values as JSON holds them; the order of keys does not matter. */
-export const isSameValue = (one: unknown, two: unknown): boolean => {
-	if (one === two) {
+/** Compares JSON values; the order of keys does not matter. */
+export const isSameValue = (first: unknown, second: unknown): boolean => {
+	if (first === second) {
 		return true;
 	}
 
-	if (typeof one !== 'object' || typeof two !== 'object' || !one || !two) {
+	if (
+		typeof first !== 'object' ||
+		typeof second !== 'object' ||
+		!first ||
+		!second
+	) {
 		return false;
 	}
 
-	if (Array.isArray(one) !== Array.isArray(two)) {
+	if (Array.isArray(first) !== Array.isArray(second)) {
 		return false;
 	}
 
-	const [first, second] = [Object.entries(one), new Map(Object.entries(two))];
+	const [firstEntries, secondEntries] = [
+		Object.entries(first),
+		new Map(Object.entries(second)),
+	];
 	return (
-		first.length === second.size &&
-		first.every(
-			([key, value]) => second.has(key) && isSameValue(value, second.get(key)),
+		firstEntries.length === secondEntries.size &&
+		firstEntries.every(
+			([key, value]) =>
+				secondEntries.has(key) && isSameValue(value, secondEntries.get(key)),
 		)
 	);
 };
@@ -47,7 +56,10 @@
 	return changes;
 };
 
-/** Lists what to apply to `before` so that it holds what `after` holds. */
+/**
+ * Lists the changes that turn `before` into a view with the same objects as
+ * `after`.
+ */
 export const diffViews = (before: View, after: View): readonly ViewChange[] => [
 	...diffMaps(
 		before.services,
--- a/packages/core/src/view/view-index.ts
+++ b/packages/core/src/view/view-index.ts
@@ -1,17 +1,17 @@
-/** Look-ups by pool and service that routers and planners need. */
+/** Lookups by pool and service for routers and planners. */
 import type {Contract} from '../types/contract.js';
 import type {Instance} from '../types/instance.js';
 import type {Service} from '../types/service.js';
 import type {View} from '../types/view.js';
 
-/** Index of one view; made anew when the view changes. */
+/** Index of one view; rebuilt when the view changes. */
 export type ViewIndex = {
 	readonly revision: number;
 	readonly instancesByPool: ReadonlyMap<string, readonly Instance[]>;
 	readonly servicesByPool: ReadonlyMap<string, readonly Service[]>;
 	/** All executors of the service's pool, in any state. */
 	readonly executorsByService: ReadonlyMap<string, readonly Instance[]>;
-	/** Executors that may be given new work. */
+	/** Executors that may get new requests. */
 	readonly servingByService: ReadonlyMap<string, readonly Instance[]>;
 	/** Contracts with terms for the service. */
 	readonly contractsByService: ReadonlyMap<string, readonly Contract[]>;
@@ -44,7 +44,7 @@
 
 const isServing = (instance: Instance) => instance.state === 'serving';
 
-/** Makes the index of a view. */
+/** Creates the index of a view. */
 export const createIndex = (view: View): ViewIndex => {
 	const instancesByPool = groupByPool(view.instances.values());
 	const executorsByService = new Map<string, readonly Instance[]>();
