--- a/packages/core/src/fleet/machine-wave.ts
+++ b/packages/core/src/fleet/machine-wave.ts
@@ -31,7 +31,9 @@
 	readonly executorId: string | undefined;
 	/** Time of the first command, in milliseconds since 1970. */
 	readonly begunAtEpochMs: number;
+	/** Whether the platform accepted the command. */
 	readonly isAnswered: boolean;
+	/** Whether the machine has returned to service. */
 	readonly isBack: boolean;
 };
 
@@ -47,6 +49,7 @@
 /** Load of a machine; one without an executor has none. */
 export type MachineLoad = {
 	readonly runs: number;
+	/** Long-running tasks. */
 	readonly lasting: number;
 	readonly usedCpu: number;
 };
--- a/packages/core/src/fleet/pool-plan.ts
+++ b/packages/core/src/fleet/pool-plan.ts
@@ -41,8 +41,8 @@
 	 */
 	readonly shrinkAfterMs: number;
 	/**
-	 * Time that a surplus must last before machines go to a pool with a
-	 * deficit, in milliseconds.
+	 * Time that a surplus must last before machines go to a pool with a deficit
+	 * that standby cannot cover, in milliseconds.
 	 */
 	readonly yieldAfterMs: number;
 	/** Moves that may be in progress at once, in a fleet of any size. */
@@ -78,7 +78,7 @@
 	readonly work: number;
 };
 
-/** Stands in for the value that owners of older releases do not report. */
+/** Value for owners of older releases, which do not report late work. */
 export const noLateWork: LateWork = {waitingCpu: 0, usedCpu: 0, work: 0};
 
 /** Demand of a pool's queues, in thousandths of a core. */
@@ -298,9 +298,9 @@
 	pool: string,
 	excess: number,
 ): number => {
-	const come = moves.filter(({to}) => to === pool).length;
-	const go = moves.filter(({from}) => from === pool).length;
-	return excess + come - go;
+	const incoming = moves.filter(({to}) => to === pool).length;
+	const outgoing = moves.filter(({from}) => from === pool).length;
+	return excess + incoming - outgoing;
 };
 
 /** Moves standby machines to late work, unless some pool has a deficit. */
--- a/packages/core/src/job-legs/pool-capacity.ts
+++ b/packages/core/src/job-legs/pool-capacity.ts
@@ -6,6 +6,7 @@
 	readonly at: number;
 	/** Machines required by running and waiting tasks. */
 	readonly asked: number;
+	/** Machines that were up in the pool. */
 	readonly held: number;
 };
 
--- a/packages/core/src/membership/membership-status.ts
+++ b/packages/core/src/membership/membership-status.ts
@@ -127,9 +127,7 @@
 	now: number,
 ): boolean => now - status.confirmedAt < settings.isolationMs;
 
-/**
- * Whether the entry may act on the fleet, which only registered entries may.
- */
+/** Whether the entry may control the fleet; only registered entries may. */
 export const mayControl = (
 	status: MembershipStatus,
 	settings: MembershipSettings,
--- a/packages/core/src/membership/membership.test.ts
+++ b/packages/core/src/membership/membership.test.ts
@@ -79,16 +79,16 @@
 			['away', 0],
 			['deleted', 1],
 		]);
-		const life = {entry: 'e1', incarnation: 'b'};
+		const self = {entry: 'e1', incarnation: 'b'};
 		const router = {routedRevision: 8, inFlight};
-		t.same(createAcknowledgement(life, 2, {view, router}), {
-			...life,
+		t.same(createAcknowledgement(self, 2, {view, router}), {
+			...self,
 			sequence: 2,
 			inForce: 8,
 			holding: ['draining', 'deleted'],
 		});
 		t.match(
-			createAcknowledgement(life, 2, {
+			createAcknowledgement(self, 2, {
 				view,
 				router: {
 					routedRevision: 9,
@@ -99,7 +99,7 @@
 			{holding: ['draining']},
 		);
 		const sponsored = [createAck({inForce: 3, holding: ['x']})];
-		t.match(createAcknowledgement(life, 2, {view, router, sponsored}), {
+		t.match(createAcknowledgement(self, 2, {view, router, sponsored}), {
 			inForce: 3,
 			holding: ['draining', 'deleted', 'x'],
 		});
@@ -128,11 +128,11 @@
 		createRegistration({entry: 'e2', inForce: 9, holding: ['x']}),
 		createRegistration({entry: 'e3', inForce: 9}),
 	];
-	const heard = new Map([
+	const receivedByEntry = new Map([
 		['e1', createAck({sequence: 99, inForce: 9, incarnation: 'a'})],
 	]);
 	t.match(
-		listPendingAcknowledgements(registrations, heard, {
+		listPendingAcknowledgements(registrations, receivedByEntry, {
 			revision: 9,
 			instance: 'x',
 		}),
@@ -141,9 +141,10 @@
 			{entry: 'e2', reason: 'holding'},
 		],
 	);
-	t.match(listPendingAcknowledgements(registrations, heard, {revision: 9}), [
-		{entry: 'e1'},
-	]);
+	t.match(
+		listPendingAcknowledgements(registrations, receivedByEntry, {revision: 9}),
+		[{entry: 'e1'}],
+	);
 	const newer = new Map([['e1', createAck({sequence: 6, inForce: 9})]]);
 	t.same(listPendingAcknowledgements(registrations, newer, {revision: 9}), []);
 });
@@ -181,8 +182,8 @@
 for (const [mode, source, isConfirmed] of confirmations) {
 	tap.t.test(`${mode} entry, confirmed by ${source}`, async (t) => {
 		const {isolationMs} = membershipDefaults;
-		const before = changeMode(mode, 0);
-		const status = confirmMembership(before, source, 5000, membershipDefaults);
+		const initial = changeMode(mode, 0);
+		const status = confirmMembership(initial, source, 5000, membershipDefaults);
 		const at = isolationMs + 1000;
 		t.equal(mayRoute(status, membershipDefaults, at), isConfirmed);
 		t.equal(
@@ -193,9 +194,14 @@
 			confirmMembership(status, source, 1000, membershipDefaults),
 			status,
 		);
-		const late = confirmMembership(before, source, 10_000, membershipDefaults);
+		const afterLapse = confirmMembership(
+			initial,
+			source,
+			10_000,
+			membershipDefaults,
+		);
 		t.equal(
-			late !== before,
+			afterLapse !== initial,
 			isConfirmed && ['table', 'snapshot'].includes(source),
 		);
 	});
--- a/packages/core/src/shards/candidates.test.ts
+++ b/packages/core/src/shards/candidates.test.ts
@@ -175,7 +175,7 @@
 
 tap.t.test('the entry of the highest rank becomes a candidate first', (t) => {
 	const {entries} = createFleet(97, 97, 0);
-	const rank = entries.map((self) => {
+	const becameCandidate = entries.map((self) => {
 		const input = {
 			self,
 			live: [],
@@ -188,6 +188,10 @@
 		);
 		return stepCandidate(observerState, input, 0).isCandidate;
 	});
-	t.equal(rank.filter(Boolean).length, 1, 'one becomes a candidate at once');
+	t.equal(
+		becameCandidate.filter(Boolean).length,
+		1,
+		'one becomes a candidate at once',
+	);
 	t.end();
 });
--- a/packages/core/src/shards/shard-lease.ts
+++ b/packages/core/src/shards/shard-lease.ts
@@ -97,9 +97,7 @@
 	return succeed(createLeaseWrite({shard, holder: self, token}, read));
 };
 
-/**
- * A shard that this incarnation holds, unless it has been replaced unnoticed.
- */
+/** A shard that this incarnation acquired and may have lost since. */
 export type HeldShard = {
 	readonly shard: string;
 	readonly token: number;
