--- a/packages/daemon/src/jobs/entry/submissions.ts
+++ b/packages/daemon/src/jobs/entry/submissions.ts
@@ -14,9 +14,9 @@
 	jobSchema,
 	tables,
 } from '../rows/tables.js';
-import type {LeaseBook} from '../shards/lease-book.js';
+import type {LeaseCache} from '../shards/lease-cache.js';
 import {createHistoryRow} from './queue-history.js';
-import {createBatch, listUntold} from './submission-batch.js';
+import {createBatch, listUnrecordedQueues} from './submission-batch.js';
 
 /** What became of a submission. */
 export type SubmitOutcome =
@@ -32,9 +32,9 @@
 /** What the submissions need. */
 export type SubmissionsDeps = {
 	readonly store: RowStore;
-	readonly book: LeaseBook;
+	readonly book: LeaseCache;
 	/** The store does not answer: nothing is sent to it. */
-	readonly isStoreSuspect: () => boolean;
+	readonly isStoreUnresponsive: () => boolean;
 	readonly now: () => number;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	/** Rows that were stored, to be told to the owner. */
@@ -143,7 +143,7 @@
 		const stored = new Map<string, StoredRow>();
 		for (const row of rows) {
 			if (row.table === tables.lease) {
-				book.note(row);
+				book.applyRow(row);
 			} else if (row.version > 0) {
 				stored.set(row.key, row);
 			}
@@ -246,7 +246,7 @@
 			value: waiting.text,
 		}));
 		const {told} = getQueue(shard);
-		const untold = listUntold(batch, told);
+		const untold = listUnrecordedQueues(batch, told);
 		const result = await store.transact(
 			{
 				checks: [
@@ -342,7 +342,7 @@
 	const sendBatch = async (shard: string, batch: readonly Waiting[]) => {
 		let left = batch;
 		while (left.length > 0) {
-			if (deps.isStoreSuspect()) {
+			if (deps.isStoreUnresponsive()) {
 				await refuseAll(left);
 				return;
 			}
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -22,13 +22,13 @@
 import type {ReportFailure} from '../supervisor/supervisor.js';
 import {delay, type Clock} from './clock.js';
 import {createJobService, type JobService} from './entry/job-service.js';
-import {createOtherEntries} from './entry/other-entries.js';
+import {createPeerEntries} from './entry/peer-entries.js';
 import {createOwnerChannel} from './entry/owner-channel.js';
 import {createQueueHistory} from './entry/queue-history.js';
 import {createRoutes, type Routes} from './entry/routes.js';
 import {createSubmissions} from './entry/submissions.js';
 import {createFleetRunner, type FleetRunner} from './fleet/fleet-runner.js';
-import type {WaveStatusPort} from './fleet/wave-round.js';
+import type {WaveStatusPort} from './fleet/machine-wave-runner.js';
 import {createJobMetrics, type JobMetrics} from './job-metrics.js';
 import {
 	createOwnedServices,
@@ -40,7 +40,7 @@
 import {createFeedFollower} from './rows/feed-follower.js';
 import {createRowFaults} from './rows/row-faults.js';
 import {watchStore} from './rows/store-health.js';
-import {createRecentFeed, createTableFeed} from './rows/table-feed.js';
+import {createChangesOnlyFeed, createTableFeed} from './rows/table-feed.js';
 import {
 	fleetShard,
 	getServiceShard,
@@ -49,7 +49,7 @@
 	type LeaseRow,
 } from './rows/tables.js';
 import {createHeartbeat} from './shards/heartbeat.js';
-import {createLeaseBook} from './shards/lease-book.js';
+import {createLeaseCache} from './shards/lease-cache.js';
 import {createMembers} from './shards/members.js';
 import type {HeldShard} from './shards/held-shard.js';
 import {createShardKeeper} from './shards/shard-keeper.js';
@@ -92,7 +92,7 @@
 	/** Resolves once it can answer callers. */
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
 	/** Gives its shards back and is not ready any more; callers are answered. */
-	readonly handOver: () => Promise<void>;
+	readonly handOverShards: () => Promise<void>;
 	/** Lets go of everything. */
 	readonly stop: () => Promise<void>;
 	/** Whether callers should be sent here. */
@@ -133,11 +133,11 @@
 		logger,
 		rowFaults,
 	});
-	const book = createLeaseBook({
+	const book = createLeaseCache({
 		logger,
 		rowFaults,
 		onChange(shard, lease) {
-			keeper.noteLease(shard, lease);
+			keeper.applyLease(shard, lease);
 		},
 	});
 
@@ -183,7 +183,7 @@
 	});
 
 	const tellOwner = async (shard: string, rows: readonly StoredRow[]) => {
-		const isTold = await owners.tellRows(shard, rows);
+		const isTold = await owners.sendRows(shard, rows);
 		if (!isTold) {
 			logger.info('owner not told', {shard, jobs: rows.map(({key}) => key)});
 		}
@@ -191,7 +191,7 @@
 
 	const submissions = createSubmissions({
 		store,
-		isStoreSuspect: watched.isSuspect,
+		isStoreUnresponsive: watched.isUnresponsive,
 		book,
 		now,
 		logger,
@@ -200,7 +200,7 @@
 		},
 	});
 
-	const others = createOtherEntries({
+	const others = createPeerEntries({
 		self,
 		members,
 		listHolders: book.listHolders,
@@ -219,8 +219,8 @@
 		clock,
 		logger,
 		metrics,
-		submitElsewhere: others.submit,
-		cancelElsewhere: others.cancel,
+		submitThroughPeer: others.submit,
+		cancelThroughPeer: others.cancel,
 	});
 
 	const hasLetGo = async ({
@@ -258,14 +258,14 @@
 		metrics,
 		rowFaults,
 		hasService,
-		getConfirmed: () => leaseFollower.getConfirmed(),
-		hasLetGo,
-		onLost(shard, rows) {
+		getLeasesConfirmedAt: () => leaseFollower.getConfirmedAt(),
+		hasReleased: hasLetGo,
+		onOwnershipLost(shard, rows) {
 			for (const row of rows) {
-				book.note(row);
+				book.applyRow(row);
 			}
 
-			keeper.noteDeposed(shard);
+			keeper.handleFenced(shard);
 		},
 		reportFailure(err) {
 			reportFailure(err);
@@ -284,15 +284,15 @@
 			logger,
 			pools: settings.pools,
 			turnoverMs: settings.machineTurnoverMs,
-			beliefMs: settings.scheduler.ownerBeliefMs,
-			getConfirmed: leaseFollower.getConfirmed,
+			maxUnconfirmedMs: settings.scheduler.ownershipTimeoutMs,
+			getLeasesConfirmedAt: leaseFollower.getConfirmedAt,
 			listWaves: () => [...waves.values()],
 			hasOwner,
 			getStandbyPool: () =>
 				routes.get()?.services.find(({isStandby}) => isStandby)?.name,
 			onLost(reason) {
 				logger.warn('fleet lost', {reason});
-				keeper.noteDeposed(fleetShard);
+				keeper.handleFenced(fleetShard);
 			},
 			reportFailure,
 		});
@@ -307,7 +307,7 @@
 
 		const serviceName = parseServiceShard(held.shard);
 		if (serviceName !== undefined && hasService(serviceName)) {
-			owned.take(held, serviceName);
+			owned.start(held, serviceName);
 		}
 	};
 
@@ -327,27 +327,27 @@
 		capacity: settings.capacity,
 		getAddress,
 		members,
-		book,
+		leases: book,
 		listShards,
 		mayClaim() {
-			const readAt = memberFollower.getConfirmed()?.at;
+			const readAt = memberFollower.getConfirmedAt()?.at;
 			return readAt !== undefined && now() - readAt < periods.leaseMs;
 		},
-		ensureHeartbeat: async () => heartbeat.ensure(),
+		ensureHeartbeat: async () => heartbeat.ensureRecent(),
 		isCandidate: () => role.isCandidate(),
 		now,
 		random: deps.random,
 		logger,
 		onAcquired,
-		beforeRelease: owned.letGo,
+		beforeRelease: owned.release,
 		onLost,
-		onReleased: others.tellReleased,
+		onReleased: others.notifyReleased,
 	});
 
 	const role = createEntryRole({
 		self: {entry: self.entry, capacity: settings.capacity},
 		members,
-		book,
+		leases: book,
 		isHolding: () => keeper.isHolding(),
 		now,
 		logger,
@@ -382,7 +382,7 @@
 			.with({kind: 'configuration'}, ({value}) => {
 				const isNew = routes.apply(value);
 				if (isNew) {
-					history.note(value);
+					history.addConfiguration(value);
 				}
 
 				logger.info('configuration read', {
@@ -395,7 +395,7 @@
 				waves.set(value.id, value);
 			})
 			.with({kind: 'unreadable'}, ({problem}) => {
-				rowFaults.note({table: operatorName, key, problem});
+				rowFaults.report({table: operatorName, key, problem});
 			})
 			.exhaustive();
 	};
@@ -406,7 +406,7 @@
 		periods: followPeriods.operator,
 		clock,
 		logger,
-		onWhole: applyOperator,
+		onSnapshot: applyOperator,
 		onChanges: applyOperator,
 	});
 
@@ -414,21 +414,21 @@
 		name: 'lease',
 		feed: createTableFeed(store, tables.lease, {kind: 'all'}),
 		periods: followPeriods.lease,
-		adjust: role.getLeasePeriods,
+		getOverrides: role.getLeasePeriods,
 		clock,
 		logger,
-		onWhole: book.apply,
+		onSnapshot: book.apply,
 		onChanges: book.apply,
 	});
 
 	const memberFollower = createFeedFollower({
 		name: 'daemon',
-		feed: createRecentFeed(store, tables.daemon),
+		feed: createChangesOnlyFeed(store, tables.daemon),
 		periods: followPeriods.daemon,
-		adjust: role.getDaemonPeriods,
+		getOverrides: role.getHeartbeatPeriods,
 		clock,
 		logger,
-		onWhole: members.applyChanges,
+		onSnapshot: members.applyChanges,
 		onChanges: members.applyChanges,
 		// Where all that send heartbeats are gone, nothing changes any more.
 		onUnchanged: members.applyChanges,
@@ -440,13 +440,17 @@
 		['lease', leaseFollower],
 		['daemon', memberFollower],
 	] as const) {
-		metrics.gauge('feed_age_ms', name, () => {
-			const confirmed = follower.getConfirmed();
+		metrics.registerGauge('feed_age_ms', name, () => {
+			const confirmed = follower.getConfirmedAt();
 			return confirmed && Math.round(now() - confirmed.at);
 		});
 	}
 
-	metrics.gauge('configuration', 'version', () => routes.get()?.version);
+	metrics.registerGauge(
+		'configuration',
+		'version',
+		() => routes.get()?.version,
+	);
 
 	const startPeers = async (): Promise<boolean> => {
 		const keyHex = await obtainPeerKey(store, logger, () => state.isLeaving);
@@ -469,7 +473,7 @@
 			routes,
 			keeper,
 			members,
-			readLeases: leaseFollower.hasten,
+			readLeases: leaseFollower.skipPause,
 			now,
 		});
 		await channel.start(reportFailure);
@@ -499,7 +503,7 @@
 		}
 
 		state.isStarted = true;
-		await heartbeat.beatOnce();
+		await heartbeat.writeNow();
 		await heartbeat.start(report);
 		await keeper.start(report);
 		logger.info('daemon started', {
@@ -511,7 +515,7 @@
 	const handOver = async () => {
 		if (!state.isLeaving) {
 			state.isLeaving = true;
-			others.tellLeaving();
+			others.notifyLeaving();
 		}
 
 		await keeper.stop();
@@ -537,7 +541,7 @@
 
 	return {
 		start,
-		handOver,
+		handOverShards: handOver,
 		stop,
 		isReady,
 		service,
--- a/packages/daemon/src/jobs/owner/job-remover.ts
+++ b/packages/daemon/src/jobs/owner/job-remover.ts
@@ -28,7 +28,7 @@
 
 /** Removes what is due, at most once in a period. */
 export type JobRemover = {
-	readonly run: (owner: scheduler.Owner) => Promise<void>;
+	readonly removeDueJobs: (owner: scheduler.Owner) => Promise<void>;
 };
 
 /** Creates a remover. */
@@ -60,13 +60,13 @@
 	};
 
 	return {
-		async run(owner) {
+		async removeDueJobs(owner) {
 			if (now() - ranAt < periodMs) {
 				return;
 			}
 
 			ranAt = now();
-			const ids = scheduler.forgetEndedJobs(owner, now(), removalBatch);
+			const ids = scheduler.listExpiredJobs(owner, now(), removalBatch);
 			periodMs = ids.length < removalBatch ? removalPeriodMs : backlogPeriodMs;
 			if (ids.length > 0 && (await removeRows(ids))) {
 				for (const id of ids) {
--- a/packages/daemon/src/jobs/owner/load-owner.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.ts
@@ -4,8 +4,8 @@
 import type {Logger} from '../../log/logger.js';
 import {periods} from '../periods.js';
 import {getMoment, type Clock} from '../clock.js';
-import type {StoreTime} from '../rows/store-time.js';
-import {readWhole} from '../rows/table-feed.js';
+import type {StoreClockReading} from '../rows/store-clock.js';
+import {readRange} from '../rows/table-feed.js';
 import {decodeRows} from '../rows/decode-rows.js';
 import {
 	jobSchema,
@@ -19,7 +19,7 @@
 import type {HeldShard} from '../shards/held-shard.js';
 
 /** What a load needs. */
-export type LoadDeps = {
+export type LoadOwnerDeps = {
 	readonly store: RowStore;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	readonly cfg: scheduler.SchedulerConfig;
@@ -33,7 +33,7 @@
 	readonly version: number;
 	/** Version of the row that each flush rewrites; 0 if there is none. */
 	readonly flushVersion: number;
-	readonly storeTime: StoreTime;
+	readonly storeTime: StoreClockReading;
 };
 
 type Rows = {
@@ -41,7 +41,7 @@
 	readonly progress: readonly StoredRow[];
 	readonly kept: readonly StoredRow[];
 	readonly version: number;
-	readonly storeTime: StoreTime;
+	readonly storeTime: StoreClockReading;
 };
 
 /**
@@ -52,11 +52,11 @@
 const pageLimit = 100;
 
 const readRows = async (
-	{store, clock}: LoadDeps,
+	{store, clock}: LoadOwnerDeps,
 	part: string,
 ): Promise<Result<Rows, RowStoreError>> => {
 	const readTable = async (table: string) =>
-		readWhole(store, {table, part, limit: pageLimit}, periods.storeTimeoutMs);
+		readRange(store, {table, part, limit: pageLimit}, periods.storeTimeoutMs);
 	// One after another: they share one link.
 	const jobs = await readTable(tables.job);
 	if (!jobs.ok) {
@@ -88,18 +88,18 @@
  * back, or whose process is replaced, grants nothing more; a silent one may
  * go on for as long as it believes in its lease.
  */
-export const getInheritedMs = (
+export const getInheritedGrantMs = (
 	{previous}: Pick<HeldShard, 'previous'>,
 	cfg: scheduler.SchedulerConfig,
 ): number => {
-	const granted = scheduler.getGrantedMs(cfg);
-	return previous === 'silent' ? granted + cfg.ownerBeliefMs : granted;
+	const granted = scheduler.getMaxLeaseDurationMs(cfg);
+	return previous === 'silent' ? granted + cfg.ownershipTimeoutMs : granted;
 };
 
 const addJobs = (
 	owner: scheduler.Owner,
 	rows: Rows,
-	{logger, clock: {now}}: LoadDeps,
+	{logger, clock: {now}}: LoadOwnerDeps,
 ): void => {
 	const jobRows = rows.jobs.filter(({key}) => !parseJobKey(key).isCancel);
 	for (const {value} of decodeRows(jobRows, jobSchema, logger)) {
@@ -150,18 +150,21 @@
 	owner: scheduler.Owner,
 	held: HeldShard,
 	rows: Rows,
-	{logger, cfg, clock}: LoadDeps,
+	{logger, cfg, clock}: LoadOwnerDeps,
 ): void => {
 	const rosters = rows.kept.filter(({key}) => key === singleKeys.roster);
 	const now = clock.now();
-	const inheritedMs = getInheritedMs(held, cfg);
+	const inheritedMs = getInheritedGrantMs(held, cfg);
 	for (const {value} of decodeRows(rosters, rosterSchema, logger)) {
 		for (const {darkSinceMs, markedBy, ...listed} of value) {
 			const darkMs = getDarkMs({darkSinceMs, markedBy}, held, rows);
 			const restMs =
 				darkMs === undefined
 					? inheritedMs
-					: Math.min(inheritedMs, scheduler.getGrantedMs(cfg) - darkMs);
+					: Math.min(
+							inheritedMs,
+							scheduler.getMaxLeaseDurationMs(cfg) - darkMs,
+						);
 			const darkSince = darkMs === undefined ? undefined : now - darkMs;
 			scheduler.inheritExecutor(owner, listed, now + restMs, darkSince);
 		}
@@ -175,7 +178,7 @@
 export const loadOwner = async (
 	service: string,
 	held: HeldShard,
-	deps: LoadDeps,
+	deps: LoadOwnerDeps,
 ): Promise<Result<LoadedOwner, RowStoreError>> => {
 	const rows = await readRows(deps, held.shard);
 	if (!rows.ok) {
--- a/packages/daemon/src/jobs/peer-handlers.ts
+++ b/packages/daemon/src/jobs/peer-handlers.ts
@@ -53,7 +53,7 @@
 	const {owned, submissions, now} = deps;
 	channel.addMethod('noteRows', jobPeerSchemas.noteRows, ({shard, rows}) => {
 		const runner = owned.get(shard);
-		runner?.noteRows(rows);
+		runner?.applyRows(rows);
 		return {isOwner: runner !== undefined};
 	});
 	channel.addMethod(
@@ -100,21 +100,21 @@
 		'noteGone',
 		jobPeerSchemas.noteGone,
 		({shard, executorId}) => {
-			owned.get(shard)?.noteGone(executorId);
+			owned.get(shard)?.markTerminated(executorId);
 			return {};
 		},
 	);
 	channel.addMethod('depose', jobPeerSchemas.depose, ({shard, token}) => {
 		const mine = keeper.listHeld().find((each) => each.shard === shard);
 		if (mine && mine.token < token) {
-			keeper.noteDeposed(shard);
+			keeper.handleFenced(shard);
 		}
 
 		return {incarnation};
 	});
 	channel.addMethod('shardReleased', jobPeerSchemas.shardReleased, () => {
 		readLeases();
-		keeper.hasten();
+		keeper.checkNow();
 		return {};
 	});
 	channel.addMethod(
