--- a/packages/core/src/blame/failure-attribution.ts
+++ b/packages/core/src/blame/failure-attribution.ts
@@ -14,8 +14,8 @@
 	 */
 	readonly jobsPerQuarantine: number;
 	/**
-	 * Consecutive failures of any jobs after which a worker is quarantined even
-	 * so.
+	 * Consecutive failures after which a worker is quarantined with fewer such
+	 * jobs, but at least two.
 	 */
 	readonly failuresPerQuarantine: number;
 	/** Number of workers that a job must fail on before it is parked. */
--- a/packages/core/src/fleet/pool-plan.ts
+++ b/packages/core/src/fleet/pool-plan.ts
@@ -31,7 +31,7 @@
 	readonly minShare: number;
 	/**
 	 * Time to finish late work on machines that no other pool needs, in
-	 * milliseconds. Machines kept longer cost more than late work is worth.
+	 * milliseconds. Such machines cost about as much as late work is worth.
 	 */
 	readonly lateDrainMs: number;
 	/** Idle machines to keep beyond the demand. */
--- a/packages/core/src/types/outcome.ts
+++ b/packages/core/src/types/outcome.ts
@@ -1,7 +1,8 @@
 /** What a caller can conclude about a request from its response. */
 
 /**
- * The request `ran` once, certainly did `not-run`, or its outcome is `unknown`.
+ * The request `ran` once, certainly did not run (`not-run`), or may have run
+ * (`unknown`).
  */
 export const outcomes = ['ran', 'not-run', 'unknown'] as const;
 
--- a/packages/core/src/view/followed-view.ts
+++ b/packages/core/src/view/followed-view.ts
@@ -27,7 +27,10 @@
 	  }
 	/** A different history at the same revision: the store lost commits. */
 	| {readonly kind: 'diverged'; readonly revision: number}
-	/** The epoch of an instance decreased: the store returned an older row. */
+	/**
+	 * An instance has a lower epoch, or changed at the same epoch: the store
+	 * returned an older row.
+	 */
 	| {readonly kind: 'epoch-regressed'; readonly instance: string};
 
 /** The state before the first read. */
