--- a/packages/bench/src/benches/ownership/control.ts
+++ b/packages/bench/src/benches/ownership/control.ts
@@ -190,7 +190,7 @@
 	const {instance} = moveRow.value;
 	const drainedMs = world.clock.now() - world.startedAt.get(instance)!;
 	if (world.rule === 'timer' && drainedMs < timerMs) {
-		return {kind: 'wait', lagging: []};
+		return {kind: 'wait', pendingEntries: []};
 	}
 
 	return core.move.decideMove(
@@ -199,7 +199,7 @@
 		{
 			version: rows.membershipVersion,
 			registrations: selectRegistrations(world, rows),
-			heard: world.heard,
+			received: world.heard,
 			outageStart: core.move.noOutageStart,
 		},
 		held,
--- a/packages/bench/src/benches/ownership/run-world.ts
+++ b/packages/bench/src/benches/ownership/run-world.ts
@@ -75,7 +75,7 @@
 	)!;
 	const counter = store.read('counter', core.singleRowKey)!;
 	const moveRow = store.read<move.Move>('move', instance.value.id);
-	const started = core.move.startDrain({
+	const started = core.move.startMove({
 		instance,
 		to: pick(random, pools),
 		author: 'ann',
--- a/packages/bench/src/benches/ownership/world.ts
+++ b/packages/bench/src/benches/ownership/world.ts
@@ -131,7 +131,7 @@
 	step: move.MoveCommit,
 ): ReadonlyArray<StoreWrite<unknown>> => {
 	const {id} = step.instance;
-	const moveRow = {table: 'move', key: id, when: step.moveWhen};
+	const moveRow = {table: 'move', key: id, when: step.movePrecondition};
 	return [
 		...(rule === 'acknowledged' ? step.conditions : []),
 		{
--- a/packages/bench/src/benches/placement.ts
+++ b/packages/bench/src/benches/placement.ts
@@ -17,14 +17,14 @@
 	customers: 6,
 	load: 0.9,
 	hours: 24,
-	relocation: core.placement.fewerMoves,
+	relocation: core.placement.fewerMovesConfig,
 };
 
 const isarwelle: Deployment = {
 	...harrowby,
 	name: 'isarwelle',
 	capacity: {cores: 16, memoryMb: 64_000, accelerators: 0},
-	relocation: core.placement.lessBuffer,
+	relocation: core.placement.lessIdleCapacityConfig,
 };
 
 const planned: Deployment = {
--- a/packages/bench/src/benches/placement/placing.ts
+++ b/packages/bench/src/benches/placement/placing.ts
@@ -20,7 +20,7 @@
 
 const learnFromEnd = (world: World, {id, customer, declared}: TraceJob) => {
 	const history = world.histories.get(id);
-	const habit = world.habits.get(customer) ?? placement.emptyHabit;
+	const habit = world.habits.get(customer) ?? placement.emptyCustomerUsageModel;
 	if (history) {
 		world.habits.set(customer, placement.addEndedJob(habit, declared, history));
 	}
@@ -102,7 +102,7 @@
 
 const firstFit = (
 	cluster: core.placement.Cluster,
-	expected: core.placement.UseEstimate,
+	expected: core.placement.UsageEstimate,
 ): core.placement.PlacementDecision => {
 	for (const load of cluster.loads.values()) {
 		if (placement.hasRoom(load, expected)) {
@@ -150,7 +150,7 @@
 export const placePending = (world: World, now: number) => {
 	const {cluster, pending, quotas} = world;
 	let passedOver = 0;
-	for (const job of placement.orderPending(
+	for (const job of placement.sortPending(
 		cluster,
 		[...pending.values()],
 		quotas,
--- a/packages/bench/src/benches/placement/policies.ts
+++ b/packages/bench/src/benches/placement/policies.ts
@@ -9,15 +9,15 @@
 	readonly estimate: (
 		job: TraceJob,
 		history: core.placement.UsageHistory | undefined,
-		habit: core.placement.CustomerHabit | undefined,
-	) => core.placement.UseEstimate;
+		habit: core.placement.CustomerUsageModel | undefined,
+	) => core.placement.UsageEstimate;
 	readonly cfg: core.placement.PlacementConfig;
 	/** First worker with room, in the order of their names. */
 	readonly firstFit: boolean;
 	readonly relocation: core.placement.RelocationConfig | undefined;
 };
 
-const certain = (mean: Resources): core.placement.UseEstimate => ({
+const certain = (mean: Resources): core.placement.UsageEstimate => ({
 	mean,
 	deviation: core.placement.noResources,
 });
@@ -28,7 +28,7 @@
 export const learned: Policy = {
 	name: 'learned',
 	estimate: (job, history, habit) =>
-		core.placement.estimateUse(job, history, habit),
+		core.placement.estimateUsage(job, history, habit),
 	cfg: base,
 	firstFit: false,
 	relocation: core.placement.defaultRelocationConfig,
@@ -40,7 +40,7 @@
 	name: 'without hysteresis',
 	relocation: {
 		...core.placement.defaultRelocationConfig,
-		overShare: 1,
+		overloadedShare: 1,
 		settleMs: 0,
 		stayMs: 0,
 	},
--- a/packages/bench/src/benches/placement/reports.ts
+++ b/packages/bench/src/benches/placement/reports.ts
@@ -86,7 +86,7 @@
 const noteWaiting = (world: World, now: number) => {
 	const {pending, cluster, quota, lastStarts, starved} = world;
 	for (const job of pending.values()) {
-		const used = placement.getCustomerUse(cluster, job.customer);
+		const used = placement.getCustomerUsage(cluster, job.customer);
 		const need = placement.addResources(used, estimate(world, job).mean);
 		const since = Math.max(job.submittedAt, lastStarts.get(job.customer) ?? 0);
 		if (placement.fitsInto(need, quota) && now - since > starvedMs) {
@@ -96,9 +96,9 @@
 };
 
 const noteSpread = ({cluster, counts}: World) => {
-	for (const [key, count] of cluster.spread) {
+	for (const [key, count] of cluster.taskCounts) {
 		const [customer = '', kind] = key.split(' ');
-		const tasks = cluster.spread.get(`${customer} all`) ?? 0;
+		const tasks = cluster.taskCounts.get(`${customer} all`) ?? 0;
 		if (kind === 'rack' && tasks >= minTasksForSpread) {
 			counts.maxRackShare = Math.max(counts.maxRackShare, count / tasks);
 		}
--- a/packages/bench/src/benches/placement/world.ts
+++ b/packages/bench/src/benches/placement/world.ts
@@ -49,14 +49,14 @@
 	readonly throttled: Set<string>;
 	readonly pending: Map<string, TraceJob>;
 	readonly histories: Map<string, core.placement.UsageHistory>;
-	readonly habits: Map<string, core.placement.CustomerHabit>;
+	readonly habits: Map<string, core.placement.CustomerUsageModel>;
 	/** When a job of each customer last started. */
 	readonly lastStarts: Map<string, number>;
 	readonly starved: Set<string>;
 	readonly quota: Resources;
 	readonly quotas: core.placement.Quotas;
 	readonly counts: Counts;
-	observed: core.placement.Observed;
+	observed: core.placement.LoadObservations;
 	runs: number;
 };
 
@@ -120,9 +120,9 @@
 
 /** No declaration, however wild, is taken for more than a worker. */
 const limitToWorker = (
-	{mean, deviation}: core.placement.UseEstimate,
+	{mean, deviation}: core.placement.UsageEstimate,
 	{capacity}: Deployment,
-): core.placement.UseEstimate => {
+): core.placement.UsageEstimate => {
 	const limited = {
 		cores: Math.min(mean.cores, capacity.cores),
 		memoryMb: Math.min(mean.memoryMb, capacity.memoryMb),
--- a/packages/bench/src/benches/wave/fleet.ts
+++ b/packages/bench/src/benches/wave/fleet.ts
@@ -74,7 +74,7 @@
 			id: job.id,
 			cores: job.cores,
 			memoryMb: job.cores * 1024,
-			runMs: job.savedMs + fleet.now - job.startedAt,
+			elapsedMs: job.savedMs + fleet.now - job.startedAt,
 			remainingMs: fleet.source.estimate(job, fleet.now),
 			movability: job.movability,
 		}));
@@ -210,12 +210,12 @@
 	fleet.log.push({kind, instance: instance.id, services});
 	if (isShown) {
 		bookLedgers(fleet, worker, (ledger) =>
-			budget.recordRecovery(ledger, [instance]),
+			budget.markRecovered(ledger, [instance]),
 		);
 	} else {
 		requeueJobs(fleet, worker);
 		bookLedgers(fleet, worker, (ledger) =>
-			budget.recordLoss(ledger, [instance.id], fleet.now),
+			budget.markLost(ledger, [instance.id], fleet.now),
 		);
 	}
 
--- a/packages/bench/src/benches/wave/run.ts
+++ b/packages/bench/src/benches/wave/run.ts
@@ -53,7 +53,7 @@
 	const workers = ids.map((id) => fleet.workers.get(id)!);
 	run.operations += 1;
 	const operationId = `take${run.operations}`;
-	const change = budget.reserveAway(
+	const change = budget.withdrawInstances(
 		{
 			operationId,
 			wave: progress.wave.id,
@@ -94,7 +94,7 @@
 
 const applyGiveBack = ({fleet, progress, facts}: Run, id: string) => {
 	const worker = fleet.workers.get(id)!;
-	const change = budget.giveBack({
+	const change = budget.returnInstance({
 		operationId: `back-${id}`,
 		instance: {value: worker.instance, version: 1},
 		ledgers: readLedgers(fleet, worker),
@@ -113,7 +113,7 @@
 const applyGiveUp = ({fleet, progress}: Run, id: string) => {
 	const worker = fleet.workers.get(id)!;
 	for (const [service, ledger] of readLedgers(fleet, worker)) {
-		const write = budget.convertToLoss(ledger, id, fleet.now);
+		const write = budget.convertAwayToLost(ledger, id, fleet.now);
 		fleet.ledgers.set(service, write?.value ?? ledger.value);
 	}
 
@@ -219,7 +219,7 @@
 };
 
 const command = ({fleet, progress}: Run, name: waves.WaveCommand) => {
-	const changed = waves.updateWave(progress.wave, name, fleet.now);
+	const changed = waves.applyWaveCommand(progress.wave, name, fleet.now);
 	progress.wave = changed.ok ? changed.value : progress.wave;
 };
 
@@ -234,7 +234,10 @@
 
 const runSteps = (run: Run) => {
 	const {fleet, progress, facts} = run;
-	const rounds = Math.max(4, Math.ceil(progress.active.size / maxWork) + 200);
+	const rounds = Math.max(
+		4,
+		Math.ceil(progress.activeDomains.size / maxWork) + 200,
+	);
 	for (let round = 0; round < rounds; round += 1) {
 		const begin = performance.now();
 		const context = {progress, facts, now: fleet.now};
@@ -244,7 +247,7 @@
 			applyAction(run, action);
 		}
 
-		const isVisited = (round + 1) * maxWork >= progress.active.size;
+		const isVisited = (round + 1) * maxWork >= progress.activeDomains.size;
 		if (actions.length === 0 && isVisited) {
 			break;
 		}
@@ -254,7 +257,7 @@
 const countIdle = (run: Run) => {
 	const {fleet, progress, plan} = run;
 	const {tickMs} = plan;
-	for (const domain of progress.active) {
+	for (const domain of progress.activeDomains) {
 		for (const {id, phase} of progress.domains.get(domain)!) {
 			const {used, outages} = fleet.workers.get(id)!;
 			const idleMs = outages > 0 ? 0 : (fleet.size.cores - used) * tickMs;
@@ -277,7 +280,7 @@
 	const instances = [...fleet.workers.values()].map(({instance}) => instance);
 	const pools = [...fleet.byPool.keys()];
 	const begin = performance.now();
-	const rows = waves.createDomains('w1', pools, instances);
+	const rows = waves.createDomainRows('w1', pools, instances);
 	const wave: waves.Wave = {
 		id: 'w1',
 		rows: 'w1',
@@ -360,7 +363,7 @@
 	const latest = plan.startAt + plan.forMs + 24 * hourMs;
 	while (progress.wave.state !== 'done' && fleet.now < latest) {
 		keepWindow(run);
-		if (progress.wave.state === 'running' || progress.active.size > 0) {
+		if (progress.wave.state === 'running' || progress.activeDomains.size > 0) {
 			runSteps(run);
 		}
 
--- a/packages/core/src/budget/budget.test.fixture.ts
+++ b/packages/core/src/budget/budget.test.fixture.ts
@@ -1,6 +1,6 @@
 /** Instances and proofs that tests of budgets share. */
 import type {Instance} from '../types/instance.js';
-import type {ReturnEvidence} from './give-back.js';
+import type {ReturnEvidence} from './return-instance.js';
 
 /** An executor; its zone follows from the last letter of its id. */
 export const createInstance = (
@@ -23,7 +23,7 @@
 export const ids = ['i0', 'i1', 'i2', 'i3', 'i4'];
 
 /** All that an instance must show to be given back. */
-export const proof: ReturnEvidence = {
+export const returnEvidence: ReturnEvidence = {
 	listed: 'live',
 	incarnationBefore: 'a',
 	incarnation: 'b',
--- a/packages/core/src/budget/budget.test.ts
+++ b/packages/core/src/budget/budget.test.ts
@@ -1,7 +1,7 @@
 import * as tap from 'tap';
 import type {Contract} from '../types/contract.js';
 import type {Instance} from '../types/instance.js';
-import {createInstance, ids, proof} from './budget.test.fixture.js';
+import {createInstance, ids, returnEvidence} from './budget.test.fixture.js';
 import * as budget from './index.js';
 
 const createContract = (
@@ -63,13 +63,13 @@
 	lost: string[],
 	instances: Instance[],
 	reserve = 0,
-): budget.TakeRequest => {
+): budget.WithdrawalRequest => {
 	const ledger = budget.createLedger(
 		'quote',
 		budget.combineTerms([createContract('a', ...terms)], 'quote'),
 		ids,
 	);
-	const loss = budget.recordLoss({value: ledger, version: 1}, lost, 5);
+	const loss = budget.markLost({value: ledger, version: 1}, lost, 5);
 	return {
 		operationId: 'op',
 		wave: 'w',
@@ -81,7 +81,7 @@
 };
 
 const [first, second] = [createInstance('i0'), createInstance('i1')];
-const takeTable: Array<[string, budget.TakeRequest, string]> = [
+const takeTable: Array<[string, budget.WithdrawalRequest, string]> = [
 	['one within both terms', createTake([4, 1], [], [first]), 'ok'],
 	[
 		'two where one may be away',
@@ -125,7 +125,7 @@
 
 for (const [name, request, expected] of takeTable) {
 	tap.t.test(`reserveAway: ${name}`, async (t) => {
-		const result = budget.reserveAway(request, 10);
+		const result = budget.withdrawInstances(request, 10);
 		t.equal(result.ok ? 'ok' : result.error.kind, expected);
 		if (result.ok) {
 			t.equal(result.value.writes.length, request.instances.length + 1);
@@ -145,12 +145,12 @@
 
 for (const [name, change, expected] of proofTable) {
 	tap.t.test(`giveBack: ${name}`, async (t) => {
-		const result = budget.giveBack({
+		const result = budget.returnInstance({
 			operationId: 'back',
 			instance: {value: createInstance('i0', 'quote', 'returning'), version: 9},
 			ledgers: createTake([1, 1], [], []).ledgers,
 			servicesByPool,
-			evidence: {...proof, ...change},
+			evidence: {...returnEvidence, ...change},
 			settings: budget.returnDefaults,
 		});
 		t.equal(result.ok ? undefined : result.error.kind, expected);
@@ -159,12 +159,12 @@
 
 for (const state of ['serving', 'draining', 'away'] as const) {
 	tap.t.test(`giveBack: an instance that is ${state}`, async (t) => {
-		const result = budget.giveBack({
+		const result = budget.returnInstance({
 			operationId: 'back',
 			instance: {value: createInstance('i0', 'quote', state), version: 9},
 			ledgers: createTake([1, 1], [], []).ledgers,
 			servicesByPool,
-			evidence: proof,
+			evidence: returnEvidence,
 			settings: budget.returnDefaults,
 		});
 		t.match(result, {ok: false, error: {kind: 'not-returning'}});
@@ -173,7 +173,7 @@
 
 tap.t.test('a worker is in no ledger', async (t) => {
 	const worker: Instance = {...createInstance('x'), kind: 'worker'};
-	const taken = budget.reserveAway(createTake([5, 0], [], [worker]), 10);
+	const taken = budget.withdrawInstances(createTake([5, 0], [], [worker]), 10);
 	t.match(taken, {value: {writes: [{table: budget.tables.instances}]}});
 	t.match(taken, {value: {writes: {length: 1}}});
 });
@@ -185,9 +185,9 @@
 	const pools = new Map([...servicesByPool, ['rate', ['rate']]]);
 	const request = {
 		...createTake([4, 1], [], [createInstance('i0')]),
-		wave: budget.moveWave,
+		wave: budget.noWaveId,
 	};
-	const booked = budget.bookAway(request, 10);
+	const booked = budget.withdrawInLedgers(request, 10);
 	t.ok(booked.ok);
 	t.match(booked, {value: [{value: {entries: {i0: {kind: 'away'}}}}]});
 	const ended = budget.moveLedgers({
@@ -206,8 +206,8 @@
 		value: budget.createLedger('quote', budget.noTerms, ['i0', 'i1']),
 		version: 1,
 	};
-	const lost = budget.recordLoss(ledger, ['i0', 'i1'], 5)!;
-	const recovered = budget.recordRecovery({value: lost.value, version: 2}, [
+	const lost = budget.markLost(ledger, ['i0', 'i1'], 5)!;
+	const recovered = budget.markRecovered({value: lost.value, version: 2}, [
 		createInstance('i0'),
 		createInstance('i1', 'quote', 'away'),
 	]);
--- a/packages/core/src/budget/ledger.ts
+++ b/packages/core/src/budget/ledger.ts
@@ -44,14 +44,14 @@
  * Services in whose ledgers an instance stands. Workers serve no requests: no
  * contract counts them.
  */
-export const getServicesOf = (
+export const listLedgerServices = (
 	{kind, pool}: Pick<Instance, 'kind' | 'pool'>,
 	servicesByPool: ServicesByPool,
 ): readonly string[] =>
 	kind === 'executor' ? (servicesByPool.get(pool) ?? []) : [];
 
 /** How a budget stands. */
-export type Usage = {
+export type BudgetUsage = {
 	readonly total: number;
 	readonly serving: number;
 	/** Held away by plan. */
@@ -108,7 +108,7 @@
  * Counts a ledger. Loss counts first: what is lost is taken off the budget
  * before any plan may use it.
  */
-export const getUsage = (ledger: Ledger, reserve = 0): Usage => {
+export const getUsage = (ledger: Ledger, reserve = 0): BudgetUsage => {
 	const {total, planned, lost} = countEntries(ledger);
 	const serving = total - planned - lost;
 	const {keepExecutors, maxAway} = ledger.terms;
@@ -141,15 +141,18 @@
  * The write that brings a ledger to new terms. A change of a contract commits
  * it in its own transaction, so that no take is judged by older terms.
  */
-export const updateTerms = (
+export const createTermsPut = (
 	ledger: Versioned<Ledger>,
 	terms: CombinedTerms,
-): RowPut<Ledger> => putLedger({...ledger.value, terms}, ledger.version);
+): RowPut<Ledger> => createLedgerPut({...ledger.value, terms}, ledger.version);
 
 /** The write of a changed ledger. */
-export const putLedger = (ledger: Ledger, version: number): RowPut<Ledger> =>
+export const createLedgerPut = (
+	ledger: Ledger,
+	version: number,
+): RowPut<Ledger> =>
 	createRowPut(tables.ledgers, ledger.service, ledger, version);
 
 /** The write of a ledger that has no row yet. */
-export const insertLedger = (ledger: Ledger): RowPut<Ledger> =>
+export const createLedgerInsert = (ledger: Ledger): RowPut<Ledger> =>
 	createRowInsert(tables.ledgers, ledger.service, ledger);
--- a/packages/core/src/budget/loss.ts
+++ b/packages/core/src/budget/lost-instances.ts
@@ -4,13 +4,13 @@
  */
 import type {Instance} from '../types/instance.js';
 import type {RowPut, Versioned} from './row-write.js';
-import {putLedger, updateEntry, type Ledger} from './ledger.js';
+import {createLedgerPut, updateEntry, type Ledger} from './ledger.js';
 
 /**
  * Books instances as lost. Those already away by plan stay booked as away:
  * either way they count once. Returns nothing if nothing changes.
  */
-export const recordLoss = (
+export const markLost = (
 	ledger: Versioned<Ledger>,
 	instanceIds: Iterable<string>,
 	now: number,
@@ -24,7 +24,7 @@
 
 	return changed === ledger.value
 		? undefined
-		: putLedger(changed, ledger.version);
+		: createLedgerPut(changed, ledger.version);
 };
 
 /**
@@ -32,7 +32,7 @@
  * whose row does not serve stays lost: no entry routes to it yet, and it comes
  * back by `giveBack`.
  */
-export const recordRecovery = (
+export const markRecovered = (
 	ledger: Versioned<Ledger>,
 	instances: Iterable<Instance>,
 ): RowPut<Ledger> | undefined => {
@@ -45,20 +45,20 @@
 
 	return changed === ledger.value
 		? undefined
-		: putLedger(changed, ledger.version);
+		: createLedgerPut(changed, ledger.version);
 };
 
 /**
  * Turns a planned absence into a loss, for an instance that did not come
  * back in time: it still counts, but no longer as a take of the wave.
  */
-export const convertToLoss = (
+export const convertAwayToLost = (
 	ledger: Versioned<Ledger>,
 	instanceId: string,
 	now: number,
 ): RowPut<Ledger> | undefined =>
 	ledger.value.entries[instanceId]?.kind === 'away'
-		? putLedger(
+		? createLedgerPut(
 				updateEntry(ledger.value, instanceId, {kind: 'lost', since: now}),
 				ledger.version,
 			)
--- a/packages/core/src/budget/move-ledgers.ts
+++ b/packages/core/src/budget/move-ledgers.ts
@@ -7,8 +7,8 @@
 import type {Instance} from '../types/instance.js';
 import {fail, succeed, type Result} from '../types/result.js';
 import {
-	getServicesOf,
-	putLedger,
+	listLedgerServices,
+	createLedgerPut,
 	removeEntry,
 	updateEntry,
 	type Ledger,
@@ -18,10 +18,10 @@
 import type {RowPut} from './row-write.js';
 
 /** The wave that a move books its instance under: none. */
-export const moveWave = '';
+export const noWaveId = '';
 
 /** A move that ends. */
-export type MoveEnd = {
+export type MoveLedgersRequest = {
 	/** The row before the move ends, still in the old pool. */
 	readonly instance: Instance;
 	readonly to: string;
@@ -35,12 +35,12 @@
 	to,
 	ledgers,
 	servicesByPool,
-}: MoveEnd): Result<
+}: MoveLedgersRequest): Result<
 	ReadonlyArray<RowPut<Ledger>>,
 	{readonly kind: 'no-ledger'; readonly service: string}
 > => {
-	const before = getServicesOf(instance, servicesByPool);
-	const after = getServicesOf({...instance, pool: to}, servicesByPool);
+	const before = listLedgerServices(instance, servicesByPool);
+	const after = listLedgerServices({...instance, pool: to}, servicesByPool);
 	const writes: Array<RowPut<Ledger>> = [];
 	for (const service of new Set([...before, ...after])) {
 		const read = ledgers.get(service);
@@ -51,7 +51,7 @@
 		const changed = after.includes(service)
 			? updateEntry(read.value, instance.id, {kind: 'serving'})
 			: removeEntry(read.value, instance.id);
-		writes.push(putLedger(changed, read.version));
+		writes.push(createLedgerPut(changed, read.version));
 	}
 
 	return succeed(writes);
--- a/packages/core/src/budget/racing.test.ts
+++ b/packages/core/src/budget/racing.test.ts
@@ -1,7 +1,7 @@
 import * as fc from 'fast-check';
 import * as tap from 'tap';
 import type {Instance} from '../types/instance.js';
-import {createInstance, ids, proof} from './budget.test.fixture.js';
+import {createInstance, ids, returnEvidence} from './budget.test.fixture.js';
 import * as budget from './index.js';
 
 /** A table with versions, as the platform promises it. */
@@ -95,8 +95,8 @@
 		const id = ids[step.instance]!;
 		const write =
 			step.kind === 'loss'
-				? budget.recordLoss(ledger, [id], 0)
-				: budget.recordRecovery(ledger, [readInstance(rows, id).value]);
+				? budget.markLost(ledger, [id], 0)
+				: budget.markRecovered(ledger, [readInstance(rows, id).value]);
 		if (write) {
 			commit(rows, {writes: [write], operationId: `loss-${service}`});
 		}
@@ -111,12 +111,12 @@
 };
 
 const applyGiveBack = (rows: TestTable, id: string) => {
-	const change = budget.giveBack({
+	const change = budget.returnInstance({
 		operationId: `back-${id}`,
 		instance: createReturning(rows, id),
 		ledgers: readLedgers(rows),
 		servicesByPool: sharedPool,
-		evidence: proof,
+		evidence: returnEvidence,
 		settings: budget.returnDefaults,
 	});
 	if (change.ok) {
@@ -138,7 +138,7 @@
 
 const planTake = (rows: TestTable, planner: Planner, id: string, n: number) => {
 	const instance = readInstance(rows, id);
-	const change = budget.reserveAway(
+	const change = budget.withdrawInstances(
 		{
 			operationId: `take-${n}`,
 			wave: 'w',
@@ -155,9 +155,9 @@
 
 const readOutcome = (rows: TestTable, planner: Planner) => {
 	const row = readInstance(rows, planner.taken!);
-	return budget.getTakeOutcome(
+	return budget.getWithdrawalOutcome(
 		{
-			versionBefore: planner.versionBefore,
+			expectedVersion: planner.versionBefore,
 			version: row.version,
 			operationId: row.operationId,
 			instance: row.value,
--- a/packages/core/src/budget/read-back.ts
+++ b/packages/core/src/budget/read-back.ts
@@ -13,7 +13,7 @@
 /** An instance row that is read back after a lost reply. */
 export type ReadBack = {
 	/** Version that the writes were conditional on. */
-	readonly versionBefore: number;
+	readonly expectedVersion: number;
 	readonly version: number;
 	/** Id of the write that made the version read. */
 	readonly operationId: string;
@@ -27,7 +27,7 @@
  * as long as the instance is away, so a later write to the row does not hide
  * an earlier commit.
  */
-export const getTakeOutcome = (
+export const getWithdrawalOutcome = (
 	readBack: ReadBack,
 	operationId: string,
 ): OperationOutcome => {
@@ -39,7 +39,7 @@
 		return 'committed';
 	}
 
-	return readBack.version === readBack.versionBefore
+	return readBack.version === readBack.expectedVersion
 		? 'not-committed'
 		: 'superseded';
 };
--- a/packages/core/src/budget/give-back.ts
+++ b/packages/core/src/budget/return-instance.ts
@@ -5,14 +5,14 @@
 import type {Instance} from '../types/instance.js';
 import {fail, succeed, type Result} from '../types/result.js';
 import {
-	getServicesOf,
-	putLedger,
+	listLedgerServices,
+	createLedgerPut,
 	updateEntry,
 	type Ledger,
 	type Ledgers,
 	type ServicesByPool,
 } from './ledger.js';
-import {putTransition, type BudgetChange} from './reserve-away.js';
+import {createTransitionPut, type BudgetChange} from './withdraw-instances.js';
 import type {RowPut, Versioned} from './row-write.js';
 
 /** What is known of an instance that comes back. */
@@ -51,7 +51,7 @@
 };
 
 /** What is missing before the instance may be given back, if anything. */
-export const getMissingProof = (
+export const findReturnBlocker = (
 	evidence: ReturnEvidence,
 	settings: ReturnSettings,
 ): 'not-listed' | 'not-restarted' | 'not-proved' | undefined => {
@@ -72,7 +72,7 @@
 };
 
 /** What is read to give one instance back. */
-export type GiveBackRequest = {
+export type ReturnRequest = {
 	readonly operationId: string;
 	readonly instance: Versioned<Instance>;
 	readonly ledgers: Ledgers;
@@ -82,23 +82,23 @@
 };
 
 /** Returns the instance row to `serving` and frees its ledgers, as one. */
-export const giveBack = (
-	request: GiveBackRequest,
+export const returnInstance = (
+	request: ReturnRequest,
 ): Result<BudgetChange, ReturnRefusal> => {
 	const {instance, ledgers, evidence, settings, operationId} = request;
 	const {id} = instance.value;
-	const missing = getMissingProof(evidence, settings);
+	const missing = findReturnBlocker(evidence, settings);
 	if (missing) {
 		return fail({kind: missing, instance: id});
 	}
 
-	const write = putTransition(instance, 'finishReturn');
+	const write = createTransitionPut(instance, 'finishReturn');
 	if (!write) {
 		return fail({kind: 'not-returning', instance: id});
 	}
 
 	const writes: Array<RowPut<Instance | Ledger>> = [write];
-	const services = getServicesOf(instance.value, request.servicesByPool);
+	const services = listLedgerServices(instance.value, request.servicesByPool);
 	for (const service of services) {
 		const read = ledgers.get(service);
 		if (!read) {
@@ -106,7 +106,7 @@
 		}
 
 		const ledger = updateEntry(read.value, id, {kind: 'serving'});
-		writes.push(putLedger(ledger, read.version));
+		writes.push(createLedgerPut(ledger, read.version));
 	}
 
 	return succeed({operationId, writes});
--- a/packages/core/src/budget/reserve-away.ts
+++ b/packages/core/src/budget/withdraw-instances.ts
@@ -7,9 +7,9 @@
 import type {Instance} from '../types/instance.js';
 import {fail, succeed, type Result} from '../types/result.js';
 import {
-	getServicesOf,
+	listLedgerServices,
 	getUsage,
-	putLedger,
+	createLedgerPut,
 	updateEntry,
 	type Ledger,
 	type Ledgers,
@@ -44,7 +44,7 @@
 	| {readonly kind: 'no-ledger'; readonly service: string};
 
 /** What is asked to be taken away, with all that was read for it. */
-export type TakeRequest = {
+export type WithdrawalRequest = {
 	/** Kept in the rows; after a lost reply it tells whether this committed. */
 	readonly operationId: string;
 	readonly wave: string;
@@ -62,7 +62,7 @@
 };
 
 /** The write of an instance's next state, if the transition is allowed. */
-export const putTransition = (
+export const createTransitionPut = (
 	{value, version}: Versioned<Instance>,
 	transition: Transition,
 ): RowPut<Instance> | undefined => {
@@ -103,7 +103,7 @@
 const takeFromLedger = (
 	ledger: Ledger,
 	instanceId: string,
-	{operationId, wave, reserves}: TakeRequest,
+	{operationId, wave, reserves}: WithdrawalRequest,
 	now: number,
 ): Result<Ledger, BudgetRefusal> => {
 	if (ledger.entries[instanceId]?.kind !== 'serving') {
@@ -127,13 +127,13 @@
  * Books the instances as away in the ledger of every service on their pools;
  * the ledgers alone, for a caller that writes the instances itself.
  */
-export const bookAway = (
-	request: TakeRequest,
+export const withdrawInLedgers = (
+	request: WithdrawalRequest,
 	now: number,
 ): Result<ReadonlyArray<RowPut<Ledger>>, BudgetRefusal> => {
 	const changed = new Map<string, Ledger>();
 	for (const {value} of request.instances) {
-		for (const service of getServicesOf(value, request.servicesByPool)) {
+		for (const service of listLedgerServices(value, request.servicesByPool)) {
 			const read = request.ledgers.get(service);
 			if (!read) {
 				return fail({kind: 'no-ledger', service});
@@ -151,7 +151,7 @@
 
 	return succeed(
 		[...changed].map(([service, ledger]) =>
-			putLedger(ledger, request.ledgers.get(service)!.version),
+			createLedgerPut(ledger, request.ledgers.get(service)!.version),
 		),
 	);
 };
@@ -160,13 +160,13 @@
  * Takes all instances of the request away, or none: each becomes `draining`
  * and is booked in the ledger of every service on its pool.
  */
-export const reserveAway = (
-	request: TakeRequest,
+export const withdrawInstances = (
+	request: WithdrawalRequest,
 	now: number,
 ): Result<BudgetChange, BudgetRefusal> => {
 	const writes: Array<RowPut<Instance>> = [];
 	for (const instance of request.instances) {
-		const write = putTransition(instance, 'startDrain');
+		const write = createTransitionPut(instance, 'startDrain');
 		if (!write) {
 			return fail({kind: 'not-serving', instance: instance.value.id});
 		}
@@ -174,7 +174,7 @@
 		writes.push(write);
 	}
 
-	const booked = bookAway(request, now);
+	const booked = withdrawInLedgers(request, now);
 	return booked.ok
 		? succeed({
 				operationId: request.operationId,
--- a/packages/core/src/instances/move.test.ts
+++ b/packages/core/src/instances/move.test.ts
@@ -5,7 +5,7 @@
 	cancelMove,
 	decideMove,
 	noOutageStart,
-	startDrain,
+	startMove,
 	type MembershipRead,
 	type Move,
 } from './move.js';
@@ -55,7 +55,7 @@
 const createRead = (change: Partial<MembershipRead> = {}): MembershipRead => ({
 	version: 40,
 	registrations: [createRegistration(12)],
-	heard: new Map(),
+	received: new Map(),
 	outageStart: noOutageStart,
 	...change,
 });
@@ -86,13 +86,13 @@
 		'an entry is behind',
 		{},
 		{registrations: [createRegistration(11)]},
-		{kind: 'wait', lagging: [{reason: 'not-in-force'}]},
+		{kind: 'wait', pendingEntries: [{reason: 'not-in-force'}]},
 	],
 	[
 		'an entry has a request in flight',
 		{},
 		{registrations: [createRegistration(13, 'x')]},
-		{kind: 'wait', lagging: [{reason: 'holding'}]},
+		{kind: 'wait', pendingEntries: [{reason: 'holding'}]},
 	],
 	[
 		'drained',
@@ -153,7 +153,7 @@
 	tap.t.test(`starts from ${change.state} to ${to}`, async (t) => {
 		const instance = {value: createInstance(change), version: 20};
 		const request = {instance, to, isMoving, author: 'ann', revision: 12};
-		t.match(startDrain(request), wanted);
+		t.match(startMove(request), wanted);
 	});
 }
 
--- a/packages/core/src/instances/move.ts
+++ b/packages/core/src/instances/move.ts
@@ -45,7 +45,7 @@
 	readonly instanceVersion: number;
 	/** The move row after the step; `undefined` deletes it. */
 	readonly move: Move | undefined;
-	readonly moveWhen: StorePrecondition;
+	readonly movePrecondition: StorePrecondition;
 	/** What else must still hold. */
 	readonly conditions: readonly StoreCheck[];
 };
@@ -53,7 +53,7 @@
 /** What to do next for a move. */
 export type MoveStep =
 	| MoveCommit
-	| {readonly kind: 'wait'; readonly lagging: readonly Lag[]}
+	| {readonly kind: 'wait'; readonly pendingEntries: readonly Lag[]}
 	/** The object store's snapshot does not show the drain yet. */
 	| {readonly kind: 'wait-for-snapshot'}
 	/** An entry may just have started from an older snapshot. */
@@ -94,7 +94,7 @@
 	/** Version of the membership row, read before the registrations. */
 	readonly version: number;
 	readonly registrations: readonly Registration[];
-	readonly heard: HeardAcknowledgements;
+	readonly received: HeardAcknowledgements;
 	readonly outageStart: OutageStart;
 };
 
@@ -115,7 +115,7 @@
 };
 
 /** Starts a move: the instance drains, and the move is on record. */
-export const startDrain = (
+export const startMove = (
 	request: MoveRequest,
 ): Result<MoveCommit, MoveRefusal> => {
 	const {instance, to, author, revision} = request;
@@ -145,7 +145,7 @@
 			drainRevision: revision,
 			author,
 		},
-		moveWhen: {kind: 'absent'},
+		movePrecondition: {kind: 'absent'},
 		conditions: [],
 	});
 };
@@ -169,7 +169,7 @@
 		instance: next.value,
 		instanceVersion: instance.version,
 		move: transition === 'finishDrain' ? {...move.value, epoch} : undefined,
-		moveWhen: {kind: 'version', version: move.version},
+		movePrecondition: {kind: 'version', version: move.version},
 		conditions,
 	};
 };
@@ -196,12 +196,12 @@
 		return createStep(move, instance, 'commitMove', [checkShard(shard)]);
 	}
 
-	const lagging = findLagging(membership.registrations, membership.heard, {
+	const lagging = findLagging(membership.registrations, membership.received, {
 		revision: move.value.drainRevision,
 		instance: move.value.instance,
 	});
 	if (lagging.length > 0) {
-		return {kind: 'wait', lagging};
+		return {kind: 'wait', pendingEntries: lagging};
 	}
 
 	const {outageStart} = membership;
--- a/packages/core/src/instances/ownership-system.test.fixture.ts
+++ b/packages/core/src/instances/ownership-system.test.fixture.ts
@@ -15,7 +15,7 @@
 	cancelMove,
 	decideMove,
 	noOutageStart,
-	startDrain,
+	startMove,
 	type MembershipRead,
 	type Move,
 	type MoveCommit,
@@ -59,7 +59,7 @@
 const {counter} = agreementTables;
 
 /** Creates a system with one instance that serves pool a. */
-export const createSystem = (left: Guard | undefined) => {
+export const createSystem = (omittedGuard: Guard | undefined) => {
 	const store = createStore();
 	const history: Instance[] = [first];
 	const entries = [0, 1, 2].map((): Entry => ({
@@ -95,14 +95,15 @@
 		},
 		{kind: 'put', table: 'shard', key: 's', value: {}, when: {kind: 'any'}},
 	]);
-	return {left, store, history, entries, movers};
+	return {omittedGuard, store, history, entries, movers};
 };
 
 /** Everything that a run changes. */
 export type System = ReturnType<typeof createSystem>;
 
 /** The instance as the store has it. */
-export const getTruth = ({history}: System): Instance => history.at(-1)!;
+export const getCommittedInstance = ({history}: System): Instance =>
+	history.at(-1)!;
 
 const viewOf = (system: System, revision: number): View => ({
 	...emptyView,
@@ -112,7 +113,7 @@
 
 /** Asserts what must hold after every step. */
 export const checkProperties = (system: System) => {
-	const truth = getTruth(system);
+	const truth = getCommittedInstance(system);
 	for (const {picks} of system.entries) {
 		for (const {pool} of picks.filter(({isSent}) => isSent)) {
 			assert.equal(pool, truth.pool, 'one pool');
@@ -133,7 +134,7 @@
 
 const getRouter = (system: System, entry: Entry) => ({
 	routedRevision: entry.revision,
-	inFlight: new Map([['x', countInFlight(system.left, entry)]]),
+	inFlight: new Map([['x', countInFlight(system.omittedGuard, entry)]]),
 });
 
 const createRegistration = (system: System, index: number): Registration => {
@@ -154,16 +155,16 @@
 };
 
 const commitStep = (system: System, step: MoveCommit): boolean => {
-	const {store, history, left} = system;
+	const {store, history, omittedGuard} = system;
 	const revision = history.length;
-	const isUnguarded = left === 'version';
+	const isUnguarded = omittedGuard === 'version';
 	const when = isUnguarded
 		? ({kind: 'any'} as const)
 		: ({kind: 'version', version: step.instanceVersion} as const);
-	const moveWhen = isUnguarded ? when : step.moveWhen;
+	const moveWhen = isUnguarded ? when : step.movePrecondition;
 	const moveRow = {table: 'move', key: 'x', when: moveWhen};
 	const conditions = step.conditions.filter(
-		({table}) => !(left === 'membership' && table === 'membership'),
+		({table}) => !(omittedGuard === 'membership' && table === 'membership'),
 	);
 	const isCommitted = store.commit([
 		...conditions,
@@ -195,7 +196,7 @@
 const readMembership = ({store}: System): MembershipRead => ({
 	version: store.read('membership', singleRowKey)!.version,
 	registrations: store.list<Registration>('entry').map(({value}) => value),
-	heard: new Map(),
+	received: new Map(),
 	outageStart: noOutageStart,
 });
 
@@ -209,7 +210,7 @@
 	if (!move) {
 		const to = instance.value.pool === 'a' ? 'b' : 'a';
 		const revision = history.length;
-		const started = startDrain({
+		const started = startMove({
 			instance,
 			to,
 			author: 'ann',
@@ -238,14 +239,15 @@
 	applyRevision(system: System, index: number, age: number) {
 		const entry = system.entries[index]!;
 		const read = Math.max(0, system.history.length - 1 - age);
-		const isNewer = read > entry.revision || system.left === 'monotonic';
+		const isNewer =
+			read > entry.revision || system.omittedGuard === 'monotonic';
 		if (entry.isUp && isNewer) {
 			entry.revision = read;
 		}
 	},
 	registerEntry(system: System, index: number) {
 		const entry = system.entries[index]!;
-		const {store, history, left} = system;
+		const {store, history, omittedGuard} = system;
 		const isCurrent = entry.revision === history.length - 1;
 		if (!entry.isUp || entry.rowVersion > 0) {
 			return;
@@ -253,7 +255,7 @@
 
 		// The version of a counter row that has moved on never matches.
 		const counterVersion =
-			isCurrent || left === 'current-view'
+			isCurrent || omittedGuard === 'current-view'
 				? store.read(counter, singleRowKey)!.version
 				: -1;
 		const registration = createRegistration(system, index);
--- a/packages/core/src/instances/ownership.test.ts
+++ b/packages/core/src/instances/ownership.test.ts
@@ -6,7 +6,7 @@
 	actions,
 	checkProperties,
 	createSystem,
-	getTruth,
+	getCommittedInstance,
 	type Guard,
 	type System,
 } from './ownership-system.test.fixture.js';
@@ -95,7 +95,7 @@
 		fc.property(commands, (list) => {
 			const system = createSystem(undefined);
 			fc.modelRun(() => ({model: {steps: 0}, real: system}), list);
-			moved += getTruth(system).pool === 'b' ? 1 : 0;
+			moved += getCommittedInstance(system).pool === 'b' ? 1 : 0;
 		}),
 		{seed: 17, numRuns: 500},
 	);
--- a/packages/core/src/placement/cluster.ts
+++ b/packages/core/src/placement/cluster.ts
@@ -5,7 +5,7 @@
  */
 import type {Resources, Worker} from '../types/job.js';
 import * as resources from './resources.js';
-import type {UseEstimate} from './usage-estimate.js';
+import type {UsageEstimate} from './usage-estimate.js';
 
 /** A task on a worker. */
 export type PlacedTask = {
@@ -13,7 +13,7 @@
 	readonly customer: string;
 	readonly worker: string;
 	/** Expected use, and how far off that may be. */
-	readonly estimate: UseEstimate;
+	readonly estimate: UsageEstimate;
 	readonly urgent: boolean;
 	readonly canThrottle: boolean;
 	readonly canCheckpoint: boolean;
@@ -39,7 +39,7 @@
 	/** Reserved by each customer. */
 	readonly customers: Map<string, Resources>;
 	/** Tasks by customer and rack, availability zone, and in all. */
-	readonly spread: Map<string, number>;
+	readonly taskCounts: Map<string, number>;
 };
 
 /** Creates a cluster with no tasks. */
@@ -58,7 +58,7 @@
 	),
 	tasks: new Map(),
 	customers: new Map(),
-	spread: new Map(),
+	taskCounts: new Map(),
 });
 
 /**
@@ -75,9 +75,9 @@
 export const defaultSafetyMargin: SafetyMargin = {cores: 0.5, memoryMb: 2.5};
 
 /** What a worker needs for its tasks and one more, with the margin. */
-export const getNeed = (
+export const getRequiredResources = (
 	load: WorkerLoad,
-	{mean, deviation}: UseEstimate,
+	{mean, deviation}: UsageEstimate,
 	margin: SafetyMargin = defaultSafetyMargin,
 ): Resources => {
 	const getOne = (resource: 'cores' | 'memoryMb') =>
@@ -95,7 +95,10 @@
 };
 
 /** Whether one more task could fit without any margin; cheap. */
-export const mayHaveRoom = (load: WorkerLoad, {mean}: UseEstimate): boolean => {
+export const mayHaveRoom = (
+	load: WorkerLoad,
+	{mean}: UsageEstimate,
+): boolean => {
 	const {capacity} = load.worker;
 	return (
 		load.reserved.cores + mean.cores <= capacity.cores &&
@@ -106,10 +109,13 @@
 /** Whether one more task fits on a worker, with the margin. */
 export const hasRoom = (
 	load: WorkerLoad,
-	estimate: UseEstimate,
+	estimate: UsageEstimate,
 	margin?: SafetyMargin,
 ): boolean =>
-	resources.fitsInto(getNeed(load, estimate, margin), load.worker.capacity);
+	resources.fitsInto(
+		getRequiredResources(load, estimate, margin),
+		load.worker.capacity,
+	);
 
 const square = ({cores, memoryMb}: Resources): Resources => ({
 	cores: cores * cores,
@@ -124,16 +130,16 @@
 ];
 
 /** Tasks of a customer in a worker's rack, in its zone and in all. */
-export const countNearby = (
+export const countCustomerTasks = (
 	cluster: Cluster,
 	customer: string,
 	worker: Worker,
 ): {rack: number; zone: number; all: number} => {
 	const [rack = '', zone = '', all = ''] = listSpreadKeys(customer, worker);
 	return {
-		rack: cluster.spread.get(rack) ?? 0,
-		zone: cluster.spread.get(zone) ?? 0,
-		all: cluster.spread.get(all) ?? 0,
+		rack: cluster.taskCounts.get(rack) ?? 0,
+		zone: cluster.taskCounts.get(zone) ?? 0,
+		all: cluster.taskCounts.get(all) ?? 0,
 	};
 };
 
@@ -144,18 +150,20 @@
 	change: 1 | -1,
 ) => {
 	for (const key of listSpreadKeys(customer, worker)) {
-		const count = (cluster.spread.get(key) ?? 0) + change;
+		const count = (cluster.taskCounts.get(key) ?? 0) + change;
 		if (count === 0) {
-			cluster.spread.delete(key);
+			cluster.taskCounts.delete(key);
 		} else {
-			cluster.spread.set(key, count);
+			cluster.taskCounts.set(key, count);
 		}
 	}
 };
 
 /** What a customer has reserved in all. */
-export const getCustomerUse = (cluster: Cluster, customer: string): Resources =>
-	cluster.customers.get(customer) ?? resources.noResources;
+export const getCustomerUsage = (
+	cluster: Cluster,
+	customer: string,
+): Resources => cluster.customers.get(customer) ?? resources.noResources;
 
 /** Puts a task on its worker; a job that is placed already is refused. */
 export const addTask = (cluster: Cluster, task: PlacedTask): boolean => {
@@ -172,7 +180,7 @@
 	cluster.tasks.set(task.job, task);
 	cluster.customers.set(
 		task.customer,
-		resources.addResources(getCustomerUse(cluster, task.customer), mean),
+		resources.addResources(getCustomerUsage(cluster, task.customer), mean),
 	);
 	countSpread(cluster, task.customer, load.worker, 1);
 	return true;
@@ -196,7 +204,7 @@
 	cluster.tasks.delete(job);
 	cluster.customers.set(
 		task.customer,
-		resources.subtractResources(getCustomerUse(cluster, task.customer), mean),
+		resources.subtractResources(getCustomerUsage(cluster, task.customer), mean),
 	);
 	countSpread(cluster, task.customer, load.worker, -1);
 	return task;
@@ -206,7 +214,7 @@
 export const updateEstimate = (
 	cluster: Cluster,
 	job: string,
-	estimate: UseEstimate,
+	estimate: UsageEstimate,
 ): void => {
 	const task = removeTask(cluster, job);
 	if (task) {
--- a/packages/core/src/placement/declaration-model.ts
+++ b/packages/core/src/placement/declaration-model.ts
@@ -83,7 +83,7 @@
 };
 
 /** Expected use and its deviation, for a declared size. */
-export const predictUse = (
+export const predictUsage = (
 	fit: DeclarationFit,
 	declared: number,
 ): {mean: number; deviation: number} => {
--- a/packages/core/src/placement/index.ts
+++ b/packages/core/src/placement/index.ts
@@ -4,5 +4,5 @@
 export * from './usage-estimate.js';
 export * from './cluster.js';
 export * from './place-job.js';
-export * from './pending-order.js';
+export * from './sort-pending.js';
 export * from './relocation.js';
--- a/packages/core/src/placement/place-job.ts
+++ b/packages/core/src/placement/place-job.ts
@@ -8,7 +8,7 @@
 import type {Job, Resources, Worker} from '../types/job.js';
 import * as clusters from './cluster.js';
 import * as resources from './resources.js';
-import type {UseEstimate} from './usage-estimate.js';
+import type {UsageEstimate} from './usage-estimate.js';
 
 /** Weights of the one objective; all from 0. */
 export type PlacementConfig = {
@@ -23,7 +23,7 @@
 	/** Against each task that is checkpointed: room comes late, and it moves. */
 	readonly checkpointWeight: number;
 	/** Time between two starts on one worker; bounds a black hole. */
-	readonly startGapMs: number;
+	readonly minStartIntervalMs: number;
 	/** Cores left to a throttled task, as a share of what it has. */
 	readonly throttledShare: number;
 	readonly margin: clusters.SafetyMargin;
@@ -36,7 +36,7 @@
 	zoneWeight: 0.2,
 	throttleWeight: 0.3,
 	checkpointWeight: 3,
-	startGapMs: 0,
+	minStartIntervalMs: 0,
 	throttledShare: 0.1,
 	margin: clusters.defaultSafetyMargin,
 };
@@ -61,7 +61,7 @@
 /** A job to place and what is known of it. */
 export type PlacementRequest = {
 	readonly job: Job;
-	readonly estimate: UseEstimate;
+	readonly estimate: UsageEstimate;
 	/** What the contract lets its customer use at once. */
 	readonly quota: Resources;
 	/** Workers that are not to be tried, such as those it failed on. */
@@ -80,7 +80,11 @@
 	worker: Worker,
 	cfg: PlacementConfig,
 ): number => {
-	const {rack, zone, all} = clusters.countNearby(cluster, customer, worker);
+	const {rack, zone, all} = clusters.countCustomerTasks(
+		cluster,
+		customer,
+		worker,
+	);
 	const penalty = rack * cfg.rackWeight + zone * cfg.zoneWeight;
 	// As a share after this one is placed; a first task has no others near.
 	return penalty / (all + 1);
@@ -88,7 +92,7 @@
 
 const getFullness = (
 	load: clusters.WorkerLoad,
-	{mean}: UseEstimate,
+	{mean}: UsageEstimate,
 ): number => {
 	const reserved = resources.addResources(load.reserved, mean);
 	return resources.getDominantShare(reserved, load.worker.capacity);
@@ -111,7 +115,7 @@
 ): boolean =>
 	load.worker.isOpen &&
 	!excluded.has(load.worker.id) &&
-	now - load.lastStartAt >= cfg.startGapMs;
+	now - load.lastStartAt >= cfg.minStartIntervalMs;
 
 /** What a task gives up, and how; undefined if it can give up nothing. */
 const getPreemption = (
@@ -146,17 +150,17 @@
 /** What has to be freed on a worker; negative where there is room. */
 const getShortage = (
 	load: clusters.WorkerLoad,
-	estimate: UseEstimate,
+	estimate: UsageEstimate,
 	cfg: PlacementConfig,
 ): Resources =>
 	resources.subtractResources(
-		clusters.getNeed(load, estimate, cfg.margin),
+		clusters.getRequiredResources(load, estimate, cfg.margin),
 		load.worker.capacity,
 	);
 
 const findPreemptions = (
 	load: clusters.WorkerLoad,
-	estimate: UseEstimate,
+	estimate: UsageEstimate,
 	cfg: PlacementConfig,
 ): readonly Preemption[] | undefined => {
 	let shortage = getShortage(load, estimate, cfg);
@@ -239,7 +243,7 @@
 
 const fitsSomeWorker = (
 	cluster: clusters.Cluster,
-	{mean}: UseEstimate,
+	{mean}: UsageEstimate,
 ): boolean => {
 	for (const {worker} of cluster.loads.values()) {
 		if (resources.fitsInto(mean, worker.capacity)) {
@@ -264,7 +268,7 @@
 		return 'too-large';
 	}
 
-	const used = clusters.getCustomerUse(cluster, job.customer);
+	const used = clusters.getCustomerUsage(cluster, job.customer);
 	return resources.fitsInto(resources.addResources(used, estimate.mean), quota)
 		? 'place'
 		: 'quota';
--- a/packages/core/src/placement/placement.test.ts
+++ b/packages/core/src/placement/placement.test.ts
@@ -28,7 +28,7 @@
 	...change,
 });
 
-const certain = (mean: Resources): placement.UseEstimate => ({
+const certain = (mean: Resources): placement.UsageEstimate => ({
 	mean,
 	deviation: {cores: 0, memoryMb: 0, accelerators: 0},
 });
@@ -172,7 +172,7 @@
 		}
 	}
 
-	const counts = [...cluster.spread.entries()]
+	const counts = [...cluster.taskCounts.entries()]
 		.filter(([key]) => !key.endsWith(' all'))
 		.map(([, count]) => count);
 	t.equal(cluster.tasks.size, 6);
@@ -206,7 +206,7 @@
 			);
 			const loads = [...cluster.loads.values()];
 			return (
-				placement.getCustomerUse(cluster, 'c').cores === sum &&
+				placement.getCustomerUsage(cluster, 'c').cores === sum &&
 				loads.reduce((total, each) => total + each.reserved.cores, 0) === sum &&
 				loads.reduce((total, each) => total + each.tasks.size, 0) ===
 					cluster.tasks.size
@@ -219,7 +219,7 @@
 
 tap.t.test('estimates follow use; an old report changes nothing', async (t) => {
 	const declared = {cores: 8, memoryMb: 8000, accelerators: 1};
-	const young = placement.estimateUse({declared}, undefined);
+	const young = placement.estimateUsage({declared}, undefined);
 	t.ok(young.deviation.cores > 0, 'a declaration alone is uncertain');
 	let history: placement.UsageHistory | undefined;
 	for (let at = 1; at <= 20; at += 1) {
@@ -230,7 +230,7 @@
 	const old = {cores: 99, memoryMb: 1, measuredAt: 3};
 	t.equal(placement.addSample(history, old), history);
 	t.same(
-		placement.estimateUse({declared}, history),
+		placement.estimateUsage({declared}, history),
 		certain({cores: 2, memoryMb: 32_000, accelerators: 1}),
 	);
 });
@@ -245,11 +245,11 @@
 	}
 
 	const fit = placement.fitDeclarations(model);
-	const {mean} = placement.predictUse(fit, 12);
+	const {mean} = placement.predictUsage(fit, 12);
 	t.ok(mean > 2.5 && mean < 6, `12 declared, ${mean} expected`);
-	const far = placement.predictUse(fit, 48).mean;
+	const far = placement.predictUsage(fit, 48).mean;
 	t.ok(far > 4 && far < 16, `48 declared, ${far} expected`);
-	t.same(placement.predictUse(fit, 0), {mean: 0, deviation: 0});
+	t.same(placement.predictUsage(fit, 0), {mean: 0, deviation: 0});
 });
 
 tap.t.test('the margin is for the sum, not for each task', async (t) => {
@@ -260,10 +260,14 @@
 	const cluster = createCluster(
 		['a', 'b', 'c'].map((job) => createTask(job, 'w0', {estimate})),
 	);
-	const need = placement.getNeed(cluster.loads.get('w0')!, estimate, {
-		cores: 1,
-		memoryMb: 1,
-	});
+	const need = placement.getRequiredResources(
+		cluster.loads.get('w0')!,
+		estimate,
+		{
+			cores: 1,
+			memoryMb: 1,
+		},
+	);
 	t.equal(need.cores, 16 + 4, 'four deviations of 2 add up to 4, not 8');
 });
 
@@ -279,7 +283,7 @@
 		['a', quota],
 		['b', quota],
 	]);
-	const ordered = placement.orderPending(cluster, pending, quotas);
+	const ordered = placement.sortPending(cluster, pending, quotas);
 	t.same(
 		ordered.map((each) => each.id),
 		['3', '2', '1', '4'],
--- a/packages/core/src/placement/relocation.ts
+++ b/packages/core/src/placement/relocation.ts
@@ -10,9 +10,9 @@
 /** Settings of relocation. */
 export type RelocationConfig = {
 	/** Share of capacity above which a worker is over. */
-	readonly overShare: number;
+	readonly overloadedShare: number;
 	/** Share of capacity below which a worker is worth emptying. */
-	readonly emptyShare: number;
+	readonly nearlyEmptyShare: number;
 	/** Time that a worker must be so before anything moves, in ms. */
 	readonly settleMs: number;
 	/** Time for which a moved job stays where it is, in ms. */
@@ -20,26 +20,26 @@
 };
 
 /** For long jobs, whose every move is a risk. */
-export const fewerMoves: RelocationConfig = {
-	overShare: 1.1,
-	emptyShare: 0.15,
+export const fewerMovesConfig: RelocationConfig = {
+	overloadedShare: 1.1,
+	nearlyEmptyShare: 0.15,
 	settleMs: 300_000,
 	stayMs: 3_600_000,
 };
 
 /** For small instances, whose idle capacity costs most. */
-export const lessBuffer: RelocationConfig = {
-	overShare: 1.02,
-	emptyShare: 0.25,
+export const lessIdleCapacityConfig: RelocationConfig = {
+	overloadedShare: 1.02,
+	nearlyEmptyShare: 0.25,
 	settleMs: 60_000,
 	stayMs: 900_000,
 };
 
 /** Settings in force when none are given. */
-export const defaultRelocationConfig = fewerMoves;
+export const defaultRelocationConfig = fewerMovesConfig;
 
 /** Since when each worker has been over or nearly empty. */
-export type Observed = ReadonlyMap<
+export type LoadObservations = ReadonlyMap<
 	string,
 	{readonly kind: 'over' | 'nearly-empty'; readonly since: number}
 >;
@@ -57,11 +57,11 @@
 	cfg: RelocationConfig,
 ): 'over' | 'nearly-empty' | undefined => {
 	const share = resources.getDominantShare(load.reserved, load.worker.capacity);
-	if (share > cfg.overShare) {
+	if (share > cfg.overloadedShare) {
 		return 'over';
 	}
 
-	return load.tasks.size > 0 && share < cfg.emptyShare
+	return load.tasks.size > 0 && share < cfg.nearlyEmptyShare
 		? 'nearly-empty'
 		: undefined;
 };
@@ -69,10 +69,10 @@
 /** Notes which workers are over or nearly empty, and since when. */
 export const observeLoads = (
 	cluster: clusters.Cluster,
-	observed: Observed,
+	observed: LoadObservations,
 	now: number,
 	cfg: RelocationConfig = defaultRelocationConfig,
-): Observed => {
+): LoadObservations => {
 	const next = new Map<
 		string,
 		{kind: 'over' | 'nearly-empty'; since: number}
@@ -100,7 +100,7 @@
 const findTarget = (
 	cluster: clusters.Cluster,
 	task: clusters.PlacedTask,
-	observed: Observed,
+	observed: LoadObservations,
 ): string | undefined => {
 	let best: {worker: string; share: number} | undefined;
 	for (const load of cluster.loads.values()) {
@@ -138,7 +138,7 @@
 /** At most one job a worker and call; the next call sees what it did. */
 export const chooseRelocations = (
 	cluster: clusters.Cluster,
-	observed: Observed,
+	observed: LoadObservations,
 	now: number,
 	cfg: RelocationConfig = defaultRelocationConfig,
 ): readonly Relocation[] => {
--- a/packages/core/src/placement/pending-order.ts
+++ b/packages/core/src/placement/sort-pending.ts
@@ -19,14 +19,14 @@
 	const quota = quotas.get(customer);
 	return quota
 		? resources.getDominantShare(
-				clusters.getCustomerUse(cluster, customer),
+				clusters.getCustomerUsage(cluster, customer),
 				quota,
 			)
 		: 1;
 };
 
 /** Sorts pending jobs; the order holds until a job is placed or ends. */
-export const orderPending = <Pending extends Job>(
+export const sortPending = <Pending extends Job>(
 	cluster: clusters.Cluster,
 	pending: readonly Pending[],
 	quotas: Quotas,
--- a/packages/core/src/placement/usage-estimate.ts
+++ b/packages/core/src/placement/usage-estimate.ts
@@ -12,17 +12,17 @@
 	/** Weight of a new sample in the mean and the deviation, from 0 to 1. */
 	readonly sampleWeight: number;
 	/** Samples after which the declared size counts no more. */
-	readonly fullSamples: number;
+	readonly minSamples: number;
 };
 
 /** Settings in force when none are given. */
 export const defaultEstimateConfig: EstimateConfig = {
 	sampleWeight: 0.25,
-	fullSamples: 6,
+	minSamples: 6,
 };
 
 /** A running mean with its deviation. */
-export type Track = {
+export type RunningStatistics = {
 	readonly mean: number;
 	readonly deviation: number;
 	readonly peak: number;
@@ -31,41 +31,41 @@
 /** What was seen of one job. */
 export type UsageHistory = {
 	readonly samples: number;
-	readonly cores: Track;
-	readonly memoryMb: Track;
+	readonly cores: RunningStatistics;
+	readonly memoryMb: RunningStatistics;
 	/** When the last sample was measured, in milliseconds. */
 	readonly measuredAt: number;
 };
 
 /** How a customer's jobs use what it declares. */
-export type CustomerHabit = {
+export type CustomerUsageModel = {
 	readonly cores: declarations.DeclarationModel;
 	readonly memoryMb: declarations.DeclarationModel;
 };
 
 /** What to expect of a job, and how far off that may be. */
-export type UseEstimate = {
+export type UsageEstimate = {
 	readonly mean: Resources;
 	readonly deviation: Resources;
 };
 
 /** Nothing is known of a customer. */
-export const emptyHabit: CustomerHabit = {
+export const emptyCustomerUsageModel: CustomerUsageModel = {
 	cores: declarations.emptyDeclarationModel,
 	memoryMb: declarations.emptyDeclarationModel,
 };
 
-const startTrack = (value: number): Track => ({
+const startTrack = (value: number): RunningStatistics => ({
 	mean: value,
 	deviation: 0,
 	peak: value,
 });
 
 const updateTrack = (
-	track: Track | undefined,
+	track: RunningStatistics | undefined,
 	value: number,
 	weight: number,
-): Track => {
+): RunningStatistics => {
 	if (!track) {
 		return startTrack(value);
 	}
@@ -101,12 +101,12 @@
  * seen often enough has not shown its peak, and teaches nothing.
  */
 export const addEndedJob = (
-	habit: CustomerHabit,
+	habit: CustomerUsageModel,
 	declared: Resources,
 	history: UsageHistory,
 	cfg: EstimateConfig = defaultEstimateConfig,
-): CustomerHabit =>
-	history.samples < cfg.fullSamples
+): CustomerUsageModel =>
+	history.samples < cfg.minSamples
 		? habit
 		: {
 				cores: declarations.addDeclaration(
@@ -124,14 +124,14 @@
 type Evidence = {
 	readonly declared: number;
 	readonly model: declarations.DeclarationModel;
-	readonly seen: Track | undefined;
+	readonly seen: RunningStatistics | undefined;
 	/** From 0 (only declared) to 1 (only seen). */
 	readonly trust: number;
 };
 
 const blend = ({declared, model, seen, trust}: Evidence) => {
 	const fit = declarations.fitDeclarations(model);
-	const predicted = declarations.predictUse(fit, declared);
+	const predicted = declarations.predictUsage(fit, declared);
 	if (!seen) {
 		return predicted;
 	}
@@ -146,13 +146,13 @@
 };
 
 /** What a job is expected to use; accelerators are taken as declared. */
-export const estimateUse = (
+export const estimateUsage = (
 	job: Pick<Job, 'declared'>,
 	history: UsageHistory | undefined,
-	habit: CustomerHabit = emptyHabit,
+	habit: CustomerUsageModel = emptyCustomerUsageModel,
 	cfg: EstimateConfig = defaultEstimateConfig,
-): UseEstimate => {
-	const trust = Math.min(1, (history?.samples ?? 0) / cfg.fullSamples);
+): UsageEstimate => {
+	const trust = Math.min(1, (history?.samples ?? 0) / cfg.minSamples);
 	const estimate = (resource: 'cores' | 'memoryMb') =>
 		blend({
 			declared: job.declared[resource],
--- a/packages/core/src/spec-system.test.fixture.ts
+++ b/packages/core/src/spec-system.test.fixture.ts
@@ -196,7 +196,7 @@
 	registrations: store
 		.list<registration.Registration>(tables.entry)
 		.map(({value}) => value),
-	heard: new Map(),
+	received: new Map(),
 	outageStart: core.move.noOutageStart,
 });
 
@@ -220,7 +220,7 @@
 
 /** Decides to take an instance away by plan. */
 export const takeAway = (system: System, id: string) =>
-	core.budget.reserveAway(
+	core.budget.withdrawInstances(
 		{
 			operationId: 'op',
 			wave: 'w',
@@ -232,7 +232,11 @@
 	);
 
 const getMoveWrites = (step: move.MoveCommit): Array<StoreWrite<unknown>> => {
-	const row = {table: tables.move, key: step.instance.id, when: step.moveWhen};
+	const row = {
+		table: tables.move,
+		key: step.instance.id,
+		when: step.movePrecondition,
+	};
 	return [
 		...step.conditions,
 		{
@@ -254,7 +258,7 @@
 	id: string,
 ): Array<StoreWrite<unknown>> =>
 	[...readLedgers(system).values()].map((read) =>
-		core.budget.putLedger(
+		core.budget.createLedgerPut(
 			read.value.entries[id]
 				? core.budget.removeEntry(read.value, id)
 				: core.budget.updateEntry(read.value, id, {kind: 'serving'}),
@@ -266,7 +270,7 @@
 export const startMove = (system: System, id: string) => {
 	const instance = readInstance(system, id);
 	const taken = takeAway(system, id);
-	const started = core.move.startDrain({
+	const started = core.move.startMove({
 		instance,
 		to: instance.value.pool === 'a' ? 'b' : 'a',
 		author: 'ann',
@@ -295,7 +299,7 @@
 	const revision = system.history.findLastIndex(
 		(each, at) => each.get(id) !== system.history[at - 1]?.get(id),
 	);
-	const lagging = core.lagging.findLagging(read.registrations, read.heard, {
+	const lagging = core.lagging.findLagging(read.registrations, read.received, {
 		revision,
 		instance: id,
 	});
--- a/packages/core/src/spec.test.ts
+++ b/packages/core/src/spec.test.ts
@@ -177,7 +177,7 @@
 		const daemon = system.daemons[index]!;
 		const id = ids[age % ids.length]!;
 		const life = system.lives.get(id)!;
-		const change = core.budget.giveBack({
+		const change = core.budget.returnInstance({
 			operationId: 'back',
 			instance: readInstance(system, id),
 			ledgers: readLedgers(system),
@@ -332,7 +332,7 @@
 			probesPassed: core.budget.returnDefaults.probesNeeded,
 		} as const;
 		t.equal(
-			core.budget.getMissingProof(evidence, core.budget.returnDefaults),
+			core.budget.findReturnBlocker(evidence, core.budget.returnDefaults),
 			'not-restarted',
 		);
 	},
--- a/packages/core/src/waves/allowance.ts
+++ b/packages/core/src/waves/allowance.ts
@@ -6,7 +6,7 @@
 /** Takes still open, by service; read once from each ledger, then counted. */
 export type Allowance = {
 	/** Counts one take on all services of the pool, if all have one left. */
-	readonly use: (pool: string) => boolean;
+	readonly tryReserve: (pool: string) => boolean;
 };
 
 /**
@@ -43,7 +43,7 @@
 		const size = progress.sizes.get(pool) ?? 0;
 		const {unpromisedShare} = progress.wave.settings;
 		const most = Math.max(1, Math.floor(size * unpromisedShare));
-		const atWork = hasClaims ? (progress.atWork.get(pool) ?? 0) : 0;
+		const atWork = hasClaims ? (progress.activeByPool.get(pool) ?? 0) : 0;
 		const used = (unpromised.get(pool) ?? 0) + 1;
 		unpromised.set(pool, used);
 		return atWork + used <= most;
@@ -66,11 +66,11 @@
 		return true;
 	};
 
-	return {use};
+	return {tryReserve: use};
 };
 
 /** True if a ledger holds the instance as lost. */
-export const isLost = (
+export const isLostInLedger = (
 	{id, pool}: InstanceFacts,
 	{servicesByPool, ledgers}: WaveFacts,
 ): boolean =>
--- a/packages/core/src/waves/obstacle.test.ts
+++ b/packages/core/src/waves/blocker.test.ts
@@ -31,11 +31,11 @@
 
 for (const [name, change, hours, kind, customer] of obstacleTable) {
 	tap.t.test(`obstacle: ${name}`, async (t) => {
-		const [found] = waves.findObstacles(
+		const [found] = waves.findBlockers(
 			{
 				pools: ['quote'],
 				settings: waves.waveDefaults,
-				forMs: hours * hourMs,
+				untilDeadlineMs: hours * hourMs,
 				sizes: new Map([['quote', 4]]),
 			},
 			createFacts({...terms, ...change}),
--- a/packages/core/src/waves/obstacle.ts
+++ b/packages/core/src/waves/blocker.ts
@@ -3,7 +3,7 @@
 import type {WaveSettings} from './settings.js';
 
 /** What stands in the way of a wave. */
-export type Obstacle =
+export type Blocker =
 	/** The contract never lets an executor of the service go. */
 	| {
 			readonly kind: 'never-allowed';
@@ -26,11 +26,11 @@
 	| {readonly kind: 'empty'; readonly pool: string};
 
 /** The wave as it is asked for. */
-export type WaveRequest = {
+export type ProposedWave = {
 	readonly pools: readonly string[];
 	readonly settings: WaveSettings;
 	/** Time from now to the deadline, in milliseconds. */
-	readonly forMs: number;
+	readonly untilDeadlineMs: number;
 	/** Instances of the wave, by pool. */
 	readonly sizes: ReadonlyMap<string, number>;
 };
@@ -59,11 +59,11 @@
 };
 
 const findServiceObstacle = (
-	request: WaveRequest,
+	request: ProposedWave,
 	facts: WaveFacts,
 	service: string,
 	size: number,
-): Obstacle | undefined => {
+): Blocker | undefined => {
 	if (facts.ledgers.get(service) === undefined) {
 		return {kind: 'no-ledger', service};
 	}
@@ -75,18 +75,18 @@
 
 	const rounds = Math.ceil(size / room);
 	const neededMs = rounds * request.settings.cycleMs;
-	const {forMs: leftMs} = request;
+	const {untilDeadlineMs: leftMs} = request;
 	return neededMs > leftMs
 		? {kind: 'too-slow', service, customer, rounds, neededMs, leftMs}
 		: undefined;
 };
 
 /** Lists every obstacle; none if the wave may start. */
-export const findObstacles = (
-	request: WaveRequest,
+export const findBlockers = (
+	request: ProposedWave,
 	facts: WaveFacts,
-): readonly Obstacle[] => {
-	const obstacles: Obstacle[] = [];
+): readonly Blocker[] => {
+	const obstacles: Blocker[] = [];
 	for (const pool of request.pools) {
 		const size = request.sizes.get(pool) ?? 0;
 		if (size === 0) {
--- a/packages/core/src/waves/choose-domain.ts
+++ b/packages/core/src/waves/choose-domain.ts
@@ -7,8 +7,8 @@
  * new ones go to workers that are done.
  */
 import {getUsage} from '../budget/ledger.js';
-import {createAllowance, isLost} from './allowance.js';
-import {decideEvacuation} from './evacuation.js';
+import {createAllowance, isLostInLedger} from './allowance.js';
+import {planEvacuation} from './evacuation.js';
 import type {WaveContext} from './context.js';
 import type {WaveFacts} from './facts.js';
 import type {Member, Progress} from './progress.js';
@@ -18,7 +18,7 @@
 const urgentFactor = 3;
 
 /** A rack, or a part of it, that may be emptied now. */
-export type Choice = {
+export type DomainChoice = {
 	readonly domain: string;
 	readonly instances: readonly string[];
 	/** False if a budget or a loss leaves some of the rack out. */
@@ -44,18 +44,20 @@
 };
 
 /** Rounds that a pool still needs at best. */
-export const getRounds = (
+export const getMinRounds = (
 	progress: Progress,
 	facts: WaveFacts,
 	pool: string,
 ): number =>
-	Math.ceil((progress.remaining.get(pool) ?? 0) / getBestCase(facts, pool));
+	Math.ceil(
+		(progress.remainingByPool.get(pool) ?? 0) / getBestCase(facts, pool),
+	);
 
 /** Rounds of the pool that needs the most. */
 const getMostRounds = (progress: Progress, facts: WaveFacts): number => {
 	let most = 1;
-	for (const pool of progress.remaining.keys()) {
-		most = Math.max(most, getRounds(progress, facts, pool));
+	for (const pool of progress.remainingByPool.keys()) {
+		most = Math.max(most, getMinRounds(progress, facts, pool));
 	}
 
 	return most;
@@ -67,7 +69,7 @@
 		member.phase.kind === 'pending' &&
 		instance?.state === 'serving' &&
 		instance.evidence.listed === 'live' &&
-		!isLost(instance, facts)
+		!isLostInLedger(instance, facts)
 	);
 };
 
@@ -79,7 +81,7 @@
 ): readonly Member[] => {
 	const allowance = createAllowance(progress, facts, true);
 	return members.filter(
-		(member) => isReady(member, facts) && allowance.use(member.pool),
+		(member) => isReady(member, facts) && allowance.tryReserve(member.pool),
 	);
 };
 
@@ -89,7 +91,7 @@
 ): number => {
 	const {cores, jobs} = facts.instances.get(member.id)!;
 	const {settings, deadline} = progress.wave;
-	return decideEvacuation({
+	return planEvacuation({
 		cores,
 		jobs,
 		weights: settings.weights,
@@ -108,7 +110,7 @@
 const isUrgent = (context: WaveContext, pool: string): boolean => {
 	const {progress, facts, now} = context;
 	const {settings, deadline} = progress.wave;
-	const neededMs = getRounds(progress, facts, pool) * settings.cycleMs;
+	const neededMs = getMinRounds(progress, facts, pool) * settings.cycleMs;
 	return (
 		deadline - now < urgentFactor * neededMs ||
 		getDelay(context, pool) >= settings.deferWithinMs
@@ -154,7 +156,7 @@
 	const perCycle = (weights.rollOutHours * cycleMs) / hourMs;
 	let score = 0;
 	for (const {member, cost} of due) {
-		const rounds = getRounds(progress, facts, member.pool);
+		const rounds = getMinRounds(progress, facts, member.pool);
 		score += (perCycle * rounds) / mostRounds - cost;
 	}
 
@@ -179,7 +181,7 @@
 	context: WaveContext,
 	domain: string,
 	mostRounds: number,
-): Choice | undefined => {
+): DomainChoice | undefined => {
 	const {progress, facts} = context;
 	const members = progress.domains.get(domain) ?? [];
 	const allowed = getAllowed(progress, facts, members);
@@ -197,7 +199,7 @@
 	return {domain, instances, isWhole, score};
 };
 
-const isBetter = (one: Choice, other: Choice): boolean =>
+const isBetter = (one: DomainChoice, other: DomainChoice): boolean =>
 	one.isWhole === other.isWhole ? one.score > other.score : one.isWhole;
 
 /**
@@ -207,14 +209,15 @@
 export const chooseDomain = (
 	context: WaveContext,
 	window: number,
-): Choice | undefined => {
+): DomainChoice | undefined => {
 	const {progress, facts} = context;
-	const {pending, cursors} = progress;
-	const size = Math.min(window, pending.length);
+	const {pendingDomains, cursors} = progress;
+	const size = Math.min(window, pendingDomains.length);
 	const mostRounds = getMostRounds(progress, facts);
-	let best: Choice | undefined;
+	let best: DomainChoice | undefined;
 	for (let step = 0; step < size; step += 1) {
-		const domain = pending[(cursors.pending + step) % pending.length]!;
+		const domain =
+			pendingDomains[(cursors.pending + step) % pendingDomains.length]!;
 		const choice = createChoice(context, domain, mostRounds);
 		if (choice && (best === undefined || isBetter(choice, best))) {
 			best = choice;
@@ -223,6 +226,6 @@
 
 	const isInOrder = progress.wave.settings.order === 'by-availability-zone';
 	const from = isInOrder && best ? 0 : cursors.pending + size;
-	cursors.pending = from % Math.max(1, pending.length);
+	cursors.pending = from % Math.max(1, pendingDomains.length);
 	return best;
 };
--- a/packages/core/src/waves/evacuation.test.ts
+++ b/packages/core/src/waves/evacuation.test.ts
@@ -41,7 +41,7 @@
 		name: 'a restart costs the work that it repeats',
 		input: {
 			jobs: [
-				{...createJob('old', 8, 'restart'), runMs: 100 * hourMs},
+				{...createJob('old', 8, 'restart'), elapsedMs: 100 * hourMs},
 				createJob('other', 8),
 			],
 			weights: {...weights, bufferCoreHours: 0.02},
@@ -65,7 +65,7 @@
 
 for (const {name, input, moves, waitHours} of evacuationTable) {
 	tap.t.test(`evacuation: ${name}`, async (t) => {
-		const result = waves.decideEvacuation({
+		const result = waves.planEvacuation({
 			cores: 8,
 			jobs: [],
 			weights,
@@ -100,7 +100,7 @@
 			waitedMs: 0,
 			untilDeadlineMs: 24 * hourMs,
 		};
-		const best = waves.decideEvacuation(input);
+		const best = waves.planEvacuation(input);
 		return [0, ...drawn.map(({hours}) => hours)].every((hours) => {
 			const left = input.jobs.filter((job) => job.remainingMs > hours * hourMs);
 			const busy = drawn
--- a/packages/core/src/waves/evacuation.ts
+++ b/packages/core/src/waves/evacuation.ts
@@ -11,7 +11,7 @@
 const hourMs = 3_600_000;
 
 /** What is decided for one worker. */
-export type Evacuation = {
+export type EvacuationPlan = {
 	/** Jobs to move now. */
 	readonly moves: readonly RunningJob[];
 	/** Expected time until the others have run out, in milliseconds. */
@@ -34,7 +34,7 @@
 /** Cost of moving one job: the move, and the work that it repeats. */
 export const getMoveCost = (job: RunningJob, weights: WaveWeights): number => {
 	const lostCoreHours =
-		job.movability === 'restart' ? (job.cores * job.runMs) / hourMs : 0;
+		job.movability === 'restart' ? (job.cores * job.elapsedMs) / hourMs : 0;
 	return weights.moves + weights.bufferCoreHours * lostCoreHours;
 };
 
@@ -70,7 +70,7 @@
  * Chooses the wait of least cost among the times at which a job ends: the
  * first jobs that end are waited for, the rest move.
  */
-export const decideEvacuation = (input: EvacuationInput): Evacuation => {
+export const planEvacuation = (input: EvacuationInput): EvacuationPlan => {
 	const {jobs, weights, untilDeadlineMs} = input;
 	const fixed = jobs.filter(({movability}) => movability === 'none');
 	const movable = jobs
--- a/packages/core/src/waves/facts.ts
+++ b/packages/core/src/waves/facts.ts
@@ -1,5 +1,5 @@
 /** What a wave is told of the fleet at each step. */
-import type {ReturnEvidence} from '../budget/give-back.js';
+import type {ReturnEvidence} from '../budget/return-instance.js';
 import type {Ledger, ServicesByPool} from '../budget/ledger.js';
 import type {InstanceState} from '../types/instance.js';
 
@@ -18,7 +18,7 @@
 	readonly cores: number;
 	readonly memoryMb: number;
 	/** Time that it has run, in milliseconds. */
-	readonly runMs: number;
+	readonly elapsedMs: number;
 	/** Learned estimate of the time that it still runs, in milliseconds. */
 	readonly remainingMs: number;
 	readonly movability: Movability;
--- a/packages/core/src/waves/index.ts
+++ b/packages/core/src/waves/index.ts
@@ -9,7 +9,7 @@
 export * from './allowance.js';
 export * from './choose-domain.js';
 export * from './step.js';
-export * from './obstacle.js';
+export * from './blocker.js';
 export type * from './context.js';
 export * from './waits.js';
 export * from './preview.js';
--- a/packages/core/src/waves/preview.test.ts
+++ b/packages/core/src/waves/preview.test.ts
@@ -66,7 +66,7 @@
 		servicesByPool,
 		reserves: new Map(),
 	};
-	const rows = waves.createDomains('w', ['quote'], instances);
+	const rows = waves.createDomainRows('w', ['quote'], instances);
 	const progress = waves.createProgress(
 		wave,
 		rows,
@@ -91,7 +91,7 @@
 	id: 'j',
 	cores: 2,
 	memoryMb: 1024,
-	runMs: 0,
+	elapsedMs: 0,
 	remainingMs: 600 * minuteMs,
 	movability: 'checkpoint',
 };
@@ -146,7 +146,7 @@
 				? ('running' as const)
 				: context.progress.wave.state;
 		context.progress.wave = {...context.progress.wave, state, startedAt: 0};
-		t.match(waves.getWaits(context, 10), expected);
+		t.match(waves.listWaits(context, 10), expected);
 	});
 }
 
@@ -199,6 +199,6 @@
 		};
 		waves.updatePhase(context.progress, ['w0'], phase);
 		const facts = {...context.facts, instances};
-		t.match(waves.getWaits({...context, facts}, 1), [expected]);
+		t.match(waves.listWaits({...context, facts}, 1), [expected]);
 	});
 }
--- a/packages/core/src/waves/preview.ts
+++ b/packages/core/src/waves/preview.ts
@@ -6,11 +6,11 @@
  */
 import {updateEntry, type Ledger} from '../budget/ledger.js';
 import type {WaveAction} from './action.js';
-import {getRounds} from './choose-domain.js';
+import {getMinRounds} from './choose-domain.js';
 import type {InstanceFacts, Lookup, WaveFacts} from './facts.js';
 import {updatePhase, type Progress} from './progress.js';
 import {stepWave} from './step.js';
-import {updateWave} from './wave.js';
+import {applyWaveCommand} from './wave.js';
 
 /** One step of the order. */
 export type PreviewStep = {
@@ -21,7 +21,7 @@
 };
 
 /** A service that holds the wave up, and whose contract makes it so. */
-export type HoldUp = {
+export type PoolBlocker = {
 	readonly pool: string;
 	readonly rounds: number;
 	readonly customers: readonly string[];
@@ -37,7 +37,7 @@
 	/** Instances that the deadline would leave out. */
 	readonly skipped: readonly string[];
 	/** Pools that need the most rounds, most first. */
-	readonly holdUps: readonly HoldUp[];
+	readonly holdUps: readonly PoolBlocker[];
 };
 
 /** A preview under way; only `stepPreview` changes it. */
@@ -48,11 +48,11 @@
 	readonly ledgers: Map<string, Ledger>;
 	readonly facts: WaveFacts;
 	readonly startedAt: number;
-	readonly holdUps: readonly HoldUp[];
+	readonly holdUps: readonly PoolBlocker[];
 	readonly order: PreviewStep[];
 	readonly skipped: string[];
 	/** When instances that are away are done. */
-	readonly ends: Map<string, number>;
+	readonly returnTimes: Map<string, number>;
 	now: number;
 	idleSteps: number;
 	moves: number;
@@ -64,11 +64,14 @@
 /** Parts of a cycle by which the time is moved on. */
 const ticksPerCycle = 3;
 
-const getHoldUps = (progress: Progress, facts: WaveFacts): readonly HoldUp[] =>
-	[...progress.remaining.keys()]
+const getHoldUps = (
+	progress: Progress,
+	facts: WaveFacts,
+): readonly PoolBlocker[] =>
+	[...progress.remainingByPool.keys()]
 		.map((pool) => ({
 			pool,
-			rounds: getRounds(progress, facts, pool),
+			rounds: getMinRounds(progress, facts, pool),
 			customers: (facts.servicesByPool.get(pool) ?? [])
 				.map((service) => facts.ledgers.get(service)?.terms.maxAwayFor ?? '')
 				.filter((customer) => customer !== ''),
@@ -88,7 +91,7 @@
 	facts: WaveFacts,
 	now: number,
 ): Preview => {
-	const started = updateWave(progress.wave, 'start', now);
+	const started = applyWaveCommand(progress.wave, 'start', now);
 	progress.wave = started.ok ? started.value : progress.wave;
 	const instances = new Map<string, InstanceFacts>();
 	const ledgers = new Map<string, Ledger>();
@@ -105,7 +108,7 @@
 		holdUps: getHoldUps(progress, facts),
 		order: [],
 		skipped: [],
-		ends: new Map(),
+		returnTimes: new Map(),
 		now,
 		idleSteps: 0,
 		moves: 0,
@@ -142,7 +145,7 @@
 	const {progress, now} = preview;
 	for (const id of ids) {
 		bookAll(preview, id, 'away');
-		preview.ends.set(id, now + progress.wave.settings.cycleMs);
+		preview.returnTimes.set(id, now + progress.wave.settings.cycleMs);
 		updatePhase(progress, [id], {
 			kind: 'taken',
 			since: now,
@@ -222,10 +225,10 @@
 
 /** Lets a tick pass: jobs on workers that are emptied run, cycles end. */
 const passTime = (preview: Preview) => {
-	const {progress, facts, ends} = preview;
+	const {progress, facts, returnTimes} = preview;
 	const tickMs = progress.wave.settings.cycleMs / ticksPerCycle;
 	preview.now += tickMs;
-	for (const domain of progress.active) {
+	for (const domain of progress.activeDomains) {
 		for (const {id, phase} of progress.domains.get(domain) ?? []) {
 			if (phase.kind === 'evacuating') {
 				const jobs = facts.instances
@@ -237,9 +240,9 @@
 		}
 	}
 
-	for (const [id, at] of ends) {
+	for (const [id, at] of returnTimes) {
 		if (at <= preview.now) {
-			ends.delete(id);
+			returnTimes.delete(id);
 			bookAll(preview, id, 'serving');
 			const {cores} = facts.instances.get(id)!;
 			updateInstance(preview, id, {jobs: [], coresFree: cores});
@@ -263,7 +266,8 @@
 	preview.idleSteps = actions.length > 0 ? 0 : preview.idleSteps + 1;
 	const window = Math.min(maxWork, progress.wave.settings.window);
 	const round =
-		progress.active.size / maxWork + progress.pending.length / window;
+		progress.activeDomains.size / maxWork +
+		progress.pendingDomains.length / window;
 	if (preview.idleSteps > round) {
 		preview.idleSteps = 0;
 		passTime(preview);
--- a/packages/core/src/waves/progress.ts
+++ b/packages/core/src/waves/progress.ts
@@ -16,7 +16,7 @@
 };
 
 /** A job on its way to another worker. */
-export type Moving = {
+export type JobMove = {
 	readonly from: string;
 	/** Empty while no worker has room: the job is held at its checkpoint. */
 	readonly to: string;
@@ -30,24 +30,24 @@
 	readonly members: Map<string, Member>;
 	readonly domains: Map<string, readonly Member[]>;
 	/** Racks with a pending member; by name if zones go one after another. */
-	readonly pending: string[];
+	readonly pendingDomains: string[];
 	/** Racks with a member that is evacuating or taken. */
-	readonly active: Set<string>;
+	readonly activeDomains: Set<string>;
 	/** Members evacuating, by service: they have a claim on its budget. */
 	readonly claims: Map<string, number>;
 	/** Members of each pool. */
 	readonly sizes: Map<string, number>;
 	/** Members evacuating or taken, by pool. */
-	readonly atWork: Map<string, number>;
+	readonly activeByPool: Map<string, number>;
 	/** Members neither done nor skipped, by pool. */
-	readonly remaining: Map<string, number>;
+	readonly remainingByPool: Map<string, number>;
 	/** Time of the last change of a phase, by pool. */
 	readonly changedAt: Map<string, number>;
 	/** Members done, by pool: where jobs may go. */
-	readonly done: Map<string, string[]>;
-	readonly moving: Map<string, Moving>;
+	readonly doneByPool: Map<string, string[]>;
+	readonly jobMoves: Map<string, JobMove>;
 	/** Room that jobs on their way were promised, by worker. */
-	readonly promised: Map<string, {cores: number; memoryMb: number}>;
+	readonly reservedByWorker: Map<string, {cores: number; memoryMb: number}>;
 	/** Members by kind of phase. */
 	readonly counts: Record<MemberPhase['kind'], number>;
 	readonly servicesByPool: ServicesByPool;
@@ -68,11 +68,11 @@
 	const changedAt = progress.changedAt.get(pool) ?? 0;
 	progress.changedAt.set(pool, Math.max(changedAt, getChangeTime(phase)));
 	if (isOpen(phase)) {
-		addTo(progress.remaining, pool, change);
+		addTo(progress.remainingByPool, pool, change);
 	}
 
 	if (phase.kind === 'evacuating' || phase.kind === 'taken') {
-		addTo(progress.atWork, pool, change);
+		addTo(progress.activeByPool, pool, change);
 	}
 
 	if (phase.kind === 'evacuating') {
@@ -82,9 +82,9 @@
 	}
 
 	if (phase.kind === 'done' && change === 1) {
-		const done = progress.done.get(pool) ?? [];
+		const done = progress.doneByPool.get(pool) ?? [];
 		done.push(member.id);
-		progress.done.set(pool, done);
+		progress.doneByPool.set(pool, done);
 	}
 };
 
@@ -96,19 +96,19 @@
 	);
 	const isPending = members.some(({phase}) => phase.kind === 'pending');
 	if (isActive) {
-		progress.active.add(domain);
+		progress.activeDomains.add(domain);
 	} else {
-		progress.active.delete(domain);
+		progress.activeDomains.delete(domain);
 	}
 
-	const index = progress.pending.indexOf(domain);
+	const index = progress.pendingDomains.indexOf(domain);
 	if (isPending && index === -1) {
-		progress.pending.push(domain);
+		progress.pendingDomains.push(domain);
 		if (progress.wave.settings.order === 'by-availability-zone') {
-			progress.pending.sort();
+			progress.pendingDomains.sort();
 		}
 	} else if (!isPending && index !== -1) {
-		progress.pending.splice(index, 1);
+		progress.pendingDomains.splice(index, 1);
 	}
 };
 
@@ -126,16 +126,16 @@
 		wave,
 		members: new Map(),
 		domains: new Map(),
-		pending: [],
-		active: new Set(),
+		pendingDomains: [],
+		activeDomains: new Set(),
 		claims: new Map(),
 		sizes: new Map(),
-		atWork: new Map(),
-		remaining: new Map(),
+		activeByPool: new Map(),
+		remainingByPool: new Map(),
 		changedAt: new Map(),
-		done: new Map(),
-		moving: new Map(),
-		promised: new Map(),
+		doneByPool: new Map(),
+		jobMoves: new Map(),
+		reservedByWorker: new Map(),
 		counts: {pending: 0, evacuating: 0, taken: 0, done: 0, skipped: 0},
 		servicesByPool,
 		cursors: {active: 0, pending: 0},
@@ -202,29 +202,29 @@
 
 const updatePromise = (
 	progress: Progress,
-	{to, cores, memoryMb}: Moving,
+	{to, cores, memoryMb}: JobMove,
 	change: 1 | -1,
 ) => {
-	const promised = progress.promised.get(to) ?? {cores: 0, memoryMb: 0};
+	const promised = progress.reservedByWorker.get(to) ?? {cores: 0, memoryMb: 0};
 	promised.cores += change * cores;
 	promised.memoryMb += change * memoryMb;
-	progress.promised.set(to, promised);
+	progress.reservedByWorker.set(to, promised);
 };
 
 /** Notes a job on its way, or with `undefined` that it has ended or arrived. */
-export const updateMove = (
+export const updateJobMove = (
 	progress: Progress,
 	jobId: string,
-	moving: Moving | undefined,
+	moving: JobMove | undefined,
 ): void => {
-	const before = progress.moving.get(jobId);
+	const before = progress.jobMoves.get(jobId);
 	if (before) {
 		updatePromise(progress, before, -1);
-		progress.moving.delete(jobId);
+		progress.jobMoves.delete(jobId);
 	}
 
 	if (moving) {
 		updatePromise(progress, moving, 1);
-		progress.moving.set(jobId, moving);
+		progress.jobMoves.set(jobId, moving);
 	}
 };
--- a/packages/core/src/waves/settings.ts
+++ b/packages/core/src/waves/settings.ts
@@ -1,5 +1,8 @@
 /** Settings of maintenance waves. Source: docs/design/waves.md. */
-import {returnDefaults, type ReturnSettings} from '../budget/give-back.js';
+import {
+	returnDefaults,
+	type ReturnSettings,
+} from '../budget/return-instance.js';
 import type {ReserveKind} from '../budget/reserve.js';
 
 /** What a wave is to save, in one unit that the operator chooses. */
--- a/packages/core/src/waves/step.test.fixture.ts
+++ b/packages/core/src/waves/step.test.fixture.ts
@@ -1,7 +1,7 @@
 /** Four instances in two racks of one pool, and a wave over them. */
 import {
 	createLedger,
-	recordLoss,
+	markLost,
 	returnDefaults,
 	type CombinedTerms,
 	type Ledger,
@@ -41,7 +41,7 @@
 	id,
 	cores: 4,
 	memoryMb: 4096,
-	runMs: hourMs,
+	elapsedMs: hourMs,
 	remainingMs: remainingHours * hourMs,
 	movability,
 });
@@ -123,7 +123,7 @@
 	facts = createFacts(),
 	now = hourMs,
 ): waves.WaveContext => {
-	const rows = waves.createDomains('w', ['quote'], instances);
+	const rows = waves.createDomainRows('w', ['quote'], instances);
 	const progress = waves.createProgress(
 		createWave(wave),
 		rows,
@@ -147,14 +147,14 @@
 } satisfies waves.MemberPhase;
 export const evacuating = {kind: 'evacuating', since: hourMs} as const;
 export const done = {kind: 'done', at: 0} as const;
-export const back = {
+export const returnedEvidence = {
 	listed: 'live',
 	incarnationBefore: 'x',
 	incarnation: 'y',
 	probesPassed: returnDefaults.probesNeeded,
 } as const;
-export const lostLedger = (ids: string[]) =>
-	recordLoss({value: createFacts().ledgers.get('quote')!, version: 1}, ids, 0)!
+export const createLedgerWithLost = (ids: string[]) =>
+	markLost({value: createFacts().ledgers.get('quote')!, version: 1}, ids, 0)!
 		.value;
 
 export const onlyWhole: Partial<waves.Wave> = {
--- a/packages/core/src/waves/step.test.ts
+++ b/packages/core/src/waves/step.test.ts
@@ -1,13 +1,13 @@
 import * as tap from 'tap';
 import {
-	back,
+	returnedEvidence,
 	createContext,
 	createFacts,
 	createJob,
 	done,
 	evacuating,
 	hourMs,
-	lostLedger,
+	createLedgerWithLost,
 	onlyWhole,
 	taken,
 	weights,
@@ -26,7 +26,7 @@
 		createContext(
 			{a1: done},
 			{},
-			createFacts({a0: {evidence: {...back, listed: 'absent'}}}),
+			createFacts({a0: {evidence: {...returnedEvidence, listed: 'absent'}}}),
 		),
 		['evacuate b0,b1'],
 	],
@@ -42,7 +42,7 @@
 		createContext(
 			{a0: taken},
 			{state: 'cancelled'},
-			createFacts({a0: {state: 'returning', evidence: back}}),
+			createFacts({a0: {state: 'returning', evidence: returnedEvidence}}),
 		),
 		['give-back a0'],
 	],
@@ -71,7 +71,7 @@
 	],
 	[
 		'loss uses the budget: nothing is begun',
-		createContext({}, {}, createFacts({}, lostLedger(['b0', 'b1']))),
+		createContext({}, {}, createFacts({}, createLedgerWithLost(['b0', 'b1']))),
 		[],
 	],
 	[
@@ -79,13 +79,17 @@
 		createContext(
 			{a0: evacuating},
 			{},
-			createFacts({}, lostLedger(['b0', 'b1'])),
+			createFacts({}, createLedgerWithLost(['b0', 'b1'])),
 		),
 		[],
 	],
 	[
 		'one that is lost while it is emptied is let go',
-		createContext({a0: evacuating}, {}, createFacts({}, lostLedger(['a0']))),
+		createContext(
+			{a0: evacuating},
+			{},
+			createFacts({}, createLedgerWithLost(['a0'])),
+		),
 		['release a0'],
 	],
 	[
@@ -138,7 +142,9 @@
 		createContext(
 			{a0: taken, a1: done, b0: done, b1: done},
 			{},
-			createFacts({a0: {state: 'away', evidence: {...back, probesPassed: 0}}}),
+			createFacts({
+				a0: {state: 'away', evidence: {...returnedEvidence, probesPassed: 0}},
+			}),
 		),
 		['return a0'],
 	],
@@ -261,14 +267,14 @@
 		const job = createJob('j', 1);
 		t.equal(waves.pickTarget(context, 'quote', job), 'b0');
 		const {cores, memoryMb} = job;
-		waves.updateMove(context.progress, 'j', {
+		waves.updateJobMove(context.progress, 'j', {
 			from: 'a0',
 			to: 'b0',
 			cores,
 			memoryMb,
 		});
 		t.equal(waves.pickTarget(context, 'quote', job), undefined);
-		waves.updateMove(context.progress, 'j', undefined);
+		waves.updateJobMove(context.progress, 'j', undefined);
 		t.equal(waves.pickTarget(context, 'quote', job), 'b0');
 	},
 );
--- a/packages/core/src/waves/step.ts
+++ b/packages/core/src/waves/step.ts
@@ -3,11 +3,11 @@
  * do. Calling it again after the actions are done goes on with the rest, so
  * no step holds the event loop however large the fleet is.
  */
-import {getMissingProof} from '../budget/give-back.js';
+import {findReturnBlocker} from '../budget/return-instance.js';
 import type {WaveAction} from './action.js';
-import {createAllowance, isLost} from './allowance.js';
+import {createAllowance, isLostInLedger} from './allowance.js';
 import {chooseDomain} from './choose-domain.js';
-import {decideEvacuation} from './evacuation.js';
+import {planEvacuation} from './evacuation.js';
 import type {WaveContext} from './context.js';
 import type {Member, Progress} from './progress.js';
 import {pickTarget} from './targets.js';
@@ -26,7 +26,7 @@
 	}
 
 	const {settings, deadline} = progress.wave;
-	const {moves} = decideEvacuation({
+	const {moves} = planEvacuation({
 		cores: instance.cores,
 		jobs: instance.jobs,
 		weights: settings.weights,
@@ -34,7 +34,7 @@
 		untilDeadlineMs: deadline - now - settings.cycleMs,
 	});
 	return moves
-		.filter(({id}) => !progress.moving.has(id))
+		.filter(({id}) => !progress.jobMoves.has(id))
 		.map((job) => ({
 			kind: 'move',
 			job,
@@ -62,7 +62,7 @@
 			return (
 				state !== 'running' ||
 				instance?.state !== 'serving' ||
-				isLost(instance, facts)
+				isLostInLedger(instance, facts)
 			);
 		});
 	return instances.length > 0
@@ -80,7 +80,7 @@
 		({id}) => facts.instances.get(id)?.jobs.length === 0,
 	);
 	const allowance = createAllowance(progress, facts, false);
-	const allowed = empty.filter(({pool}) => allowance.use(pool));
+	const allowed = empty.filter(({pool}) => allowance.tryReserve(pool));
 	const isWhole = allowed.length === evacuating.length;
 	const isPartWanted = progress.wave.settings.domains === 'prefer-whole';
 	if (allowed.length === 0 || (!isWhole && !isPartWanted)) {
@@ -101,7 +101,7 @@
 	}
 
 	const {returns, returnWithinMs} = progress.wave.settings;
-	const missing = getMissingProof(instance.evidence, returns);
+	const missing = findReturnBlocker(instance.evidence, returns);
 	if (instance.state === 'returning' && missing === undefined) {
 		return {kind: 'give-back', instance: id};
 	}
@@ -168,8 +168,8 @@
 	context: WaveContext,
 	maxDomains: number,
 ): readonly WaveAction[] => {
-	const {active, cursors} = context.progress;
-	const domains = [...active];
+	const {activeDomains, cursors} = context.progress;
+	const domains = [...activeDomains];
 	const size = Math.min(maxDomains, domains.length);
 	const actions: WaveAction[] = [];
 	for (let step = 0; step < size; step += 1) {
@@ -181,9 +181,9 @@
 	return actions;
 };
 
-const hasRoomForMore = ({wave, counts, active}: Progress): boolean =>
+const hasRoomForMore = ({wave, counts, activeDomains}: Progress): boolean =>
 	counts.evacuating + counts.taken < wave.settings.maxInstances &&
-	active.size < wave.settings.maxDomains;
+	activeDomains.size < wave.settings.maxDomains;
 
 /** Begins the next rack, or leaves one out after the deadline. */
 const getNext = (
@@ -191,8 +191,8 @@
 	window: number,
 ): WaveAction | undefined => {
 	const {progress, now} = context;
-	const {wave, pending, counts, domains} = progress;
-	const [first] = pending;
+	const {wave, pendingDomains, counts, domains} = progress;
+	const [first] = pendingDomains;
 	if (wave.state === 'running' && now >= wave.deadline && first) {
 		const instances = (domains.get(first) ?? [])
 			.filter(({phase}) => phase.kind === 'pending')
@@ -223,14 +223,17 @@
 	context: WaveContext,
 	maxWork: number,
 ): readonly WaveAction[] => {
-	const {pending, active, wave} = context.progress;
+	const {pendingDomains, activeDomains, wave} = context.progress;
 	const actions = [...visitActive(context, maxWork)];
 	const next = getNext(context, Math.min(wave.settings.window, maxWork));
 	if (next) {
 		actions.push(next);
 	}
 
-	if (wave.state === 'running' && pending.length + active.size === 0) {
+	if (
+		wave.state === 'running' &&
+		pendingDomains.length + activeDomains.size === 0
+	) {
 		actions.push({kind: 'finish'});
 	}
 
--- a/packages/core/src/waves/targets.ts
+++ b/packages/core/src/waves/targets.ts
@@ -2,7 +2,7 @@
  * Where jobs go during a wave: to instances that are done. So a job that has moved is on a worker that this wave leaves alone,
  * and moves at most once a wave unless that worker fails.
  */
-import {isLost} from './allowance.js';
+import {isLostInLedger} from './allowance.js';
 import type {WaveContext} from './context.js';
 import type {InstanceFacts, RunningJob, WaveFacts} from './facts.js';
 import type {Progress} from './progress.js';
@@ -46,7 +46,7 @@
 	facts: InstanceFacts,
 	job: RunningJob,
 ): boolean => {
-	const promised = progress.promised.get(facts.id) ?? noRoom;
+	const promised = progress.reservedByWorker.get(facts.id) ?? noRoom;
 	return (
 		facts.coresFree - promised.cores >= job.cores &&
 		facts.memoryMbFree - promised.memoryMb >= job.memoryMb
@@ -57,7 +57,7 @@
 	candidate: InstanceFacts | undefined,
 	facts: WaveFacts,
 ): candidate is InstanceFacts =>
-	candidate?.state === 'serving' && !isLost(candidate, facts);
+	candidate?.state === 'serving' && !isLostInLedger(candidate, facts);
 
 /** The fullest done worker of the job's pool that has room; or none. */
 export const pickTarget = (
@@ -66,7 +66,7 @@
 	job: RunningJob,
 ): string | undefined => {
 	let best: InstanceFacts | undefined;
-	for (const id of progress.done.get(pool) ?? []) {
+	for (const id of progress.doneByPool.get(pool) ?? []) {
 		const candidate = facts.instances.get(id);
 		const isTighter =
 			best === undefined ||
--- a/packages/core/src/waves/waits.ts
+++ b/packages/core/src/waves/waits.ts
@@ -1,6 +1,6 @@
 /** Why a wave waits, for operators. Source: docs/operators/when-a-wave-waits.md. */
-import {getMissingProof} from '../budget/give-back.js';
-import {getRefusal, type BudgetRefusal} from '../budget/reserve-away.js';
+import {findReturnBlocker} from '../budget/return-instance.js';
+import {getRefusal, type BudgetRefusal} from '../budget/withdraw-instances.js';
 import type {WaveContext} from './context.js';
 import type {RunningJob} from './facts.js';
 import type {Member} from './progress.js';
@@ -90,7 +90,7 @@
 	}
 
 	const {returns} = progress.wave.settings;
-	return getMissingProof(seen.evidence, returns) === 'not-proved'
+	return findReturnBlocker(seen.evidence, returns) === 'not-proved'
 		? {kind: 'proof', instance}
 		: {kind: 'restart', instance, sinceMs};
 };
@@ -113,13 +113,13 @@
 	const claimed = services.some(
 		(service) => (progress.claims.get(service) ?? 0) > 0,
 	);
-	const instances = progress.remaining.get(pool) ?? 0;
+	const instances = progress.remainingByPool.get(pool) ?? 0;
 	return claimed ? undefined : {kind: 'put-off', pool, instances};
 };
 
 const getPendingPools = ({progress}: WaveContext): ReadonlySet<string> => {
 	const pools = new Set<string>();
-	for (const domain of progress.pending) {
+	for (const domain of progress.pendingDomains) {
 		for (const {pool, phase} of progress.domains.get(domain) ?? []) {
 			if (phase.kind === 'pending') {
 				pools.add(pool);
@@ -131,7 +131,7 @@
 };
 
 /** Lists what the wave waits for: instances at work first, then pools. */
-export const getWaits = (
+export const listWaits = (
 	context: WaveContext,
 	limit: number,
 ): readonly WaveWait[] => {
@@ -141,7 +141,7 @@
 		waits.push({kind: 'paused'});
 	}
 
-	for (const domain of progress.active) {
+	for (const domain of progress.activeDomains) {
 		for (const member of progress.domains.get(domain) ?? []) {
 			const wait = getMemberWait(context, member);
 			if (wait) {
--- a/packages/core/src/waves/wave.test.ts
+++ b/packages/core/src/waves/wave.test.ts
@@ -35,7 +35,7 @@
 
 for (const [state, command, expected] of stateTable) {
 	tap.t.test(`a wave that is ${state}: ${command}`, async (t) => {
-		const result = waves.updateWave(createWave(state), command, 7);
+		const result = waves.applyWaveCommand(createWave(state), command, 7);
 		t.equal(result.ok ? result.value.state : result.error.kind, expected);
 	});
 }
--- a/packages/core/src/waves/wave.ts
+++ b/packages/core/src/waves/wave.ts
@@ -106,7 +106,7 @@
 } as const satisfies Record<WaveCommand, WaveState>;
 
 /** Applies a command. Instances already away come back in every state. */
-export const updateWave = (
+export const applyWaveCommand = (
 	wave: Wave,
 	command: WaveCommand,
 	now: number,
@@ -125,11 +125,11 @@
 };
 
 /** The failure domain of an instance: its availability zone and rack. */
-export const getDomain = ({availabilityZone, rack}: Instance): string =>
+export const getFailureDomain = ({availabilityZone, rack}: Instance): string =>
 	`${availabilityZone}/${rack}`;
 
 /** Groups the instances of a wave's pools into rows, one a rack. */
-export const createDomains = (
+export const createDomainRows = (
 	wave: string,
 	pools: readonly string[],
 	instances: Iterable<Instance>,
@@ -138,7 +138,7 @@
 	const byDomain = new Map<string, Record<string, MemberPhase>>();
 	for (const instance of instances) {
 		if (wanted.has(instance.pool)) {
-			const domain = getDomain(instance);
+			const domain = getFailureDomain(instance);
 			const members = byDomain.get(domain) ?? {};
 			members[instance.id] = {kind: 'pending'};
 			byDomain.set(domain, members);
@@ -149,27 +149,31 @@
 };
 
 /** The key of a rack's row. */
-export const getDomainKey = (wave: string, domain: string): string =>
+export const getDomainRowKey = (wave: string, domain: string): string =>
 	`${wave}/${domain}`;
 
 /** The write that creates a wave; its racks' rows are written before it. */
-export const insertWave = (wave: Wave): RowPut<Wave> =>
+export const createWaveInsert = (wave: Wave): RowPut<Wave> =>
 	createRowInsert(tables.waves, wave.id, wave);
 
 /** The write of a changed header. */
-export const putWave = (wave: Wave, version: number): RowPut<Wave> =>
+export const createWavePut = (wave: Wave, version: number): RowPut<Wave> =>
 	createRowPut(tables.waves, wave.id, wave, version);
 
 /** The write that creates the row of a rack. */
-export const insertDomain = (row: WaveDomain): RowPut<WaveDomain> =>
-	createRowInsert(tables.waveDomains, getDomainKey(row.wave, row.domain), row);
+export const createDomainInsert = (row: WaveDomain): RowPut<WaveDomain> =>
+	createRowInsert(
+		tables.waveDomains,
+		getDomainRowKey(row.wave, row.domain),
+		row,
+	);
 
 /** The write that moves instances of one rack to new phases. */
-export const putPhases = (
+export const createPhasesPut = (
 	{value, version}: Versioned<WaveDomain>,
 	phases: Readonly<Record<string, MemberPhase>>,
 ): RowPut<WaveDomain> => {
 	const row = {...value, members: {...value.members, ...phases}};
-	const key = getDomainKey(value.wave, value.domain);
+	const key = getDomainRowKey(value.wave, value.domain);
 	return createRowPut(tables.waveDomains, key, row, version);
 };
--- a/packages/daemon/src/agreement/fleet.test.fixture.ts
+++ b/packages/daemon/src/agreement/fleet.test.fixture.ts
@@ -284,7 +284,7 @@
 			return core.fail({kind: 'not-found'});
 		}
 
-		const step = core.move.startDrain({
+		const step = core.move.startMove({
 			instance: instance.value,
 			to,
 			author,
--- a/packages/daemon/src/moves/move-rows.ts
+++ b/packages/daemon/src/moves/move-rows.ts
@@ -18,7 +18,7 @@
 	const row = {
 		table: moveTable,
 		key: step.instance.id,
-		when: step.moveWhen,
+		when: step.movePrecondition,
 	};
 	return step.move
 		? {kind: 'put', ...row, value: toJson(step.move)}
--- a/packages/daemon/src/moves/move-runner.ts
+++ b/packages/daemon/src/moves/move-runner.ts
@@ -66,7 +66,7 @@
 				registrations: [...rows.value.registrations.values()].map(
 					({value}) => value,
 				),
-				heard: deps.getHeard(),
+				received: deps.getHeard(),
 				outageStart,
 			}
 		: undefined;
--- a/packages/daemon/src/operator/instances/moves.ts
+++ b/packages/daemon/src/operator/instances/moves.ts
@@ -63,7 +63,7 @@
 		return refuse('not-found');
 	}
 
-	const step = core.move.startDrain({
+	const step = core.move.startMove({
 		instance: instance.value,
 		to,
 		author,
--- a/packages/daemon/src/operator/waves/app.ts
+++ b/packages/daemon/src/operator/waves/app.ts
@@ -66,7 +66,7 @@
 ) => {
 	const rowsKey = `${id}@${randomUUID()}`;
 	const instances = view.instances.values();
-	const rows = waves.createDomains(rowsKey, request.pools, instances);
+	const rows = waves.createDomainRows(rowsKey, request.pools, instances);
 	const wave: waves.Wave = {
 		id,
 		rows: rowsKey,
@@ -101,7 +101,7 @@
 	for (let from = 0; from < rows.length; from += rowsPerCommit) {
 		const writes = rows
 			.slice(from, from + rowsPerCommit)
-			.map((row) => toWrite(waves.insertDomain(row)));
+			.map((row) => toWrite(waves.createDomainInsert(row)));
 		const committed = await table.commit(writes, randomUUID());
 		if (!committed.ok) {
 			return committed.error;
@@ -109,13 +109,13 @@
 	}
 
 	const committed = await table.commit(
-		[toWrite(waves.insertWave(wave))],
+		[toWrite(waves.createWaveInsert(wave))],
 		randomUUID(),
 	);
 	return committed.ok ? undefined : committed.error;
 };
 
-const refuseImpossible = (problems: readonly waves.Obstacle[]) =>
+const refuseImpossible = (problems: readonly waves.Blocker[]) =>
 	answerError('promise-impossible', {problems});
 
 const plan = async (c: OperatorContext, deps: OperatorDeps, id: string) => {
@@ -189,7 +189,7 @@
 		observations: {isDrained: () => false, getProbesPassed: () => 0},
 	});
 	const drain = await readDrain({...deps, getInFlight: () => 0});
-	return waves.getWaits({progress, facts, now}, waitsShown).map((wait) => {
+	return waves.listWaits({progress, facts, now}, waitsShown).map((wait) => {
 		const phase =
 			wait.kind === 'drain'
 				? progress.members.get(wait.instance)?.phase
@@ -258,7 +258,7 @@
 		}
 
 		const {value, version} = header.value;
-		const next = waves.updateWave(value, name, Date.now());
+		const next = waves.applyWaveCommand(value, name, Date.now());
 		if (!next.ok) {
 			return answerError('version-conflict', {
 				current: value,
@@ -266,7 +266,7 @@
 			});
 		}
 
-		const write = toWrite(waves.putWave(next.value, version));
+		const write = toWrite(waves.createWavePut(next.value, version));
 		const committed = await deps.table.commit([write], randomUUID());
 		if (committed.ok) {
 			return c.json({wave: next.value});
--- a/packages/daemon/src/operator/waves/plan-wave.ts
+++ b/packages/daemon/src/operator/waves/plan-wave.ts
@@ -53,12 +53,17 @@
 	wave: waves.Wave,
 	rows: readonly waves.WaveDomain[],
 	sources: PlanSources,
-): readonly waves.Obstacle[] => {
+): readonly waves.Blocker[] => {
 	const {view, now} = sources;
 	const progress = createPlanProgress(wave, rows, view);
 	const {pools, settings, deadline} = wave;
-	return waves.findObstacles(
-		{pools, settings, forMs: deadline - now, sizes: progress.remaining},
+	return waves.findBlockers(
+		{
+			pools,
+			settings,
+			untilDeadlineMs: deadline - now,
+			sizes: progress.remainingByPool,
+		},
 		createPlanFacts(progress, sources),
 	);
 };
--- a/packages/daemon/src/waves/ledger-book.ts
+++ b/packages/daemon/src/waves/ledger-book.ts
@@ -169,8 +169,8 @@
 		}
 
 		const put = known
-			? budget.putLedger(expected, known.version)
-			: budget.insertLedger(expected);
+			? budget.createLedgerPut(expected, known.version)
+			: budget.createLedgerInsert(expected);
 		const committed = await table.commit(
 			[{...put, value: toJson(put.value)}],
 			randomUUID(),
--- a/packages/daemon/src/waves/wave-commands.ts
+++ b/packages/daemon/src/waves/wave-commands.ts
@@ -25,7 +25,7 @@
 ): budget.RowPut<waves.WaveDomain> => {
 	const {domain} = loaded.progress.members.get(ids[0]!)!;
 	const phases = Object.fromEntries(ids.map((id) => [id, getPhase(id)]));
-	return waves.putPhases(loaded.rows.get(domain)!, phases);
+	return waves.createPhasesPut(loaded.rows.get(domain)!, phases);
 };
 
 const notePhases = (
@@ -75,13 +75,13 @@
 	const {view} = followed;
 	const servicesByPool = getServicesByPool(view);
 	const services = instances.flatMap(({value}) =>
-		budget.getServicesOf(value, servicesByPool),
+		budget.listLedgerServices(value, servicesByPool),
 	);
 	if (!deps.book.isInStep(services, view, listed)) {
 		return false;
 	}
 
-	const change = budget.reserveAway(
+	const change = budget.withdrawInstances(
 		{
 			operationId,
 			wave: loaded.progress.wave.id,
@@ -129,7 +129,7 @@
 	name: 'finishDrain' | 'startReturn',
 ): Promise<boolean> => {
 	const instance = await readInstance(deps, id);
-	const put = instance && budget.putTransition(instance, name);
+	const put = instance && budget.createTransitionPut(instance, name);
 	return put
 		? commitInstances(deps, command, {
 				id: randomUUID(),
@@ -167,7 +167,7 @@
 
 	const {loaded, facts} = command;
 	const operationId = randomUUID();
-	const change = budget.giveBack({
+	const change = budget.returnInstance({
 		operationId,
 		instance,
 		ledgers: deps.book.getLedgers(),
@@ -211,7 +211,7 @@
 	const services = getServicesByPool(deps.getFollowed().view).get(pool) ?? [];
 	const ledgers = services
 		.map((service) => deps.book.getLedgers().get(service))
-		.map((ledger) => ledger && budget.convertToLoss(ledger, id, deps.now()))
+		.map((ledger) => ledger && budget.convertAwayToLost(ledger, id, deps.now()))
 		.filter((put) => put !== undefined);
 	const row = putPhases(command, [id], () => lost);
 	const isDone = await commitRows(deps, command, [...ledgers, row]);
@@ -227,9 +227,11 @@
 	command: Command,
 ): Promise<boolean> => {
 	const {header} = command.loaded;
-	const next = waves.updateWave(header.value, 'finish', deps.now());
+	const next = waves.applyWaveCommand(header.value, 'finish', deps.now());
 	return next.ok
-		? commitRows(deps, command, [waves.putWave(next.value, header.version)])
+		? commitRows(deps, command, [
+				waves.createWavePut(next.value, header.version),
+			])
 		: false;
 };
 
@@ -239,9 +241,9 @@
 	{job, from, to}: Extract<waves.WaveAction, {kind: 'move'}>,
 ): Promise<boolean> => {
 	const {id, cores, memoryMb} = job;
-	waves.updateMove(progress, id, {from, to: to ?? '', cores, memoryMb});
+	waves.updateJobMove(progress, id, {from, to: to ?? '', cores, memoryMb});
 	const isDone = await deps.jobs.move(job, from, to);
-	waves.updateMove(progress, id, undefined);
+	waves.updateJobMove(progress, id, undefined);
 	return isDone;
 };
 
--- a/packages/daemon/src/waves/wave-rows.ts
+++ b/packages/daemon/src/waves/wave-rows.ts
@@ -42,7 +42,7 @@
 	const read = await readTable(
 		table,
 		budget.tables.waveDomains,
-		waves.getDomainKey(header.value.rows, ''),
+		waves.getDomainRowKey(header.value.rows, ''),
 	);
 	if (!read.ok) {
 		return read;
--- a/packages/daemon/src/waves/wave-runner.ts
+++ b/packages/daemon/src/waves/wave-runner.ts
@@ -89,7 +89,7 @@
 };
 
 const isRunnable = ({progress}: LoadedWave): boolean =>
-	progress.wave.state === 'running' || progress.active.size > 0;
+	progress.wave.state === 'running' || progress.activeDomains.size > 0;
 
 /** Reads new waves, and the rows of those whose header has changed. */
 const refreshWaves = async (state: State): Promise<boolean> => {
@@ -129,7 +129,7 @@
 };
 
 const getTakenMembers = (loaded: LoadedWave): readonly waves.Member[] =>
-	[...loaded.progress.active].flatMap((domain) =>
+	[...loaded.progress.activeDomains].flatMap((domain) =>
 		(loaded.progress.domains.get(domain) ?? []).filter(
 			({phase}) => phase.kind === 'taken',
 		),
@@ -242,7 +242,8 @@
 			return;
 		}
 
-		const isVisited = (steps + 1) * maxWork >= loaded.progress.active.size;
+		const isVisited =
+			(steps + 1) * maxWork >= loaded.progress.activeDomains.size;
 		if (result === 'idle' && isVisited) {
 			return;
 		}
--- a/packages/daemon/src/waves/wave-world.test.fixture.ts
+++ b/packages/daemon/src/waves/wave-world.test.fixture.ts
@@ -220,7 +220,7 @@
 		],
 		randomUUID(),
 	);
-	const rows = waves.createDomains('w@1', ['quoting'], instances);
+	const rows = waves.createDomainRows('w@1', ['quoting'], instances);
 	const wave: waves.Wave = {
 		id: 'w',
 		rows: 'w@1',
@@ -236,9 +236,10 @@
 		instances: ids.length,
 	};
 	await table.commit(
-		[...rows.map((row) => waves.insertDomain(row)), waves.insertWave(wave)].map(
-			(put) => ({...put, value: toJson(put.value)}),
-		),
+		[
+			...rows.map((row) => waves.createDomainInsert(row)),
+			waves.createWaveInsert(wave),
+		].map((put) => ({...put, value: toJson(put.value)})),
 		randomUUID(),
 	);
 	const readWave = async () => {
@@ -251,7 +252,7 @@
 		if (row.ok && row.value) {
 			const {version} = row.value;
 			const value = {...(row.value.value as unknown as waves.Wave), state};
-			const put = waves.putWave(value, version);
+			const put = waves.createWavePut(value, version);
 			await table.commit([{...put, value: toJson(value)}], randomUUID());
 		}
 	};
