--- a/packages/core/src/waves/action.ts
+++ b/packages/core/src/waves/action.ts
@@ -1,16 +1,16 @@
-/** What a wave asks its runner to do. */
+/** Actions that one step of a wave asks its runner to carry out. */
 import type {RunningJob} from './facts.js';
 import type {SkipReason} from './wave.js';
 
-/** One action. The runner commits the rows named, then tells the index. */
+/** One action. The runner commits the rows, then updates `Progress`. */
 export type WaveAction =
-	/** Give these no new jobs. */
+	/** Stop placing new jobs on these instances. */
 	| {
 			readonly kind: 'evacuate';
 			readonly domain: string;
 			readonly instances: readonly string[];
 	  }
-	/** Give these new jobs again; their turn comes later. */
+	/** Allow new jobs on these instances again; they become pending. */
 	| {
 			readonly kind: 'release';
 			readonly domain: string;
@@ -21,27 +21,39 @@
 			readonly kind: 'move';
 			readonly job: RunningJob;
 			readonly from: string;
-			/** Undefined: hold the job until a worker that is done has room. */
+			/**
+			 * Target worker; undefined holds the job until a maintained worker has
+			 * room.
+			 */
 			readonly to: string | undefined;
 	  }
-	/** Book these in their ledgers and begin to drain them, as one. */
+	/**
+	 * Withdraw these instances in their ledgers and start their drain, in one
+	 * transaction.
+	 */
 	| {
 			readonly kind: 'take';
 			readonly domain: string;
 			readonly instances: readonly string[];
 	  }
-	/** Drained: mark it away and do the maintenance. */
+	/**
+	 * The drain is complete: mark the instance away and start its maintenance.
+	 */
 	| {readonly kind: 'stop'; readonly instance: string}
-	/** Listed in its new life: mark it returning and probe it. */
+	/**
+	 * Listed as live after its maintenance: mark the instance returning and probe
+	 * it.
+	 */
 	| {readonly kind: 'return'; readonly instance: string}
+	/** Return the instance to service and to its budgets. */
 	| {readonly kind: 'give-back'; readonly instance: string}
-	/** Leave these out, with the reason. */
+	/** Exclude these instances from the wave. */
 	| {
 			readonly kind: 'skip';
 			readonly domain: string;
 			readonly instances: readonly string[];
 			readonly reason: SkipReason;
 	  }
-	/** It did not come back in time: from now on it counts as lost. */
+	/** The instance did not return in time: count it as lost. */
 	| {readonly kind: 'give-up'; readonly instance: string}
 	| {readonly kind: 'finish'};
--- a/packages/core/src/waves/allowance.ts
+++ b/packages/core/src/waves/allowance.ts
@@ -1,27 +1,33 @@
-/** How many more instances each budget lets a wave take now. */
+/** How many more instances each budget allows a wave to withdraw now. */
 import {getUsage} from '../budget/ledger.js';
 import type {InstanceFacts, WaveFacts} from './facts.js';
 import type {Progress} from './progress.js';
 
-/** Takes still open, by service; read once from each ledger, then counted. */
+/**
+ * Remaining withdrawals by service, read once from each ledger and counted
+ * down.
+ */
 export type Allowance = {
-	/** Counts one take on all services of the pool, if all have one left. */
+	/**
+	 * Reserves one withdrawal from every service of the pool; false if any has
+	 * none left.
+	 */
 	readonly tryReserve: (pool: string) => boolean;
 };
 
 /**
- * Opens an account of what is left. With claims, members that are being
- * emptied count as taken already, but for the lookahead.
+ * Creates an allowance from the ledgers. With `countsClaims`, evacuating
+ * members beyond the lookahead count as withdrawn.
  */
 export const createAllowance = (
 	progress: Progress,
 	facts: WaveFacts,
-	hasClaims: boolean,
+	countsClaims: boolean,
 ): Allowance => {
-	const left = new Map<string, number>();
-	const unpromised = new Map<string, number>();
-	const getLeft = (service: string): number => {
-		const known = left.get(service);
+	const remaining = new Map<string, number>();
+	const reservedByPool = new Map<string, number>();
+	const getRemaining = (service: string): number => {
+		const known = remaining.get(service);
 		if (known !== undefined) {
 			return known;
 		}
@@ -32,44 +38,44 @@
 		}
 
 		const usage = getUsage(ledger, facts.reserves.get(service));
-		const claimed = hasClaims
+		const claimed = countsClaims
 			? (progress.claims.get(service) ?? 0) - progress.wave.settings.lookahead
 			: 0;
 		return usage.left - claimed;
 	};
 
-	/** A pool that no service runs on is bounded by a share of its size. */
-	const useUnpromised = (pool: string): boolean => {
+	/** Limits a pool without services to a share of its size. */
+	const tryReserveWithoutService = (pool: string): boolean => {
 		const size = progress.sizes.get(pool) ?? 0;
 		const {unpromisedShare} = progress.wave.settings;
-		const most = Math.max(1, Math.floor(size * unpromisedShare));
-		const atWork = hasClaims ? (progress.activeByPool.get(pool) ?? 0) : 0;
-		const used = (unpromised.get(pool) ?? 0) + 1;
-		unpromised.set(pool, used);
-		return atWork + used <= most;
+		const limit = Math.max(1, Math.floor(size * unpromisedShare));
+		const active = countsClaims ? (progress.activeByPool.get(pool) ?? 0) : 0;
+		const reserved = (reservedByPool.get(pool) ?? 0) + 1;
+		reservedByPool.set(pool, reserved);
+		return active + reserved <= limit;
 	};
 
-	const use = (pool: string): boolean => {
+	const tryReserve = (pool: string): boolean => {
 		const services = facts.servicesByPool.get(pool) ?? [];
 		if (services.length === 0) {
-			return useUnpromised(pool);
+			return tryReserveWithoutService(pool);
 		}
 
-		if (services.some((service) => getLeft(service) < 1)) {
+		if (services.some((service) => getRemaining(service) < 1)) {
 			return false;
 		}
 
 		for (const service of services) {
-			left.set(service, getLeft(service) - 1);
+			remaining.set(service, getRemaining(service) - 1);
 		}
 
 		return true;
 	};
 
-	return {tryReserve: use};
+	return {tryReserve};
 };
 
-/** True if a ledger holds the instance as lost. */
+/** Whether the ledger of a service on its pool records the instance as lost. */
 export const isLostInLedger = (
 	{id, pool}: InstanceFacts,
 	{servicesByPool, ledgers}: WaveFacts,
--- a/packages/core/src/waves/blocker.ts
+++ b/packages/core/src/waves/blocker.ts
@@ -1,10 +1,10 @@
-/** Why a wave cannot be done at all, found before it starts. */
+/** Reasons why a wave cannot complete, found before it starts. */
 import type {WaveFacts} from './facts.js';
 import type {WaveSettings} from './settings.js';
 
-/** What stands in the way of a wave. */
+/** A reason why a wave cannot complete. */
 export type Blocker =
-	/** The contract never lets an executor of the service go. */
+	/** The named term never allows an executor of the service to be withdrawn. */
 	| {
 			readonly kind: 'never-allowed';
 			readonly service: string;
@@ -13,7 +13,7 @@
 			readonly value: number;
 			readonly executors: number;
 	  }
-	/** The service's instances cannot all be done by the deadline. */
+	/** The instances of the service cannot all be maintained by the deadline. */
 	| {
 			readonly kind: 'too-slow';
 			readonly service: string;
@@ -25,7 +25,7 @@
 	| {readonly kind: 'no-ledger'; readonly service: string}
 	| {readonly kind: 'empty'; readonly pool: string};
 
-/** The wave as it is asked for. */
+/** A wave that is proposed but has not started. */
 export type ProposedWave = {
 	readonly pools: readonly string[];
 	readonly settings: WaveSettings;
@@ -35,8 +35,8 @@
 	readonly sizes: ReadonlyMap<string, number>;
 };
 
-/** The term that leaves a service the least room, and how much it leaves. */
-const getTightest = (facts: WaveFacts, service: string) => {
+/** The contract term that allows the fewest executors away, and that number. */
+const getTightestTerm = (facts: WaveFacts, service: string) => {
 	const {terms, entries} = facts.ledgers.get(service)!;
 	const executors = Object.keys(entries).length;
 	const reserve = facts.reserves.get(service) ?? 0;
@@ -58,7 +58,7 @@
 			};
 };
 
-const findServiceObstacle = (
+const findServiceBlocker = (
 	request: ProposedWave,
 	facts: WaveFacts,
 	service: string,
@@ -68,7 +68,10 @@
 		return {kind: 'no-ledger', service};
 	}
 
-	const {room, term, value, customer, executors} = getTightest(facts, service);
+	const {room, term, value, customer, executors} = getTightestTerm(
+		facts,
+		service,
+	);
 	if (room < 1) {
 		return {kind: 'never-allowed', service, customer, term, value, executors};
 	}
@@ -81,25 +84,25 @@
 		: undefined;
 };
 
-/** Lists every obstacle; none if the wave may start. */
+/** Lists every blocker; empty if the wave may start. */
 export const findBlockers = (
 	request: ProposedWave,
 	facts: WaveFacts,
 ): readonly Blocker[] => {
-	const obstacles: Blocker[] = [];
+	const blockers: Blocker[] = [];
 	for (const pool of request.pools) {
 		const size = request.sizes.get(pool) ?? 0;
 		if (size === 0) {
-			obstacles.push({kind: 'empty', pool});
+			blockers.push({kind: 'empty', pool});
 		}
 
 		for (const service of facts.servicesByPool.get(pool) ?? []) {
-			const found = findServiceObstacle(request, facts, service, size);
+			const found = findServiceBlocker(request, facts, service, size);
 			if (found) {
-				obstacles.push(found);
+				blockers.push(found);
 			}
 		}
 	}
 
-	return obstacles;
+	return blockers;
 };
--- a/packages/core/src/waves/choose-domain.ts
+++ b/packages/core/src/waves/choose-domain.ts
@@ -1,10 +1,10 @@
 /**
- * Which rack is emptied next. Of a window of pending racks the best score
- * wins: the time that its instances save on the services that hold the wave
- * up longest, less the cost of emptying them now. A rack that is dear to
- * empty keeps working until the delay has cost as much as emptying it (the
- * break-even rule of ski rental); by then its long jobs may have ended, and
- * new ones go to workers that are done.
+ * Chooses the rack to evacuate next. Among a window of pending racks the
+ * highest score wins: the time saved on the services that delay the wave most,
+ * less the cost of evacuating now. A rack that is expensive to evacuate keeps
+ * running until its delay has cost as much as its evacuation (the break-even
+ * rule of ski rental); meanwhile its long jobs may end, and new jobs go to
+ * maintained workers.
  */
 import {getUsage} from '../budget/ledger.js';
 import {createAllowance, isLostInLedger} from './allowance.js';
@@ -14,20 +14,27 @@
 import type {Member, Progress} from './progress.js';
 
 const hourMs = 3_600_000;
-/** Times the least time needed that is kept free before the deadline. */
-const urgentFactor = 3;
+/**
+ * Multiple of the minimum remaining time that is kept free before the deadline.
+ */
+const urgencyFactor = 3;
 
-/** A rack, or a part of it, that may be emptied now. */
+/** A rack, or part of one, that may be evacuated now. */
 export type DomainChoice = {
 	readonly domain: string;
 	readonly instances: readonly string[];
-	/** False if a budget or a loss leaves some of the rack out. */
+	/**
+	 * False if a budget, a lost instance or the cost excludes part of the rack.
+	 */
 	readonly isWhole: boolean;
 	readonly score: number;
 };
 
-/** Takes that a pool's tightest budget allows at best, with nothing lost. */
-const getBestCase = (facts: WaveFacts, pool: string): number => {
+/**
+ * Withdrawals that the tightest budget of a pool allows while nothing is lost;
+ * at least 1.
+ */
+const getMaxConcurrent = (facts: WaveFacts, pool: string): number => {
 	let best = Number.MAX_SAFE_INTEGER;
 	for (const service of facts.servicesByPool.get(pool) ?? []) {
 		const ledger = facts.ledgers.get(service);
@@ -43,24 +50,24 @@
 	return Math.max(1, best);
 };
 
-/** Rounds that a pool still needs at best. */
+/** Minimum rounds of withdrawals that a pool still needs. */
 export const getMinRounds = (
 	progress: Progress,
 	facts: WaveFacts,
 	pool: string,
 ): number =>
 	Math.ceil(
-		(progress.remainingByPool.get(pool) ?? 0) / getBestCase(facts, pool),
+		(progress.remainingByPool.get(pool) ?? 0) / getMaxConcurrent(facts, pool),
 	);
 
-/** Rounds of the pool that needs the most. */
-const getMostRounds = (progress: Progress, facts: WaveFacts): number => {
-	let most = 1;
+/** Minimum rounds of the pool that needs the most. */
+const getMaxRounds = (progress: Progress, facts: WaveFacts): number => {
+	let max = 1;
 	for (const pool of progress.remainingByPool.keys()) {
-		most = Math.max(most, getMinRounds(progress, facts, pool));
+		max = Math.max(max, getMinRounds(progress, facts, pool));
 	}
 
-	return most;
+	return max;
 };
 
 const isReady = (member: Member, facts: WaveFacts): boolean => {
@@ -73,7 +80,7 @@
 	);
 };
 
-/** Members of a rack that every budget has room for, one after another. */
+/** Ready members of a rack that fit into every budget together. */
 const getAllowed = (
 	progress: Progress,
 	facts: WaveFacts,
@@ -100,24 +107,27 @@
 	}).cost;
 };
 
-/** Time since the pool last went on, in milliseconds. */
+/** Time in milliseconds since a member of the pool last changed its phase. */
 const getDelay = ({progress, now}: WaveContext, pool: string): number => {
 	const {startedAt} = progress.wave;
 	return now - Math.max(startedAt ?? now, progress.changedAt.get(pool) ?? 0);
 };
 
-/** True if a pool must go on now, whatever it costs. */
+/** Whether a pool must proceed regardless of cost. */
 const isUrgent = (context: WaveContext, pool: string): boolean => {
 	const {progress, facts, now} = context;
 	const {settings, deadline} = progress.wave;
 	const neededMs = getMinRounds(progress, facts, pool) * settings.cycleMs;
 	return (
-		deadline - now < urgentFactor * neededMs ||
+		deadline - now < urgencyFactor * neededMs ||
 		getDelay(context, pool) >= settings.deferWithinMs
 	);
 };
 
-/** What the delay of a pool since it last went on has cost. */
+/**
+ * Cost of the delay since a member of the pool last changed its phase; infinite
+ * if the pool is urgent.
+ */
 const getDelayCost = (context: WaveContext, pool: string): number => {
 	const {rollOutHours} = context.progress.wave.settings.weights;
 	return isUrgent(context, pool)
@@ -125,7 +135,7 @@
 		: (rollOutHours * getDelay(context, pool)) / hourMs;
 };
 
-/** A member with what emptying it costs and what its delay has cost. */
+/** A member with the cost of evacuating it and the cost of its delay so far. */
 type Candidate = {
 	readonly member: Member;
 	readonly cost: number;
@@ -138,7 +148,10 @@
 	delayCost: getDelayCost(context, member.pool),
 });
 
-/** The candidates whose time has come: all together, or each by itself. */
+/**
+ * Returns the candidates whose delay has cost as much as their evacuation,
+ * compared as a group first and then one by one.
+ */
 const getDue = (candidates: readonly Candidate[]): readonly Candidate[] => {
 	const cost = candidates.reduce((sum, each) => sum + each.cost, 0);
 	const delay = candidates.reduce((sum, each) => sum + each.delayCost, 0);
@@ -150,26 +163,26 @@
 const getScore = (
 	{progress, facts}: WaveContext,
 	due: readonly Candidate[],
-	mostRounds: number,
+	maxRounds: number,
 ): number => {
 	const {weights, cycleMs} = progress.wave.settings;
 	const perCycle = (weights.rollOutHours * cycleMs) / hourMs;
 	let score = 0;
 	for (const {member, cost} of due) {
 		const rounds = getMinRounds(progress, facts, member.pool);
-		score += (perCycle * rounds) / mostRounds - cost;
+		score += (perCycle * rounds) / maxRounds - cost;
 	}
 
 	return score / due.length;
 };
 
-/** True if the rack can never be taken whole within its budgets. */
+/** Whether the rack exceeds its budgets even while nothing is lost. */
 const isTooLarge = (facts: WaveFacts, members: readonly Member[]): boolean => {
 	const counts = new Map<string, number>();
 	for (const {pool} of members) {
 		const count = (counts.get(pool) ?? 0) + 1;
 		counts.set(pool, count);
-		if (count > getBestCase(facts, pool)) {
+		if (count > getMaxConcurrent(facts, pool)) {
 			return true;
 		}
 	}
@@ -180,7 +193,7 @@
 const createChoice = (
 	context: WaveContext,
 	domain: string,
-	mostRounds: number,
+	maxRounds: number,
 ): DomainChoice | undefined => {
 	const {progress, facts} = context;
 	const members = progress.domains.get(domain) ?? [];
@@ -194,7 +207,7 @@
 		return undefined;
 	}
 
-	const score = getScore(context, due, mostRounds);
+	const score = getScore(context, due, maxRounds);
 	const instances = due.map(({member}) => member.id);
 	return {domain, instances, isWhole, score};
 };
@@ -203,8 +216,9 @@
 	one.isWhole === other.isWhole ? one.score > other.score : one.isWhole;
 
 /**
- * Compares up to `window` pending racks, from where the last call ended; if
- * zones go one after another, from the first that still waits.
+ * Compares up to `window` pending racks, starting where the last call ended.
+ * With the order `by-availability-zone`, a choice restarts the next call at the
+ * first pending rack.
  */
 export const chooseDomain = (
 	context: WaveContext,
@@ -213,12 +227,12 @@
 	const {progress, facts} = context;
 	const {pendingDomains, cursors} = progress;
 	const size = Math.min(window, pendingDomains.length);
-	const mostRounds = getMostRounds(progress, facts);
+	const maxRounds = getMaxRounds(progress, facts);
 	let best: DomainChoice | undefined;
 	for (let step = 0; step < size; step += 1) {
 		const domain =
 			pendingDomains[(cursors.pending + step) % pendingDomains.length]!;
-		const choice = createChoice(context, domain, mostRounds);
+		const choice = createChoice(context, domain, maxRounds);
 		if (choice && (best === undefined || isBetter(choice, best))) {
 			best = choice;
 		}
--- a/packages/core/src/waves/context.ts
+++ b/packages/core/src/waves/context.ts
@@ -1,8 +1,11 @@
-/** What every decision of one step shares. */
+/** Input shared by every decision of one step. */
 import type {WaveFacts} from './facts.js';
 import type {Progress} from './progress.js';
 
-/** The wave's index, the fleet's facts, and the present time in ms. */
+/**
+ * The wave's index, the facts of the fleet, and the present time in
+ * milliseconds.
+ */
 export type WaveContext = {
 	readonly progress: Progress;
 	readonly facts: WaveFacts;
--- a/packages/core/src/waves/evacuation.ts
+++ b/packages/core/src/waves/evacuation.ts
@@ -1,45 +1,48 @@
 /**
- * How the jobs of one worker leave it: which run out and which move. One
- * waiting time is chosen for the worker, so that the cost of idle cores, of
- * the wave's delay and of moves together is least. Since estimates may be far
- * off, waiting ends when it has cost as much as the moves would have (the
- * break-even rule of ski rental: at most twice the best cost in hindsight).
+ * Decides which jobs of a worker finish in place and which move. One waiting
+ * time is chosen per worker that minimizes the cost of idle cores, of the delay
+ * of the wave and of moves together. Since estimates may be far off, waiting
+ * ends once it has cost as much as the moves would have (the break-even rule of
+ * ski rental: at most twice the best cost in hindsight).
  */
 import type {RunningJob} from './facts.js';
 import type {WaveWeights} from './settings.js';
 
 const hourMs = 3_600_000;
 
-/** What is decided for one worker. */
+/** Plan for evacuating one worker. */
 export type EvacuationPlan = {
 	/** Jobs to move now. */
 	readonly moves: readonly RunningJob[];
-	/** Expected time until the others have run out, in milliseconds. */
+	/** Expected time until the remaining jobs have finished, in milliseconds. */
 	readonly waitMs: number;
-	/** Cost in the unit of the weights. */
+	/** Expected cost, in the unit of the weights. */
 	readonly cost: number;
 };
 
-/** One worker to be emptied. */
+/** The worker to evacuate. */
 export type EvacuationInput = {
 	readonly cores: number;
 	readonly jobs: readonly RunningJob[];
 	readonly weights: WaveWeights;
-	/** Time since it takes no new jobs, in milliseconds. */
+	/** Time since placement on the worker stopped, in milliseconds. */
 	readonly waitedMs: number;
-	/** Time left to the wave's deadline, in milliseconds. */
+	/**
+	 * Time until jobs must have left the worker to meet the deadline, in
+	 * milliseconds.
+	 */
 	readonly untilDeadlineMs: number;
 };
 
-/** Cost of moving one job: the move, and the work that it repeats. */
+/** Cost of moving one job, including the work that a restart repeats. */
 export const getMoveCost = (job: RunningJob, weights: WaveWeights): number => {
 	const lostCoreHours =
 		job.movability === 'restart' ? (job.cores * job.elapsedMs) / hourMs : 0;
 	return weights.moves + weights.bufferCoreHours * lostCoreHours;
 };
 
-/** True once the wait has cost as much as moving everything would. */
-const isPatienceSpent = (input: EvacuationInput, moveCost: number): boolean => {
+/** Whether waiting has cost more than moving every movable job would. */
+const isWaitExhausted = (input: EvacuationInput, moveCost: number): boolean => {
 	const {weights, cores, jobs, waitedMs} = input;
 	const busy = jobs.reduce((sum, job) => sum + job.cores, 0);
 	const idle = Math.max(0, cores - busy);
@@ -47,7 +50,7 @@
 	return (hourly * waitedMs) / hourMs > moveCost;
 };
 
-/** Cost of a wait in which jobs use that many core-milliseconds. */
+/** Cost of waiting `waitMs` while jobs use `busyCoreMs` core-milliseconds. */
 const getWaitCost = (
 	{cores, weights}: EvacuationInput,
 	waitMs: number,
@@ -67,21 +70,21 @@
 	jobs.reduce((sum, job) => sum + job.cores * job.remainingMs, 0);
 
 /**
- * Chooses the wait of least cost among the times at which a job ends: the
- * first jobs that end are waited for, the rest move.
+ * Chooses the cheapest wait among the times at which a job is expected to end:
+ * jobs that end by then finish in place, the others move.
  */
 export const planEvacuation = (input: EvacuationInput): EvacuationPlan => {
 	const {jobs, weights, untilDeadlineMs} = input;
-	const fixed = jobs.filter(({movability}) => movability === 'none');
+	const immovable = jobs.filter(({movability}) => movability === 'none');
 	const movable = jobs
 		.filter(({movability}) => movability !== 'none')
 		.toSorted((a, b) => a.remainingMs - b.remainingMs);
-	let waitMs = Math.max(0, ...fixed.map(({remainingMs}) => remainingMs));
+	let waitMs = Math.max(0, ...immovable.map(({remainingMs}) => remainingMs));
 	let moveCost = sumMoveCosts(movable, weights);
-	let busyCoreMs = sumBusy(fixed);
+	let busyCoreMs = sumBusy(immovable);
 	let waited = 0;
 	let cost = getWaitCost(input, waitMs, busyCoreMs) + moveCost;
-	if (isPatienceSpent(input, moveCost)) {
+	if (isWaitExhausted(input, moveCost)) {
 		return {moves: movable, waitMs, cost};
 	}
 
--- a/packages/core/src/waves/facts.ts
+++ b/packages/core/src/waves/facts.ts
@@ -1,25 +1,25 @@
-/** What a wave is told of the fleet at each step. */
+/** State of the fleet that a step of a wave reads. */
 import type {ReturnEvidence} from '../budget/return-instance.js';
 import type {Ledger, ServicesByPool} from '../budget/ledger.js';
 import type {InstanceState} from '../types/instance.js';
 
 /** How a job can leave its worker. */
 export type Movability =
-	/** From a checkpoint that is taken first. */
+	/** Resumes from a checkpoint that is taken before the move. */
 	| 'checkpoint'
-	/** From its beginning; what it has done is lost. */
+	/** Restarts from the beginning; its progress is lost. */
 	| 'restart'
-	/** Not at all: it may not be repeated. */
+	/** Cannot move: the job must not run twice. */
 	| 'none';
 
-/** One job on a worker, by reported use and learned estimates. */
+/** One job on a worker, from reported usage and learned estimates. */
 export type RunningJob = {
 	readonly id: string;
 	readonly cores: number;
 	readonly memoryMb: number;
-	/** Time that it has run, in milliseconds. */
+	/** Time since the job started, in milliseconds. */
 	readonly elapsedMs: number;
-	/** Learned estimate of the time that it still runs, in milliseconds. */
+	/** Learned estimate of the remaining run time, in milliseconds. */
 	readonly remainingMs: number;
 	readonly movability: Movability;
 };
@@ -29,7 +29,9 @@
 	readonly id: string;
 	readonly pool: string;
 	readonly state: InstanceState;
-	/** Every entry has acknowledged the drain and nothing is in flight. */
+	/**
+	 * Whether every entry has acknowledged the drain and no request is in flight.
+	 */
 	readonly isDrained: boolean;
 	readonly evidence: ReturnEvidence;
 	readonly cores: number;
@@ -38,16 +40,16 @@
 	readonly jobs: readonly RunningJob[];
 };
 
-/** Values by name, looked up one by one: a step asks only for a few. */
+/** Read-only lookup by name; a step reads only a few values. */
 export type Lookup<Value> = {
 	readonly get: (name: string) => Value | undefined;
 };
 
-/** All that a step looks at. */
+/** Everything that a step of a wave reads. */
 export type WaveFacts = {
 	readonly instances: Lookup<InstanceFacts>;
 	readonly ledgers: Lookup<Ledger>;
 	readonly servicesByPool: ServicesByPool;
-	/** Executors kept in reserve, by service. */
+	/** Executors kept in reserve, by service; absent means none. */
 	readonly reserves: ReadonlyMap<string, number>;
 };
--- a/packages/core/src/waves/index.ts
+++ b/packages/core/src/waves/index.ts
@@ -1,4 +1,4 @@
-/** Maintenance waves: planner and state machine. */
+/** Maintenance waves: planning, preview and state machine. */
 export * from './settings.js';
 export * from './wave.js';
 export type * from './facts.js';
--- a/packages/core/src/waves/preview.ts
+++ b/packages/core/src/waves/preview.ts
@@ -1,8 +1,8 @@
 /**
- * What a wave is expected to do, before it starts: the same steps as the real
- * one, run ahead on a copy in which restarts take their expected time, jobs
- * end when they are estimated to, and nothing fails. It assumes that a worker
- * is as busy when its turn comes as it is now.
+ * Previews a wave before it starts: runs the steps of the real wave on a copy
+ * in which restarts take their expected time, jobs end as estimated, and
+ * nothing fails. Assumes that each worker is as busy when it is evacuated as it
+ * is now.
  */
 import {updateEntry, type Ledger} from '../budget/ledger.js';
 import type {WaveAction} from './action.js';
@@ -12,38 +12,41 @@
 import {stepWave} from './step.js';
 import {applyWaveCommand} from './wave.js';
 
-/** One step of the order. */
+/** Instances that start their evacuation together. */
 export type PreviewStep = {
 	readonly domain: string;
 	readonly instances: readonly string[];
-	/** Time from the start, in milliseconds. */
+	/** Time since the start of the wave, in milliseconds. */
 	readonly afterMs: number;
 };
 
-/** A service that holds the wave up, and whose contract makes it so. */
+/**
+ * A pool that limits how fast the wave proceeds, and the customers whose
+ * `maxAway` terms limit it.
+ */
 export type PoolBlocker = {
 	readonly pool: string;
 	readonly rounds: number;
 	readonly customers: readonly string[];
 };
 
-/** What is expected. */
+/** Expected course of a wave. */
 export type PreviewResult = {
 	readonly order: readonly PreviewStep[];
 	readonly durationMs: number;
 	readonly moves: number;
-	/** Moves for which no worker that is done has room. */
+	/** Moves for which no maintained worker has room; their jobs are held. */
 	readonly held: number;
-	/** Instances that the deadline would leave out. */
+	/** Instances that the deadline would exclude. */
 	readonly skipped: readonly string[];
-	/** Pools that need the most rounds, most first. */
+	/** Pools that need the most rounds, in descending order. */
 	readonly holdUps: readonly PoolBlocker[];
 };
 
-/** A preview under way; only `stepPreview` changes it. */
+/** A preview in progress; only `stepPreview` changes it. */
 export type Preview = {
 	readonly progress: Progress;
-	/** What the preview has changed. */
+	/** Instances that the preview has changed, by id. */
 	readonly instances: Map<string, InstanceFacts>;
 	readonly ledgers: Map<string, Ledger>;
 	readonly facts: WaveFacts;
@@ -51,7 +54,7 @@
 	readonly holdUps: readonly PoolBlocker[];
 	readonly order: PreviewStep[];
 	readonly skipped: string[];
-	/** When instances that are away are done. */
+	/** Time at which each withdrawn instance returns, by id. */
 	readonly returnTimes: Map<string, number>;
 	now: number;
 	idleSteps: number;
@@ -60,11 +63,11 @@
 	isDone: boolean;
 };
 
-const holdUpsShown = 5;
-/** Parts of a cycle by which the time is moved on. */
+const maxPoolBlockers = 5;
+/** Number of time steps per cycle. */
 const ticksPerCycle = 3;
 
-const getHoldUps = (
+const listPoolBlockers = (
 	progress: Progress,
 	facts: WaveFacts,
 ): readonly PoolBlocker[] =>
@@ -77,15 +80,18 @@
 				.filter((customer) => customer !== ''),
 		}))
 		.toSorted((a, b) => b.rounds - a.rounds)
-		.slice(0, holdUpsShown);
+		.slice(0, maxPoolBlockers);
 
-/** Looks up what the preview has changed first, then what is so in fact. */
+/** Looks up changed values first, then the base. */
 const overlay = <Value>(
 	changed: ReadonlyMap<string, Value>,
 	base: Lookup<Value>,
 ): Lookup<Value> => ({get: (name) => changed.get(name) ?? base.get(name)});
 
-/** Begins a preview. The index must be its own: it is run to its end. */
+/**
+ * Creates a preview. It runs `progress` to its end, so the caller must not
+ * share it.
+ */
 export const createPreview = (
 	progress: Progress,
 	facts: WaveFacts,
@@ -105,7 +111,7 @@
 			ledgers: overlay(ledgers, facts.ledgers),
 		},
 		startedAt: now,
-		holdUps: getHoldUps(progress, facts),
+		holdUps: listPoolBlockers(progress, facts),
 		order: [],
 		skipped: [],
 		returnTimes: new Map(),
@@ -117,7 +123,7 @@
 	};
 };
 
-const bookAll = (
+const updateLedgers = (
 	{ledgers, facts, now}: Preview,
 	id: string,
 	kind: 'away' | 'serving',
@@ -141,10 +147,10 @@
 	instances.set(id, {...facts.instances.get(id)!, ...change});
 };
 
-const applyTake = (preview: Preview, ids: readonly string[]) => {
+const applyWithdrawal = (preview: Preview, ids: readonly string[]) => {
 	const {progress, now} = preview;
 	for (const id of ids) {
-		bookAll(preview, id, 'away');
+		updateLedgers(preview, id, 'away');
 		preview.returnTimes.set(id, now + progress.wave.settings.cycleMs);
 		updatePhase(progress, [id], {
 			kind: 'taken',
@@ -162,8 +168,8 @@
 	{job, from, to}: Extract<WaveAction, {kind: 'move'}>,
 ) => {
 	const {jobs} = preview.facts.instances.get(from)!;
-	const left = jobs.filter(({id}) => id !== job.id);
-	updateInstance(preview, from, {jobs: left});
+	const remaining = jobs.filter(({id}) => id !== job.id);
+	updateInstance(preview, from, {jobs: remaining});
 	preview.moves += 1;
 	if (to === undefined) {
 		preview.held += 1;
@@ -187,7 +193,7 @@
 		}
 
 		case 'take': {
-			applyTake(preview, action.instances);
+			applyWithdrawal(preview, action.instances);
 			break;
 		}
 
@@ -213,7 +219,7 @@
 			break;
 		}
 
-		// An instance that is away ends its cycle by the clock alone.
+		// `advanceTime` ends the cycle of a withdrawn instance.
 		case 'stop':
 		case 'return':
 		case 'give-back':
@@ -223,8 +229,11 @@
 	}
 };
 
-/** Lets a tick pass: jobs on workers that are emptied run, cycles end. */
-const passTime = (preview: Preview) => {
+/**
+ * Advances the time by one tick: jobs on evacuating workers progress, and
+ * cycles that are due end.
+ */
+const advanceTime = (preview: Preview) => {
 	const {progress, facts, returnTimes} = preview;
 	const tickMs = progress.wave.settings.cycleMs / ticksPerCycle;
 	preview.now += tickMs;
@@ -243,7 +252,7 @@
 	for (const [id, at] of returnTimes) {
 		if (at <= preview.now) {
 			returnTimes.delete(id);
-			bookAll(preview, id, 'serving');
+			updateLedgers(preview, id, 'serving');
 			const {cores} = facts.instances.get(id)!;
 			updateInstance(preview, id, {jobs: [], coresFree: cores});
 			updatePhase(progress, [id], {kind: 'done', at: preview.now});
@@ -251,7 +260,7 @@
 	}
 };
 
-/** Goes on by one step of bounded work; true once the end is reached. */
+/** Advances by one step of bounded work; true once the preview is complete. */
 export const stepPreview = (preview: Preview, maxWork: number): boolean => {
 	const {progress, facts, now} = preview;
 	if (preview.isDone) {
@@ -265,18 +274,18 @@
 
 	preview.idleSteps = actions.length > 0 ? 0 : preview.idleSteps + 1;
 	const window = Math.min(maxWork, progress.wave.settings.window);
-	const round =
+	const stepsPerRound =
 		progress.activeDomains.size / maxWork +
 		progress.pendingDomains.length / window;
-	if (preview.idleSteps > round) {
+	if (preview.idleSteps > stepsPerRound) {
 		preview.idleSteps = 0;
-		passTime(preview);
+		advanceTime(preview);
 	}
 
 	return preview.isDone;
 };
 
-/** What the preview has found so far; whole once it is done. */
+/** The result so far; complete once `stepPreview` returns true. */
 export const getPreviewResult = (preview: Preview): PreviewResult => ({
 	order: preview.order,
 	durationMs: preview.now - preview.startedAt,
--- a/packages/core/src/waves/progress.ts
+++ b/packages/core/src/waves/progress.ts
@@ -1,8 +1,8 @@
 /**
- * The working index of a wave, built from its rows and kept in step with
- * them: `updatePhase` and `updateMove` are called after a commit. It is the
- * one thing here that is changed in place, so that a step costs no copy of
- * 3,300 instances. Losing it loses nothing: the rows hold the truth.
+ * In-memory index of a wave, built from its rows. `updatePhase` is called after
+ * each commit and `updateJobMove` around each job move. The index is mutable so
+ * that a step need not copy thousands of instances; it can always be rebuilt
+ * from the rows.
  */
 import type {ServicesByPool} from '../budget/ledger.js';
 import type {MemberPhase, Wave, WaveDomain} from './wave.js';
@@ -15,10 +15,10 @@
 	phase: MemberPhase;
 };
 
-/** A job on its way to another worker. */
+/** A move of a job to another worker that is in progress. */
 export type JobMove = {
 	readonly from: string;
-	/** Empty while no worker has room: the job is held at its checkpoint. */
+	/** Empty while no worker has room and the job is held at its checkpoint. */
 	readonly to: string;
 	readonly cores: number;
 	readonly memoryMb: number;
@@ -29,29 +29,33 @@
 	wave: Wave;
 	readonly members: Map<string, Member>;
 	readonly domains: Map<string, readonly Member[]>;
-	/** Racks with a pending member; by name if zones go one after another. */
+	/**
+	 * Racks with a pending member; sorted by name with the order
+	 * `by-availability-zone`.
+	 */
 	readonly pendingDomains: string[];
-	/** Racks with a member that is evacuating or taken. */
+	/** Racks with an evacuating or withdrawn member. */
 	readonly activeDomains: Set<string>;
-	/** Members evacuating, by service: they have a claim on its budget. */
+	/** Evacuating members by service; each has a claim on its budget. */
 	readonly claims: Map<string, number>;
-	/** Members of each pool. */
+	/** Number of members, by pool. */
 	readonly sizes: Map<string, number>;
-	/** Members evacuating or taken, by pool. */
+	/** Number of evacuating or withdrawn members, by pool. */
 	readonly activeByPool: Map<string, number>;
-	/** Members neither done nor skipped, by pool. */
+	/** Number of members that are neither done nor skipped, by pool. */
 	readonly remainingByPool: Map<string, number>;
-	/** Time of the last change of a phase, by pool. */
+	/** Time of the latest change of phase, by pool. */
 	readonly changedAt: Map<string, number>;
-	/** Members done, by pool: where jobs may go. */
+	/** Ids of maintained members by pool; jobs may move to them. */
 	readonly doneByPool: Map<string, string[]>;
+	/** Moves in progress, by job. */
 	readonly jobMoves: Map<string, JobMove>;
-	/** Room that jobs on their way were promised, by worker. */
+	/** Resources reserved for moves in progress, by target worker. */
 	readonly reservedByWorker: Map<string, {cores: number; memoryMb: number}>;
-	/** Members by kind of phase. */
+	/** Number of members, by kind of phase. */
 	readonly counts: Record<MemberPhase['kind'], number>;
 	readonly servicesByPool: ServicesByPool;
-	/** Where the next step goes on. */
+	/** Positions at which the next step resumes. */
 	cursors: {active: number; pending: number};
 };
 
@@ -59,15 +63,16 @@
 	map.set(key, (map.get(key) ?? 0) + change);
 };
 
-const isOpen = ({kind}: MemberPhase) => kind !== 'done' && kind !== 'skipped';
+const isUnfinished = ({kind}: MemberPhase) =>
+	kind !== 'done' && kind !== 'skipped';
 
-/** Counts a member in or out of the index by its phase. */
+/** Adds a member to the counters of its phase, or removes it. */
 const countMember = (progress: Progress, member: Member, change: 1 | -1) => {
 	const {phase, pool} = member;
 	progress.counts[phase.kind] += change;
 	const changedAt = progress.changedAt.get(pool) ?? 0;
 	progress.changedAt.set(pool, Math.max(changedAt, getChangeTime(phase)));
-	if (isOpen(phase)) {
+	if (isUnfinished(phase)) {
 		addTo(progress.remainingByPool, pool, change);
 	}
 
@@ -88,8 +93,8 @@
 	}
 };
 
-/** Puts a rack on the lists that its members' phases ask for. */
-const listDomain = (progress: Progress, domain: string) => {
+/** Updates the membership of a rack in `pendingDomains` and `activeDomains`. */
+const updateDomainLists = (progress: Progress, domain: string) => {
 	const members = progress.domains.get(domain) ?? [];
 	const isActive = members.some(
 		({phase}) => phase.kind === 'evacuating' || phase.kind === 'taken',
@@ -113,13 +118,13 @@
 };
 
 /**
- * Builds the index from a wave's rows. An instance that has left the pools
- * since is passed over by the step, which sees it in the facts.
+ * Builds the index from the rows of a wave. Steps ignore instances that have
+ * since left the pools.
  */
 export const createProgress = (
 	wave: Wave,
 	rows: Iterable<WaveDomain>,
-	poolOf: (instanceId: string) => string,
+	getPool: (instanceId: string) => string,
 	servicesByPool: ServicesByPool,
 ): Progress => {
 	const progress: Progress = {
@@ -145,7 +150,7 @@
 			id,
 			domain,
 			phase,
-			pool: poolOf(id),
+			pool: getPool(id),
 		}));
 		progress.domains.set(domain, list);
 		for (const member of list) {
@@ -154,7 +159,7 @@
 			countMember(progress, member, 1);
 		}
 
-		listDomain(progress, domain);
+		updateDomainLists(progress, domain);
 	}
 
 	return progress;
@@ -178,7 +183,7 @@
 	}
 };
 
-/** Follows a committed change of phase. */
+/** Applies a committed change of phase. */
 export const updatePhase = (
 	progress: Progress,
 	instanceIds: readonly string[],
@@ -196,35 +201,35 @@
 	}
 
 	for (const domain of domains) {
-		listDomain(progress, domain);
+		updateDomainLists(progress, domain);
 	}
 };
 
-const updatePromise = (
+const updateReservation = (
 	progress: Progress,
 	{to, cores, memoryMb}: JobMove,
 	change: 1 | -1,
 ) => {
-	const promised = progress.reservedByWorker.get(to) ?? {cores: 0, memoryMb: 0};
-	promised.cores += change * cores;
-	promised.memoryMb += change * memoryMb;
-	progress.reservedByWorker.set(to, promised);
+	const reserved = progress.reservedByWorker.get(to) ?? {cores: 0, memoryMb: 0};
+	reserved.cores += change * cores;
+	reserved.memoryMb += change * memoryMb;
+	progress.reservedByWorker.set(to, reserved);
 };
 
-/** Notes a job on its way, or with `undefined` that it has ended or arrived. */
+/** Records a move in progress; `undefined` removes it once it has ended. */
 export const updateJobMove = (
 	progress: Progress,
 	jobId: string,
 	moving: JobMove | undefined,
 ): void => {
-	const before = progress.jobMoves.get(jobId);
-	if (before) {
-		updatePromise(progress, before, -1);
+	const previous = progress.jobMoves.get(jobId);
+	if (previous) {
+		updateReservation(progress, previous, -1);
 		progress.jobMoves.delete(jobId);
 	}
 
 	if (moving) {
-		updatePromise(progress, moving, 1);
+		updateReservation(progress, moving, 1);
 		progress.jobMoves.set(jobId, moving);
 	}
 };
--- a/packages/core/src/waves/settings.ts
+++ b/packages/core/src/waves/settings.ts
@@ -5,63 +5,75 @@
 } from '../budget/return-instance.js';
 import type {ReserveKind} from '../budget/reserve.js';
 
-/** What a wave is to save, in one unit that the operator chooses. */
+/** Costs that a wave minimizes, in a common unit that the operator chooses. */
 export type WaveWeights = {
 	/** Cost of moving one job. */
 	readonly moves: number;
 	/** Cost of one core held idle for one hour. */
 	readonly bufferCoreHours: number;
-	/** Cost of one hour by which an instance holds the wave up. */
+	/** Cost of one hour by which an instance delays the wave. */
 	readonly rollOutHours: number;
 };
 
-/** How failure domains are taken. */
+/** Whether racks must be withdrawn as a whole. */
 export const domainRules = ['only-whole', 'prefer-whole'] as const;
 
-/** How failure domains are taken. */
+/** Whether racks must be withdrawn as a whole. */
 export type DomainRule = (typeof domainRules)[number];
 
-/** In which order racks are taken. */
+/** Order in which racks are maintained. */
 export const waveOrders = ['any', 'by-availability-zone'] as const;
 
-/** In which order racks are taken. */
+/** Order in which racks are maintained. */
 export type WaveOrder = (typeof waveOrders)[number];
 
 /** Settings of one wave. */
 export type WaveSettings = {
 	readonly weights: WaveWeights;
-	/** Failure domain that must be able to fail during the wave. */
+	/** Failure domain whose loss the services must survive during the wave. */
 	readonly reserve: ReserveKind;
 	/**
-	 * `only-whole` waits for every job of a rack and takes it in one
-	 * transaction; `prefer-whole` takes parts when no whole rack fits.
+	 * `only-whole` waits for every job of a rack and withdraws the rack in one
+	 * transaction; `prefer-whole` withdraws parts when no whole rack fits.
 	 */
 	readonly domains: DomainRule;
-	/** Finishes begun availability zones first, or takes racks in any order. */
+	/**
+	 * `by-availability-zone` maintains one zone after another; `any` ignores
+	 * zones.
+	 */
 	readonly order: WaveOrder;
-	/** Instances of a service that are emptied ahead of its budget. */
+	/** Instances of a service that may evacuate beyond its budget. */
 	readonly lookahead: number;
-	/** Part of a pool without services that is at work at once, at most. */
+	/**
+	 * Maximum share, from 0 to 1, of a pool without services that is in
+	 * maintenance at once.
+	 */
 	readonly unpromisedShare: number;
-	/** Instances that are emptied or away at once, at most. */
+	/** Maximum number of instances evacuating or withdrawn at once. */
 	readonly maxInstances: number;
-	/** Racks that are emptied or away at once, at most. */
+	/** Maximum number of racks with evacuating or withdrawn instances at once. */
 	readonly maxDomains: number;
-	/** A rack is put off no longer, whatever it costs to empty it. */
+	/**
+	 * Maximum time, in milliseconds, for which a rack is deferred because of its
+	 * evacuation cost.
+	 */
 	readonly deferWithinMs: number;
-	/** Expected time from a take until it is given back, in milliseconds. */
+	/** Expected time from withdrawal to return, in milliseconds. */
 	readonly cycleMs: number;
-	/** Time after which one that did not come back counts as lost. */
+	/**
+	 * Time in milliseconds after which an instance that has not returned counts
+	 * as lost.
+	 */
 	readonly returnWithinMs: number;
-	/** What an instance must show before it is given back. */
+	/** Evidence that an instance must show before it returns. */
 	readonly returns: ReturnSettings;
-	/** Racks that one step compares before it chooses, at most. */
+	/** Maximum number of racks that one step compares. */
 	readonly window: number;
 };
 
 const minuteMs = 60_000;
 
-/** Defaults: moves, idle capacity and time weighed alike. */
+/** Defaults, which balance moves, idle capacity and time. */
 export const waveDefaults: WaveSettings = {
 	weights: {moves: 0.3, bufferCoreHours: 0.01, rollOutHours: 1},
 	reserve: 'none',
@@ -78,21 +90,21 @@
 	window: 24,
 };
 
-/** Weights that save moves: jobs are waited for rather than moved. */
+/** Weights that favour waiting for jobs over moving them. */
 export const fewMovesWeights: WaveWeights = {
 	moves: 2,
 	bufferCoreHours: 0.005,
 	rollOutHours: 0.1,
 };
 
-/** Weights that save idle capacity: jobs are moved rather than waited for. */
+/** Weights that favour moving jobs over waiting for them. */
 export const littleBufferWeights: WaveWeights = {
 	moves: 0.02,
 	bufferCoreHours: 0.05,
 	rollOutHours: 0.5,
 };
 
-/** Weights that save time. */
+/** Weights that favour a short wave. */
 export const fastWeights: WaveWeights = {
 	moves: 0.1,
 	bufferCoreHours: 0.002,
