--- a/packages/core/src/budget/index.ts
+++ b/packages/core/src/budget/index.ts
@@ -1,4 +1,4 @@
-/** Budgets: how much of each service may be away at once. */
+/** Budgets: how many executors of each service may be away at once. */
 export * from './row-write.js';
 export * from './terms.js';
 export * from './ledger.js';
--- a/packages/core/src/budget/ledger.ts
+++ b/packages/core/src/budget/ledger.ts
@@ -1,7 +1,8 @@
 /**
- * The budget ledger of one service: which of its executors are held away by
- * plan, which are lost, and the terms that bind. One row a service; every
- * change is conditional on the row's version. Source: docs/design/budget.md.
+ * The budget ledger of one service: which of its executors are withdrawn, which
+ * are lost, and the contract terms that apply. One row per service; every
+ * change is conditional on the version of the row. Source:
+ * docs/design/budget.md.
  */
 import type {Instance} from '../types/instance.js';
 import type {CombinedTerms} from './terms.js';
@@ -13,12 +14,12 @@
 	type Versioned,
 } from './row-write.js';
 
-/** What the ledger holds of one executor. */
+/** State of one executor in the ledger. */
 export type LedgerEntry =
 	| {readonly kind: 'serving'}
-	/** Lost without a plan, since a time in milliseconds. */
+	/** Unavailable without a plan, since a time in milliseconds. */
 	| {readonly kind: 'lost'; readonly since: number}
-	/** Held away by plan; the operation id tells whose take it is. */
+	/** Withdrawn by a plan; `operationId` identifies the withdrawal. */
 	| {
 			readonly kind: 'away';
 			readonly since: number;
@@ -30,19 +31,19 @@
 export type Ledger = {
 	readonly service: string;
 	readonly terms: CombinedTerms;
-	/** Every executor of the service, by id of the instance. */
+	/** All executors of the service, by instance id. */
 	readonly entries: Readonly<Record<string, LedgerEntry>>;
 };
 
-/** Ledgers by service, as read. */
+/** Ledger rows as read, by service. */
 export type Ledgers = ReadonlyMap<string, Versioned<Ledger>>;
 
 /** Names of the services that run on a pool, by pool. */
 export type ServicesByPool = ReadonlyMap<string, readonly string[]>;
 
 /**
- * Services in whose ledgers an instance stands. Workers serve no requests: no
- * contract counts them.
+ * Services whose ledgers include an instance. Workers serve no requests and are
+ * in no ledger.
  */
 export const listLedgerServices = (
 	{kind, pool}: Pick<Instance, 'kind' | 'pool'>,
@@ -50,18 +51,18 @@
 ): readonly string[] =>
 	kind === 'executor' ? (servicesByPool.get(pool) ?? []) : [];
 
-/** How a budget stands. */
+/** Usage of a budget, in executors. */
 export type BudgetUsage = {
 	readonly total: number;
 	readonly serving: number;
-	/** Held away by plan. */
+	/** Withdrawn by plans. */
 	readonly planned: number;
 	readonly lost: number;
-	/** Executors that may still be taken away now; 0 or more. */
+	/** Executors that may still be withdrawn now; 0 or more. */
 	readonly left: number;
 };
 
-/** Makes the ledger of a service whose executors all serve. */
+/** Creates the ledger of a service with all executors serving. */
 export const createLedger = (
 	service: string,
 	terms: CombinedTerms,
@@ -81,13 +82,13 @@
 	readonly lost: number;
 };
 
-/** Counts of ledgers that were counted; a ledger never changes in place. */
-const counted = new WeakMap<Ledger, Counts>();
+/** Cached counts; ledgers are immutable. */
+const countsByLedger = new WeakMap<Ledger, Counts>();
 
 const countEntries = (ledger: Ledger): Counts => {
-	const known = counted.get(ledger);
-	if (known) {
-		return known;
+	const cached = countsByLedger.get(ledger);
+	if (cached) {
+		return cached;
 	}
 
 	let total = 0;
@@ -100,13 +101,13 @@
 	}
 
 	const counts = {total, planned, lost};
-	counted.set(ledger, counts);
+	countsByLedger.set(ledger, counts);
 	return counts;
 };
 
 /**
- * Counts a ledger. Loss counts first: what is lost is taken off the budget
- * before any plan may use it.
+ * Counts the entries of a ledger. Lost executors reduce the budget that is
+ * available to plans.
  */
 export const getUsage = (ledger: Ledger, reserve = 0): BudgetUsage => {
 	const {total, planned, lost} = countEntries(ledger);
@@ -129,7 +130,7 @@
 	entries: {...ledger.entries, [instanceId]: entry},
 });
 
-/** Removes an executor that has left the service's pool. */
+/** Removes an executor that has left the pool of the service. */
 export const removeEntry = (ledger: Ledger, instanceId: string): Ledger => ({
 	...ledger,
 	entries: Object.fromEntries(
@@ -138,21 +139,21 @@
 });
 
 /**
- * The write that brings a ledger to new terms. A change of a contract commits
- * it in its own transaction, so that no take is judged by older terms.
+ * Write that changes the terms of a ledger. A contract change commits it in its
+ * own transaction, so that no withdrawal is checked against outdated terms.
  */
 export const createTermsPut = (
 	ledger: Versioned<Ledger>,
 	terms: CombinedTerms,
 ): RowPut<Ledger> => createLedgerPut({...ledger.value, terms}, ledger.version);
 
-/** The write of a changed ledger. */
+/** Write that updates a ledger. */
 export const createLedgerPut = (
 	ledger: Ledger,
 	version: number,
 ): RowPut<Ledger> =>
 	createRowPut(tables.ledgers, ledger.service, ledger, version);
 
-/** The write of a ledger that has no row yet. */
+/** Write that creates the row of a ledger. */
 export const createLedgerInsert = (ledger: Ledger): RowPut<Ledger> =>
 	createRowInsert(tables.ledgers, ledger.service, ledger);
--- a/packages/core/src/budget/lost-instances.ts
+++ b/packages/core/src/budget/lost-instances.ts
@@ -1,14 +1,14 @@
 /**
- * Unplanned loss. It is booked in each ledger by itself: a ledger is the
- * truth of one service, and loss needs no leave of another.
+ * Records unplanned loss of instances. Each ledger is updated on its own, since
+ * recording a loss needs no capacity from other services.
  */
 import type {Instance} from '../types/instance.js';
 import type {RowPut, Versioned} from './row-write.js';
 import {createLedgerPut, updateEntry, type Ledger} from './ledger.js';
 
 /**
- * Books instances as lost. Those already away by plan stay booked as away:
- * either way they count once. Returns nothing if nothing changes.
+ * Records serving instances as lost. Instances that are withdrawn stay so,
+ * since each counts once either way. Returns undefined if nothing changes.
  */
 export const markLost = (
 	ledger: Versioned<Ledger>,
@@ -28,9 +28,9 @@
 };
 
 /**
- * Books lost instances as serving again, once they have proved themselves. One
- * whose row does not serve stays lost: no entry routes to it yet, and it comes
- * back by `giveBack`.
+ * Records lost instances as serving again once they are healthy. An instance
+ * whose row is not `serving` stays lost: no entry routes to it yet, and
+ * `returnInstance` completes its return. Returns undefined if nothing changes.
  */
 export const markRecovered = (
 	ledger: Versioned<Ledger>,
@@ -49,8 +49,9 @@
 };
 
 /**
- * Turns a planned absence into a loss, for an instance that did not come
- * back in time: it still counts, but no longer as a take of the wave.
+ * Records a withdrawn instance that did not return in time as lost: it still
+ * counts, but no longer as part of its wave. Returns undefined if the instance
+ * is not away.
  */
 export const convertAwayToLost = (
 	ledger: Versioned<Ledger>,
--- a/packages/core/src/budget/move-ledgers.ts
+++ b/packages/core/src/budget/move-ledgers.ts
@@ -1,8 +1,9 @@
 /**
- * Ledgers of a move between pools. Its start books the instance away like a
- * take (`bookAway`, with `moveWave`); its end takes the instance out of the old
- * pool's ledgers and into the new one's, in the transaction of `commitMove`.
- * Source: spec/ledger.pml (move_counts, move_ledgers).
+ * Ledger changes of a move between pools. The start of a move withdraws the
+ * instance (`withdrawInLedgers` with `noWaveId`); its end removes the instance
+ * from the ledgers of the old pool and adds it to those of the new pool, in the
+ * transaction of `commitMove`. Source: spec/ledger.pml (move_counts,
+ * move_ledgers).
  */
 import type {Instance} from '../types/instance.js';
 import {fail, succeed, type Result} from '../types/result.js';
@@ -17,19 +18,22 @@
 } from './ledger.js';
 import type {RowPut} from './row-write.js';
 
-/** The wave that a move books its instance under: none. */
+/** Wave id of withdrawals that belong to no wave, such as those of moves. */
 export const noWaveId = '';
 
-/** A move that ends. */
+/** Input for the ledger changes at the end of a move. */
 export type MoveLedgersRequest = {
-	/** The row before the move ends, still in the old pool. */
+	/** Instance before the move ends, still in the old pool. */
 	readonly instance: Instance;
 	readonly to: string;
 	readonly ledgers: Ledgers;
 	readonly servicesByPool: ServicesByPool;
 };
 
-/** The ledgers of both pools once the instance serves in the new one. */
+/**
+ * Creates the writes to the ledgers of both pools. Fails if a ledger is
+ * missing.
+ */
 export const moveLedgers = ({
 	instance,
 	to,
@@ -39,19 +43,22 @@
 	ReadonlyArray<RowPut<Ledger>>,
 	{readonly kind: 'no-ledger'; readonly service: string}
 > => {
-	const before = listLedgerServices(instance, servicesByPool);
-	const after = listLedgerServices({...instance, pool: to}, servicesByPool);
+	const oldServices = listLedgerServices(instance, servicesByPool);
+	const newServices = listLedgerServices(
+		{...instance, pool: to},
+		servicesByPool,
+	);
 	const writes: Array<RowPut<Ledger>> = [];
-	for (const service of new Set([...before, ...after])) {
-		const read = ledgers.get(service);
-		if (!read) {
+	for (const service of new Set([...oldServices, ...newServices])) {
+		const ledgerRow = ledgers.get(service);
+		if (!ledgerRow) {
 			return fail({kind: 'no-ledger', service});
 		}
 
-		const changed = after.includes(service)
-			? updateEntry(read.value, instance.id, {kind: 'serving'})
-			: removeEntry(read.value, instance.id);
-		writes.push(createLedgerPut(changed, read.version));
+		const changed = newServices.includes(service)
+			? updateEntry(ledgerRow.value, instance.id, {kind: 'serving'})
+			: removeEntry(ledgerRow.value, instance.id);
+		writes.push(createLedgerPut(changed, ledgerRow.version));
 	}
 
 	return succeed(writes);
--- a/packages/core/src/budget/read-back.ts
+++ b/packages/core/src/budget/read-back.ts
@@ -1,41 +1,44 @@
-/** What became of a take whose reply was lost. */
+/** Determines the outcome of a withdrawal whose reply was lost. */
 import type {Instance} from '../types/instance.js';
 import type {Ledger} from './ledger.js';
 
-/** Whether a transaction has taken effect. */
+/** Outcome of a transaction. */
 export type OperationOutcome =
 	| 'committed'
-	/** Not yet: the same writes may be sent again, at most one commits. */
+	/**
+	 * Not committed yet. Sending the same writes again is safe: at most one
+	 * attempt commits.
+	 */
 	| 'not-committed'
-	/** Another writer has changed the row since: plan afresh. */
+	/** Another writer has changed the row: a new plan is needed. */
 	| 'superseded';
 
-/** An instance row that is read back after a lost reply. */
+/** An instance row that is read again after a lost reply. */
 export type ReadBack = {
-	/** Version that the writes were conditional on. */
+	/** Version on which the lost writes were conditional. */
 	readonly expectedVersion: number;
 	readonly version: number;
-	/** Id of the write that made the version read. */
+	/** Operation id of the write that produced `version`. */
 	readonly operationId: string;
 	readonly instance: Instance;
-	/** Ledgers of the services on its pool, read after the instance. */
+	/** Ledgers of the services on its pool, read after the instance row. */
 	readonly ledgers: readonly Ledger[];
 };
 
 /**
- * Tells what became of a take. The ledger's entry keeps the operation id for
- * as long as the instance is away, so a later write to the row does not hide
- * an earlier commit.
+ * Determines the outcome of a withdrawal. The ledger entry keeps the operation
+ * id while the instance is away, so a later write to the instance row does not
+ * hide an earlier commit.
  */
 export const getWithdrawalOutcome = (
 	readBack: ReadBack,
 	operationId: string,
 ): OperationOutcome => {
-	const isBooked = readBack.ledgers.some((ledger) => {
+	const isRecorded = readBack.ledgers.some((ledger) => {
 		const entry = ledger.entries[readBack.instance.id];
 		return entry?.kind === 'away' && entry.operationId === operationId;
 	});
-	if (isBooked || readBack.operationId === operationId) {
+	if (isRecorded || readBack.operationId === operationId) {
 		return 'committed';
 	}
 
--- a/packages/core/src/budget/reserve.ts
+++ b/packages/core/src/budget/reserve.ts
@@ -1,15 +1,15 @@
 /**
- * Reserve for the largest failure domain: with it a service keeps its terms
- * even if that domain is lost while the plan holds others away. Its price is
- * a longer wave; `bench wave` measures it.
+ * Reserve for the largest failure domain: the service keeps its contract terms
+ * even if that domain fails while a plan withdraws other instances. A larger
+ * reserve prolongs waves.
  */
 import {match} from 'ts-pattern';
 import type {Instance} from '../types/instance.js';
 
-/** Failure domain that a plan leaves room for. */
+/** Failure domain whose loss a plan must tolerate. */
 export const reserveKinds = ['none', 'rack', 'availability-zone'] as const;
 
-/** Failure domain that a plan leaves room for. */
+/** Failure domain whose loss a plan must tolerate. */
 export type ReserveKind = (typeof reserveKinds)[number];
 
 const getDomain = (instance: Instance, kind: ReserveKind): string =>
@@ -19,7 +19,9 @@
 		.with('availability-zone', () => instance.availabilityZone)
 		.exhaustive();
 
-/** Executors in the largest domain of the kind: the number kept in reserve. */
+/**
+ * Returns the number of executors in the largest failure domain of the kind.
+ */
 export const getReserve = (
 	instances: Iterable<Instance>,
 	kind: ReserveKind,
--- a/packages/core/src/budget/return-instance.ts
+++ b/packages/core/src/budget/return-instance.ts
@@ -1,6 +1,6 @@
 /**
- * Gives an instance back to the budgets that it was taken from: only after
- * the lagging list shows a new life of it as live and it has proved itself.
+ * Returns a withdrawn instance to service and to its budgets, once the instance
+ * list shows it as live with a new incarnation and its probes pass.
  */
 import type {Instance} from '../types/instance.js';
 import {fail, succeed, type Result} from '../types/result.js';
@@ -15,31 +15,32 @@
 import {createTransitionPut, type BudgetChange} from './withdraw-instances.js';
 import type {RowPut, Versioned} from './row-write.js';
 
-/** What is known of an instance that comes back. */
+/** Observations of an instance that is about to return. */
 export type ReturnEvidence = {
 	readonly listed: 'live' | 'leaving' | 'absent';
 	/**
-	 * Life that was listed when the instance was taken. Empty if unknown: then
-	 * no life that is listed proves a restart, for the list lags.
+	 * Incarnation that was listed when the instance was withdrawn. Empty if
+	 * unknown: then no listed incarnation proves a restart, since the list is
+	 * eventually consistent.
 	 */
 	readonly incarnationBefore: string;
-	/** Life that is listed now; empty if it is not listed. */
+	/** Incarnation that is listed now; empty if the instance is not listed. */
 	readonly incarnation: string;
-	/** Probes (executor) or probe tasks (worker) passed in a row. */
+	/** Consecutive successful probes (executor) or probe tasks (worker). */
 	readonly probesPassed: number;
 };
 
-/** What an instance must show before it is given back. */
+/** Evidence that an instance must show before it returns. */
 export type ReturnSettings = {
 	readonly probesNeeded: number;
-	/** False if the maintenance does not restart the instance. */
+	/** Whether the maintenance restarts the instance. */
 	readonly restarts: boolean;
 };
 
-/** Defaults of `ReturnSettings`. */
+/** Default evidence that an instance must show. */
 export const returnDefaults: ReturnSettings = {probesNeeded: 3, restarts: true};
 
-/** Why an instance is not given back yet. */
+/** Why an instance may not return yet. */
 export type ReturnRefusal = {
 	readonly kind:
 		| 'not-listed'
@@ -50,7 +51,7 @@
 	readonly instance: string;
 };
 
-/** What is missing before the instance may be given back, if anything. */
+/** Returns the first condition that the evidence does not meet, if any. */
 export const findReturnBlocker = (
 	evidence: ReturnEvidence,
 	settings: ReturnSettings,
@@ -60,9 +61,9 @@
 	}
 
 	const {incarnation, incarnationBefore} = evidence;
-	const isSameLife =
+	const isSameIncarnation =
 		incarnationBefore === '' || incarnation === incarnationBefore;
-	if (settings.restarts && isSameLife) {
+	if (settings.restarts && isSameIncarnation) {
 		return 'not-restarted';
 	}
 
@@ -71,7 +72,7 @@
 		: undefined;
 };
 
-/** What is read to give one instance back. */
+/** Input for the return of one instance, as read from the store. */
 export type ReturnRequest = {
 	readonly operationId: string;
 	readonly instance: Versioned<Instance>;
@@ -81,15 +82,19 @@
 	readonly settings: ReturnSettings;
 };
 
-/** Returns the instance row to `serving` and frees its ledgers, as one. */
+/**
+ * Returns the instance row to `serving` and its ledger entries to serving, in
+ * one transaction. Fails if evidence is missing, the instance is not
+ * `returning`, or a ledger is missing.
+ */
 export const returnInstance = (
 	request: ReturnRequest,
 ): Result<BudgetChange, ReturnRefusal> => {
 	const {instance, ledgers, evidence, settings, operationId} = request;
 	const {id} = instance.value;
-	const missing = findReturnBlocker(evidence, settings);
-	if (missing) {
-		return fail({kind: missing, instance: id});
+	const blocker = findReturnBlocker(evidence, settings);
+	if (blocker) {
+		return fail({kind: blocker, instance: id});
 	}
 
 	const write = createTransitionPut(instance, 'finishReturn');
@@ -100,13 +105,13 @@
 	const writes: Array<RowPut<Instance | Ledger>> = [write];
 	const services = listLedgerServices(instance.value, request.servicesByPool);
 	for (const service of services) {
-		const read = ledgers.get(service);
-		if (!read) {
+		const ledgerRow = ledgers.get(service);
+		if (!ledgerRow) {
 			return fail({kind: 'no-ledger', instance: id});
 		}
 
-		const ledger = updateEntry(read.value, id, {kind: 'serving'});
-		writes.push(createLedgerPut(ledger, read.version));
+		const ledger = updateEntry(ledgerRow.value, id, {kind: 'serving'});
+		writes.push(createLedgerPut(ledger, ledgerRow.version));
 	}
 
 	return succeed({operationId, writes});
--- a/packages/core/src/budget/row-write.ts
+++ b/packages/core/src/budget/row-write.ts
@@ -1,7 +1,7 @@
 /**
- * Conditional writes as data: what a decision asks the table service to
- * commit. The shape is that of the platform's port, so that a daemon passes
- * the list on as it is.
+ * Conditional writes as data, to be committed by the table service. They have
+ * the shape of the table service port, so that the daemon can pass them on
+ * unchanged.
  */
 
 import type {ReadRow} from '../instances/move.js';
@@ -10,10 +10,10 @@
 /** A value and the version of its row when it was read. */
 export type Versioned<Value> = ReadRow<Value>;
 
-/** Puts a whole row if its precondition holds. */
+/** Write that replaces a whole row if its precondition holds. */
 export type RowPut<Value> = Extract<StoreWrite<Value>, {kind: 'put'}>;
 
-/** Tables that the decisions of this folder and of `waves` write. */
+/** Tables that the functions of `budget` and `waves` write. */
 export const tables = {
 	instances: 'instance',
 	ledgers: 'ledger',
@@ -21,7 +21,7 @@
 	waveDomains: 'wave-domain',
 } as const;
 
-/** Asks for a row to be replaced if it is still as it was read. */
+/** Creates a write that replaces a row if it is still at `version`. */
 export const createRowPut = <Value>(
 	table: string,
 	key: string,
@@ -35,7 +35,7 @@
 	when: {kind: 'version', version},
 });
 
-/** Asks for a row to be created if there is none. */
+/** Creates a write that inserts a row if none exists. */
 export const createRowInsert = <Value>(
 	table: string,
 	key: string,
--- a/packages/core/src/budget/terms.ts
+++ b/packages/core/src/budget/terms.ts
@@ -1,20 +1,25 @@
-/** The terms of all contracts that name one service, combined. */
+/** Combined terms of all contracts that name one service. */
 import {getServicePromise} from '../contracts/service-promise.js';
 import type {Contract} from '../types/contract.js';
 
-/** The strictest terms over all contracts, each with the customer it is from. */
+/**
+ * The strictest terms of all contracts, each with the customer that requires
+ * it.
+ */
 export type CombinedTerms = {
-	/** Executors that stay serving, at least. */
+	/** Minimum number of serving executors. */
 	readonly keepExecutors: number;
-	/** Customer whose contract asks for `keepExecutors`; empty if none does. */
+	/** Customer whose contract requires `keepExecutors`; empty if none does. */
 	readonly keepExecutorsFor: string;
-	/** Executors that planned maintenance may hold away at once, at most. */
+	/**
+	 * Maximum number of executors that planned maintenance may hold away at once.
+	 */
 	readonly maxAway: number;
-	/** Customer whose contract asks for `maxAway`; empty if none does. */
+	/** Customer whose contract requires `maxAway`; empty if none does. */
 	readonly maxAwayFor: string;
 };
 
-/** Terms of a service that no contract names: nothing is promised. */
+/** Terms of a service that no contract names: no limits. */
 export const noTerms: CombinedTerms = {
 	keepExecutors: 0,
 	keepExecutorsFor: '',
--- a/packages/core/src/budget/withdraw-instances.ts
+++ b/packages/core/src/budget/withdraw-instances.ts
@@ -1,7 +1,8 @@
 /**
- * Takes instances away within every budget that they touch: one transaction
- * of the instance rows and all their ledgers. Each write is conditional on
- * the version read, so of planners that race at most one commits.
+ * Withdraws instances from service within every affected budget, in one
+ * transaction of the instance rows and all their ledgers. Each write is
+ * conditional on the version read, so at most one of several concurrent
+ * planners commits.
  */
 import {applyTransition, type Transition} from '../instances/transition.js';
 import type {Instance} from '../types/instance.js';
@@ -22,7 +23,7 @@
 	type Versioned,
 } from './row-write.js';
 
-/** Why instances may not be taken away now. */
+/** Why instances may not be withdrawn now. */
 export type BudgetRefusal =
 	| {
 			readonly kind: 'max-away';
@@ -43,9 +44,12 @@
 	| {readonly kind: 'not-serving'; readonly instance: string}
 	| {readonly kind: 'no-ledger'; readonly service: string};
 
-/** What is asked to be taken away, with all that was read for it. */
+/** A withdrawal of instances, with all rows that it needs. */
 export type WithdrawalRequest = {
-	/** Kept in the rows; after a lost reply it tells whether this committed. */
+	/**
+	 * Stored in the rows; determines after a lost reply whether the withdrawal
+	 * committed.
+	 */
 	readonly operationId: string;
 	readonly wave: string;
 	readonly instances: ReadonlyArray<Versioned<Instance>>;
@@ -55,13 +59,16 @@
 	readonly reserves?: ReadonlyMap<string, number>;
 };
 
-/** A change of instances and ledgers, to be committed as one transaction. */
+/** Writes to instances and ledgers, to be committed as one transaction. */
 export type BudgetChange = {
 	readonly operationId: string;
 	readonly writes: ReadonlyArray<RowPut<Instance | Ledger>>;
 };
 
-/** The write of an instance's next state, if the transition is allowed. */
+/**
+ * Write of an instance after a transition; undefined if its state does not
+ * allow the transition.
+ */
 export const createTransitionPut = (
 	{value, version}: Versioned<Instance>,
 	transition: Transition,
@@ -72,7 +79,7 @@
 		: undefined;
 };
 
-/** Names the term that refuses one more take, if one does. */
+/** Returns the contract term that refuses one more withdrawal, if any. */
 export const getRefusal = (
 	ledger: Ledger,
 	reserve: number,
@@ -99,8 +106,8 @@
 	return undefined;
 };
 
-/** Marks one instance away in one ledger, if the budget allows it. */
-const takeFromLedger = (
+/** Records one instance as away in one ledger if the budget allows it. */
+const withdrawInLedger = (
 	ledger: Ledger,
 	instanceId: string,
 	{operationId, wave, reserves}: WithdrawalRequest,
@@ -124,8 +131,9 @@
 };
 
 /**
- * Books the instances as away in the ledger of every service on their pools;
- * the ledgers alone, for a caller that writes the instances itself.
+ * Records the instances as away in the ledger of every service on their pools.
+ * Returns only the ledger writes, for callers that write the instances
+ * themselves.
  */
 export const withdrawInLedgers = (
 	request: WithdrawalRequest,
@@ -134,18 +142,18 @@
 	const changed = new Map<string, Ledger>();
 	for (const {value} of request.instances) {
 		for (const service of listLedgerServices(value, request.servicesByPool)) {
-			const read = request.ledgers.get(service);
-			if (!read) {
+			const ledgerRow = request.ledgers.get(service);
+			if (!ledgerRow) {
 				return fail({kind: 'no-ledger', service});
 			}
 
-			const ledger = changed.get(service) ?? read.value;
-			const taken = takeFromLedger(ledger, value.id, request, now);
-			if (!taken.ok) {
-				return taken;
+			const ledger = changed.get(service) ?? ledgerRow.value;
+			const withdrawn = withdrawInLedger(ledger, value.id, request, now);
+			if (!withdrawn.ok) {
+				return withdrawn;
 			}
 
-			changed.set(service, taken.value);
+			changed.set(service, withdrawn.value);
 		}
 	}
 
@@ -157,8 +165,8 @@
 };
 
 /**
- * Takes all instances of the request away, or none: each becomes `draining`
- * and is booked in the ledger of every service on its pool.
+ * Withdraws all instances of the request or none: each becomes `draining` and
+ * is recorded as away in the ledger of every service on its pool.
  */
 export const withdrawInstances = (
 	request: WithdrawalRequest,
@@ -174,11 +182,11 @@
 		writes.push(write);
 	}
 
-	const booked = withdrawInLedgers(request, now);
-	return booked.ok
+	const ledgerWrites = withdrawInLedgers(request, now);
+	return ledgerWrites.ok
 		? succeed({
 				operationId: request.operationId,
-				writes: [...writes, ...booked.value],
+				writes: [...writes, ...ledgerWrites.value],
 			})
-		: booked;
+		: ledgerWrites;
 };
--- a/packages/core/src/waves/step.ts
+++ b/packages/core/src/waves/step.ts
@@ -1,7 +1,7 @@
 /**
- * One step of a wave: looks at a bounded number of racks and returns what to
- * do. Calling it again after the actions are done goes on with the rest, so
- * no step holds the event loop however large the fleet is.
+ * One step of a wave: examines a bounded number of racks and returns the
+ * actions to take. The next call continues with the remaining racks, so the
+ * work per call does not grow with the fleet.
  */
 import {findReturnBlocker} from '../budget/return-instance.js';
 import type {WaveAction} from './action.js';
@@ -12,7 +12,7 @@
 import type {Member, Progress} from './progress.js';
 import {pickTarget} from './targets.js';
 
-const canBegin = ({progress, now}: WaveContext): boolean =>
+const mayEvacuate = ({progress, now}: WaveContext): boolean =>
 	progress.wave.state === 'running' && now < progress.wave.deadline;
 
 const getMoves = (
@@ -43,8 +43,12 @@
 		}));
 };
 
-/** Evacuating members of a rack that must give way, and why. */
-const getInterrupted = (
+/**
+ * Action for evacuating members whose evacuation must stop: skip after the
+ * deadline, release if the wave is not running or the instance no longer
+ * serves.
+ */
+const getInterruption = (
 	{progress, facts, now}: WaveContext,
 	domain: string,
 	evacuating: readonly Member[],
@@ -70,8 +74,11 @@
 		: undefined;
 };
 
-/** Takes what is empty: the whole part, or what the budgets allow of it. */
-const getTake = (
+/**
+ * Withdraws empty members: all that evacuate, or with `prefer-whole` as many as
+ * the budgets allow.
+ */
+const getWithdrawal = (
 	{progress, facts}: WaveContext,
 	domain: string,
 	evacuating: readonly Member[],
@@ -82,16 +89,16 @@
 	const allowance = createAllowance(progress, facts, false);
 	const allowed = empty.filter(({pool}) => allowance.tryReserve(pool));
 	const isWhole = allowed.length === evacuating.length;
-	const isPartWanted = progress.wave.settings.domains === 'prefer-whole';
-	if (allowed.length === 0 || (!isWhole && !isPartWanted)) {
+	const mayBePartial = progress.wave.settings.domains === 'prefer-whole';
+	if (allowed.length === 0 || (!isWhole && !mayBePartial)) {
 		return undefined;
 	}
 
 	return {kind: 'take', domain, instances: allowed.map(({id}) => id)};
 };
 
-/** What one taken member needs next, by the state of its row. */
-const getTakenAction = (
+/** Next action for one withdrawn member, by the state of its instance row. */
+const getWithdrawnAction = (
 	{progress, facts, now}: WaveContext,
 	{id, phase}: Member,
 ): WaveAction | undefined => {
@@ -101,8 +108,8 @@
 	}
 
 	const {returns, returnWithinMs} = progress.wave.settings;
-	const missing = findReturnBlocker(instance.evidence, returns);
-	if (instance.state === 'returning' && missing === undefined) {
+	const blocker = findReturnBlocker(instance.evidence, returns);
+	if (instance.state === 'returning' && blocker === undefined) {
 		return {kind: 'give-back', instance: id};
 	}
 
@@ -110,8 +117,8 @@
 		return instance.isDrained ? {kind: 'stop', instance: id} : undefined;
 	}
 
-	const isBack = missing === undefined || missing === 'not-proved';
-	if (instance.state === 'away' && isBack) {
+	const hasReturned = blocker === undefined || blocker === 'not-proved';
+	if (instance.state === 'away' && hasReturned) {
 		return {kind: 'return', instance: id};
 	}
 
@@ -120,8 +127,11 @@
 		: undefined;
 };
 
-/** Members that the deadline finds lost: the wave ends without them. */
-const getLate = (
+/**
+ * Skips members that are lost when the deadline passes, so that the wave can
+ * finish.
+ */
+const getLostSkip = (
 	{progress, now}: WaveContext,
 	domain: string,
 	members: readonly Member[],
@@ -134,18 +144,18 @@
 		: undefined;
 };
 
-/** Everything that one active rack needs now. */
+/** All actions that one active rack needs now. */
 const getDomainActions = (
 	context: WaveContext,
 	domain: string,
 ): readonly WaveAction[] => {
 	const members = context.progress.domains.get(domain) ?? [];
 	const actions = members
-		.map((member) => getTakenAction(context, member))
+		.map((member) => getWithdrawnAction(context, member))
 		.filter((action) => action !== undefined);
-	const late = getLate(context, domain, members);
-	if (late) {
-		return [...actions, late];
+	const lostSkip = getLostSkip(context, domain, members);
+	if (lostSkip) {
+		return [...actions, lostSkip];
 	}
 
 	const evacuating = members.filter(({phase}) => phase.kind === 'evacuating');
@@ -153,18 +163,20 @@
 		return actions;
 	}
 
-	const interrupted = getInterrupted(context, domain, evacuating);
-	if (interrupted) {
-		return [...actions, interrupted];
+	const interruption = getInterruption(context, domain, evacuating);
+	if (interruption) {
+		return [...actions, interruption];
 	}
 
 	const moves = evacuating.flatMap((member) => getMoves(context, member));
-	const take = getTake(context, domain, evacuating);
-	return take ? [...actions, ...moves, take] : [...actions, ...moves];
+	const withdrawal = getWithdrawal(context, domain, evacuating);
+	return withdrawal
+		? [...actions, ...moves, withdrawal]
+		: [...actions, ...moves];
 };
 
-/** Looks at up to `maxDomains` active racks, in turn. */
-const visitActive = (
+/** Collects the actions of up to `maxDomains` active racks, round robin. */
+const getActiveActions = (
 	context: WaveContext,
 	maxDomains: number,
 ): readonly WaveAction[] => {
@@ -185,8 +197,11 @@
 	counts.evacuating + counts.taken < wave.settings.maxInstances &&
 	activeDomains.size < wave.settings.maxDomains;
 
-/** Begins the next rack, or leaves one out after the deadline. */
-const getNext = (
+/**
+ * Starts the evacuation of the next rack; after the deadline, skips the pending
+ * members of one rack.
+ */
+const getNextAction = (
 	context: WaveContext,
 	window: number,
 ): WaveAction | undefined => {
@@ -200,32 +215,32 @@
 		return {kind: 'skip', domain: first, instances, reason: 'deadline'};
 	}
 
-	if (!canBegin(context) || !hasRoomForMore(progress)) {
+	if (!mayEvacuate(context) || !hasRoomForMore(progress)) {
 		return undefined;
 	}
 
 	const choice = chooseDomain(context, window);
-	const room = wave.settings.maxInstances - counts.evacuating - counts.taken;
+	const limit = wave.settings.maxInstances - counts.evacuating - counts.taken;
 	return choice
 		? {
 				kind: 'evacuate',
 				domain: choice.domain,
-				instances: choice.instances.slice(0, room),
+				instances: choice.instances.slice(0, limit),
 			}
 		: undefined;
 };
 
 /**
- * Decides what comes next. `maxWork` bounds the racks looked at: active ones
- * first, then candidates.
+ * Decides the next actions of a wave. `maxWork` bounds the racks examined:
+ * active racks first, then candidates.
  */
 export const stepWave = (
 	context: WaveContext,
 	maxWork: number,
 ): readonly WaveAction[] => {
 	const {pendingDomains, activeDomains, wave} = context.progress;
-	const actions = [...visitActive(context, maxWork)];
-	const next = getNext(context, Math.min(wave.settings.window, maxWork));
+	const actions = [...getActiveActions(context, maxWork)];
+	const next = getNextAction(context, Math.min(wave.settings.window, maxWork));
 	if (next) {
 		actions.push(next);
 	}
--- a/packages/core/src/waves/targets.ts
+++ b/packages/core/src/waves/targets.ts
@@ -1,24 +1,25 @@
 /**
- * Where jobs go during a wave: to instances that are done. So a job that has moved is on a worker that this wave leaves alone,
- * and moves at most once a wave unless that worker fails.
+ * Targets for jobs that leave evacuating workers: only maintained workers. A
+ * moved job is not disturbed again by the same wave, so it moves at most once
+ * unless its worker fails.
  */
 import {isLostInLedger} from './allowance.js';
 import type {WaveContext} from './context.js';
 import type {InstanceFacts, RunningJob, WaveFacts} from './facts.js';
 import type {Progress} from './progress.js';
 
-/** How good a place an instance is for a new job while the wave runs. */
+/** Suitability of an instance for a new job while the wave runs. */
 export type PlacementAdvice =
-	/** Done, or not in the wave. */
+	/** Maintained, or not part of the wave. */
 	| 'good'
-	/** Its turn is still to come. */
+	/** Not yet evacuated by the wave. */
 	| 'later'
-	/** Being emptied, or away. */
+	/** Evacuating or withdrawn. */
 	| 'never';
 
 /**
- * Advice for the placement of jobs. One that has moved in this wave goes only
- * where it will not have to move again.
+ * Returns placement advice for an instance. A job that this wave has moved is
+ * placed only where the wave will not move it again.
  */
 export const getPlacementAdvice = (
 	progress: Progress,
@@ -39,17 +40,17 @@
 	return hasMoved ? 'never' : 'later';
 };
 
-const noRoom = {cores: 0, memoryMb: 0} as const;
+const noResources = {cores: 0, memoryMb: 0} as const;
 
 const hasRoom = (
 	progress: Progress,
 	facts: InstanceFacts,
 	job: RunningJob,
 ): boolean => {
-	const promised = progress.reservedByWorker.get(facts.id) ?? noRoom;
+	const reserved = progress.reservedByWorker.get(facts.id) ?? noResources;
 	return (
-		facts.coresFree - promised.cores >= job.cores &&
-		facts.memoryMbFree - promised.memoryMb >= job.memoryMb
+		facts.coresFree - reserved.cores >= job.cores &&
+		facts.memoryMbFree - reserved.memoryMb >= job.memoryMb
 	);
 };
 
@@ -59,7 +60,10 @@
 ): candidate is InstanceFacts =>
 	candidate?.state === 'serving' && !isLostInLedger(candidate, facts);
 
-/** The fullest done worker of the job's pool that has room; or none. */
+/**
+ * Returns the maintained worker of the pool with the fewest free cores that has
+ * room for the job, or undefined.
+ */
 export const pickTarget = (
 	{progress, facts}: WaveContext,
 	pool: string,
--- a/packages/core/src/waves/waits.ts
+++ b/packages/core/src/waves/waits.ts
@@ -1,4 +1,7 @@
-/** Why a wave waits, for operators. Source: docs/operators/when-a-wave-waits.md. */
+/**
+ * Reports to operators what a wave waits for. Source:
+ * docs/operators/when-a-wave-waits.md.
+ */
 import {findReturnBlocker} from '../budget/return-instance.js';
 import {getRefusal, type BudgetRefusal} from '../budget/withdraw-instances.js';
 import type {WaveContext} from './context.js';
@@ -8,19 +11,22 @@
 /** One thing that a wave waits for. */
 export type WaveWait =
 	| {readonly kind: 'paused'}
-	/** A budget has nothing left; the refusal names the contract. */
+	/** A budget is exhausted; the refusal names the contract term. */
 	| {
 			readonly kind: 'budget';
 			readonly pool: string;
 			readonly refusal: BudgetRefusal;
 	  }
-	/** Budgets allow more, but emptying costs more than the delay so far. */
+	/**
+	 * The budgets allow more, but evacuation still costs more than the delay so
+	 * far.
+	 */
 	| {
 			readonly kind: 'put-off';
 			readonly pool: string;
 			readonly instances: number;
 	  }
-	/** The job that is expected to hold the instance longest. */
+	/** The job on the instance with the longest expected remaining time. */
 	| {
 			readonly kind: 'job';
 			readonly instance: string;
@@ -28,7 +34,10 @@
 			readonly remainingMs: number;
 			readonly isMovable: boolean;
 	  }
-	/** Entries that have not let go; the daemon's status names them. */
+	/**
+	 * Entries that have not acknowledged the drain; the daemon adds their names
+	 * to the status.
+	 */
 	| {
 			readonly kind: 'drain';
 			readonly instance: string;
@@ -42,7 +51,7 @@
 	| {readonly kind: 'proof'; readonly instance: string}
 	| {readonly kind: 'lost'; readonly instance: string};
 
-const getLongest = (jobs: readonly RunningJob[]): RunningJob | undefined => {
+const findLongest = (jobs: readonly RunningJob[]): RunningJob | undefined => {
 	let longest: RunningJob | undefined;
 	for (const job of jobs) {
 		if (longest === undefined || job.remainingMs > longest.remainingMs) {
@@ -53,18 +62,18 @@
 	return longest;
 };
 
-/** What one active instance waits for. */
+/** Returns what one active instance waits for. */
 const getMemberWait = (
 	{progress, facts, now}: WaveContext,
 	{id: instance, phase}: Member,
 ): WaveWait | undefined => {
-	const seen = facts.instances.get(instance);
-	if (seen === undefined) {
+	const instanceFacts = facts.instances.get(instance);
+	if (instanceFacts === undefined) {
 		return undefined;
 	}
 
 	if (phase.kind === 'evacuating') {
-		const job = getLongest(seen.jobs);
+		const job = findLongest(instanceFacts.jobs);
 		return (
 			job && {
 				kind: 'job',
@@ -85,17 +94,17 @@
 	}
 
 	const sinceMs = now - phase.since;
-	if (seen.state === 'draining') {
+	if (instanceFacts.state === 'draining') {
 		return {kind: 'drain', instance, sinceMs};
 	}
 
 	const {returns} = progress.wave.settings;
-	return findReturnBlocker(seen.evidence, returns) === 'not-proved'
+	return findReturnBlocker(instanceFacts.evidence, returns) === 'not-proved'
 		? {kind: 'proof', instance}
 		: {kind: 'restart', instance, sinceMs};
 };
 
-/** Why no more of a pool is begun. */
+/** Returns why no further instance of a pool evacuates. */
 const getPoolWait = (
 	{progress, facts}: WaveContext,
 	pool: string,
@@ -110,11 +119,11 @@
 		}
 	}
 
-	const claimed = services.some(
+	const isClaimed = services.some(
 		(service) => (progress.claims.get(service) ?? 0) > 0,
 	);
 	const instances = progress.remainingByPool.get(pool) ?? 0;
-	return claimed ? undefined : {kind: 'put-off', pool, instances};
+	return isClaimed ? undefined : {kind: 'put-off', pool, instances};
 };
 
 const getPendingPools = ({progress}: WaveContext): ReadonlySet<string> => {
@@ -130,7 +139,10 @@
 	return pools;
 };
 
-/** Lists what the wave waits for: instances at work first, then pools. */
+/**
+ * Lists what the wave waits for, at most `limit` items: active instances first,
+ * then pools.
+ */
 export const listWaits = (
 	context: WaveContext,
 	limit: number,
--- a/packages/core/src/waves/wave.ts
+++ b/packages/core/src/waves/wave.ts
@@ -1,6 +1,6 @@
 /**
  * A maintenance wave: its state machine and its rows. One header row and one
- * row a rack hold all that another daemon needs to go on.
+ * row per rack hold the complete state, so any daemon can continue a wave.
  */
 import {match} from 'ts-pattern';
 import {
@@ -14,7 +14,7 @@
 import {fail, succeed, type Result} from '../types/result.js';
 import type {WaveSettings} from './settings.js';
 
-/** Life of a wave. */
+/** States of a wave. */
 export const waveStates = [
 	'planned',
 	'running',
@@ -26,13 +26,13 @@
 /** State of a wave. */
 export type WaveState = (typeof waveStates)[number];
 
-/** What an operator, or the end of the work, does to a wave. */
+/** Commands to a wave, from an operator or on completion of its work. */
 export type WaveCommand = 'start' | 'pause' | 'resume' | 'cancel' | 'finish';
 
 /** The header row of a wave. Times are in milliseconds. */
 export type Wave = {
 	readonly id: string;
-	/** Beginning of the keys of its racks' rows; unique to this wave. */
+	/** Prefix of the keys of its racks' rows; unique to this wave. */
 	readonly rows: string;
 	readonly author: string;
 	readonly state: WaveState;
@@ -42,31 +42,36 @@
 	readonly createdAt: number;
 	readonly startedAt: number | undefined;
 	readonly endedAt: number | undefined;
-	/** Jobs are waited for until then; what is left is skipped. */
+	/**
+	 * Time until which instances are evacuated; the remaining ones are skipped.
+	 */
 	readonly deadline: number;
-	/** Racks of the wave; as many rows exist. */
+	/** Number of racks, each with one row. */
 	readonly domains: number;
 	readonly instances: number;
 };
 
-/** Why an instance was left out. */
+/** Why an instance was skipped. */
 export type SkipReason = 'deadline' | 'did-not-return' | 'left-pool';
 
-/** How far one instance has come. The instance row tells the rest. */
+/** Progress of one instance. Its instance row holds further details. */
 export type MemberPhase =
 	| {readonly kind: 'pending'}
-	/** No new jobs; those it has run out or move. It still serves. */
+	/** Accepts no new jobs; its running jobs finish or move. It still serves. */
 	| {readonly kind: 'evacuating'; readonly since: number}
-	/** Booked in the ledgers; draining, away or returning. */
+	/** Withdrawn in the ledgers; the instance is draining, away or returning. */
 	| {
 			readonly kind: 'taken';
 			readonly since: number;
 			readonly operationId: string;
-			/** Revision of the view that made it drain. */
+			/** Revision of the view in which the instance is draining. */
 			readonly drainRevision: number;
-			/** Life that was listed at the take, to see the restart. */
+			/** Incarnation that was listed at the withdrawal; tells a restart. */
 			readonly incarnation: string;
-			/** It did not come back in time: its ledgers hold it as lost. */
+			/**
+			 * Whether the instance did not return in time and its ledgers record it
+			 * as lost.
+			 */
 			readonly isLost: boolean;
 	  }
 	| {readonly kind: 'done'; readonly at: number}
@@ -105,7 +110,7 @@
 	finish: 'done',
 } as const satisfies Record<WaveCommand, WaveState>;
 
-/** Applies a command. Instances already away come back in every state. */
+/** Applies a command. Withdrawn instances still return in every state. */
 export const applyWaveCommand = (
 	wave: Wave,
 	command: WaveCommand,
@@ -128,16 +133,16 @@
 export const getFailureDomain = ({availabilityZone, rack}: Instance): string =>
 	`${availabilityZone}/${rack}`;
 
-/** Groups the instances of a wave's pools into rows, one a rack. */
+/** Creates the rows of a wave: the instances of its pools grouped by rack. */
 export const createDomainRows = (
 	wave: string,
 	pools: readonly string[],
 	instances: Iterable<Instance>,
 ): readonly WaveDomain[] => {
-	const wanted = new Set(pools);
+	const included = new Set(pools);
 	const byDomain = new Map<string, Record<string, MemberPhase>>();
 	for (const instance of instances) {
-		if (wanted.has(instance.pool)) {
+		if (included.has(instance.pool)) {
 			const domain = getFailureDomain(instance);
 			const members = byDomain.get(domain) ?? {};
 			members[instance.id] = {kind: 'pending'};
@@ -148,19 +153,19 @@
 	return [...byDomain].map(([domain, members]) => ({wave, domain, members}));
 };
 
-/** The key of a rack's row. */
+/** Key of the row of a rack. */
 export const getDomainRowKey = (wave: string, domain: string): string =>
 	`${wave}/${domain}`;
 
-/** The write that creates a wave; its racks' rows are written before it. */
+/** Write that creates a wave. The rows of its racks must be committed first. */
 export const createWaveInsert = (wave: Wave): RowPut<Wave> =>
 	createRowInsert(tables.waves, wave.id, wave);
 
-/** The write of a changed header. */
+/** Write that updates the header row. */
 export const createWavePut = (wave: Wave, version: number): RowPut<Wave> =>
 	createRowPut(tables.waves, wave.id, wave, version);
 
-/** The write that creates the row of a rack. */
+/** Write that creates the row of a rack. */
 export const createDomainInsert = (row: WaveDomain): RowPut<WaveDomain> =>
 	createRowInsert(
 		tables.waveDomains,
@@ -168,7 +173,7 @@
 		row,
 	);
 
-/** The write that moves instances of one rack to new phases. */
+/** Write that updates the phases of instances of one rack. */
 export const createPhasesPut = (
 	{value, version}: Versioned<WaveDomain>,
 	phases: Readonly<Record<string, MemberPhase>>,
