--- a/packages/core/src/instances/move.ts
+++ b/packages/core/src/instances/move.ts
@@ -1,8 +1,8 @@
 /**
- * Moves of instances between pools: drain, acknowledged by every registered
- * entry, then compare-and-set to the new pool. Each step is decided from the
- * rows alone, so any daemon finishes what another began, and a reply that was
- * lost is answered by reading the rows again.
+ * Moves instances between pools: drain, wait until every registered entry has
+ * acknowledged it, then compare-and-set to the new pool. Each step is decided
+ * from the rows alone, so any daemon can finish a move that another began and
+ * recover from a lost reply by reading the rows again.
  */
 import type {Instance} from '../types/instance.js';
 import {fail, succeed, type Result} from '../types/result.js';
@@ -21,14 +21,14 @@
 import type {Registration} from '../membership/registration.js';
 import {applyTransition, type Transition} from './transition.js';
 
-/** A move that is under way; one row an instance. */
+/** A move in progress; one row per instance. */
 export type Move = {
 	readonly instance: string;
 	readonly from: string;
 	readonly to: string;
-	/** Epoch of the instance since the last step of this move. */
+	/** Epoch of the instance after the last step of this move. */
 	readonly epoch: number;
-	/** Revision that made the instance `draining`. */
+	/** Revision in which the instance became `draining`. */
 	readonly drainRevision: number;
 	readonly author: string;
 };
@@ -36,29 +36,32 @@
 /** A row and the version at which it was read. */
 export type ReadRow<Value> = {readonly value: Value; readonly version: number};
 
-/** One step, committed as a whole with the next revision of the view. */
+/**
+ * One step of a move, committed in one transaction with the next revision of
+ * the view.
+ */
 export type MoveCommit = {
 	readonly kind: 'commit';
 	readonly transition: Transition;
 	readonly instance: Instance;
-	/** Version at which the instance row must still be. */
+	/** Version that the instance row must still have. */
 	readonly instanceVersion: number;
 	/** The move row after the step; `undefined` deletes it. */
 	readonly move: Move | undefined;
 	readonly movePrecondition: StorePrecondition;
-	/** What else must still hold. */
+	/** Further preconditions of the commit. */
 	readonly conditions: readonly StoreCheck[];
 };
 
-/** What to do next for a move. */
+/** Next step of a move. */
 export type MoveStep =
 	| MoveCommit
 	| {readonly kind: 'wait'; readonly pendingEntries: readonly Lag[]}
-	/** The object store's snapshot does not show the drain yet. */
+	/** The snapshot in the object store does not include the drain yet. */
 	| {readonly kind: 'wait-for-snapshot'}
-	/** An entry may just have started from an older snapshot. */
+	/** An entry may have just started from an older snapshot. */
 	| {readonly kind: 'wait-for-start-marker'; readonly leftMs: number}
-	/** The instance was changed by another; only the move row goes. */
+	/** Another writer has changed the instance; only the move row is deleted. */
 	| {readonly kind: 'superseded'};
 
 /** Why a move cannot start. */
@@ -68,17 +71,23 @@
 	| {readonly kind: 'already-moving'};
 
 /**
- * What a mover knows of entries that start in an outage, from the object
- * store's snapshot, without being registered. Such an entry puts a new start
- * marker before each read of the snapshot and reads it again within the
- * isolation time. The mover reads the marker after the snapshot is put.
+ * State of entries that start during a store outage from the snapshot in the
+ * object store, without registering. Such an entry writes a new start marker
+ * before each read of the snapshot, and reads the snapshot again within the
+ * isolation time. The daemon reads the marker after it has written the
+ * snapshot.
  */
 export type OutageStart = {
 	/** Revision of the snapshot in the object store. */
 	readonly snapshotRevision: number;
-	/** How long this mover has seen the marker unchanged. */
+	/**
+	 * Time for which this daemon has seen the marker unchanged, in milliseconds.
+	 */
 	readonly markerUnchangedMs: number;
-	/** How long it must be; `forgetAfterMs` of the membership. */
+	/**
+	 * Time for which the marker must be unchanged, in milliseconds;
+	 * `forgetAfterMs` of the membership.
+	 */
 	readonly markerWaitMs: number;
 };
 
@@ -89,7 +98,7 @@
 	markerWaitMs: 0,
 };
 
-/** The registered entries as one mover read them. */
+/** The registered entries as one daemon read them. */
 export type MembershipRead = {
 	/** Version of the membership row, read before the registrations. */
 	readonly version: number;
@@ -98,23 +107,23 @@
 	readonly outageStart: OutageStart;
 };
 
-/** The lease under which a daemon moves instances. */
+/** Shard lease that a daemon must hold to move instances. */
 export type ShardCheck = {readonly shard: string; readonly version: number};
 
 const checkShard = ({shard, version}: ShardCheck): StoreCheck =>
 	checkVersion(agreementTables.shard, shard, version);
 
-/** What starts a move. */
+/** Input for the start of a move. */
 export type MoveRequest = {
 	readonly instance: ReadRow<Instance>;
 	readonly to: string;
 	readonly author: string;
-	/** Revision that this transaction will make. */
+	/** Revision that the transaction will produce. */
 	readonly revision: number;
 	readonly isMoving: boolean;
 };
 
-/** Starts a move: the instance drains, and the move is on record. */
+/** Starts a move: marks the instance as draining and creates the move row. */
 export const startMove = (
 	request: MoveRequest,
 ): Result<MoveCommit, MoveRefusal> => {
@@ -178,9 +187,9 @@
 	instance?.epoch !== move.epoch || instance.pool !== move.from;
 
 /**
- * Decides the next step of a move. The drain ends only if no registered
- * entry routes by an older revision or has a request in flight, and if no
- * entry has joined or left between the read and the commit.
+ * Decides the next step of a move. The drain completes only if every registered
+ * entry routes by its revision or a newer one with no request to the instance
+ * in flight, and no entry has joined or left between the read and the commit.
  */
 export const decideMove = (
 	move: ReadRow<Move>,
@@ -196,12 +205,16 @@
 		return createStep(move, instance, 'commitMove', [checkShard(shard)]);
 	}
 
-	const lagging = findLagging(membership.registrations, membership.received, {
-		revision: move.value.drainRevision,
-		instance: move.value.instance,
-	});
-	if (lagging.length > 0) {
-		return {kind: 'wait', pendingEntries: lagging};
+	const pendingEntries = findLagging(
+		membership.registrations,
+		membership.received,
+		{
+			revision: move.value.drainRevision,
+			instance: move.value.instance,
+		},
+	);
+	if (pendingEntries.length > 0) {
+		return {kind: 'wait', pendingEntries};
 	}
 
 	const {outageStart} = membership;
@@ -220,7 +233,7 @@
 	]);
 };
 
-/** Takes a move back: the instance serves its old pool again. */
+/** Cancels a move: the instance serves its old pool again. */
 export const cancelMove = (
 	move: ReadRow<Move>,
 	instance: ReadRow<Instance> | undefined,
--- a/packages/core/src/instances/transition.ts
+++ b/packages/core/src/instances/transition.ts
@@ -1,11 +1,11 @@
 /**
- * Transitions of one instance. Each makes the next epoch; the row is written
- * only if it is still at the epoch that the transition was decided on.
+ * State transitions of an instance. Each increments the epoch; the row is
+ * written only if it still has the epoch on which the transition was decided.
  */
 import type {Instance, InstanceState} from '../types/instance.js';
 import {fail, succeed, type Result} from '../types/result.js';
 
-/** What may happen to an instance; names as in spec/. */
+/** Transitions of an instance; names as in spec/. */
 export const transitions = [
 	'startDrain',
 	'cancelDrain',
@@ -18,7 +18,7 @@
 /** Name of a transition. */
 export type Transition = (typeof transitions)[number];
 
-/** A transition that does not start from the instance's state. */
+/** Refusal of a transition that the state of the instance does not allow. */
 export type TransitionRefusal = {
 	readonly kind: 'wrong-state';
 	readonly instance: string;
@@ -26,7 +26,7 @@
 	readonly transition: Transition;
 };
 
-const steps: Readonly<
+const transitionStates: Readonly<
 	Record<
 		Transition,
 		{readonly from: readonly InstanceState[]; readonly to: InstanceState}
@@ -40,13 +40,16 @@
 	commitMove: {from: ['away'], to: 'serving'},
 };
 
-/** Applies a transition; only `commitMove` takes a pool. */
+/**
+ * Applies a transition. Pass `pool` only with `commitMove`. Fails with
+ * `wrong-state` if the state does not allow the transition.
+ */
 export const applyTransition = (
 	instance: Instance,
 	transition: Transition,
 	pool: string = instance.pool,
 ): Result<Instance, TransitionRefusal> => {
-	const {from, to} = steps[transition];
+	const {from, to} = transitionStates[transition];
 	const {id, state, epoch} = instance;
 	return from.includes(state)
 		? succeed({...instance, state: to, epoch: epoch + 1, pool})
--- a/packages/core/src/placement/cluster.ts
+++ b/packages/core/src/placement/cluster.ts
@@ -1,7 +1,7 @@
 /**
- * Workers, the tasks on them and what is reserved: the state that placement
- * reads. Mutable, since a round changes it thousands of times; only the
- * functions here change it.
+ * State that placement reads: workers, their tasks and reserved resources.
+ * Mutable, since one round changes it thousands of times; only the functions of
+ * this file change it.
  */
 import type {Resources, Worker} from '../types/job.js';
 import * as resources from './resources.js';
@@ -12,11 +12,12 @@
 	readonly job: string;
 	readonly customer: string;
 	readonly worker: string;
-	/** Expected use, and how far off that may be. */
+	/** Expected usage and its deviation. */
 	readonly estimate: UsageEstimate;
 	readonly urgent: boolean;
 	readonly canThrottle: boolean;
 	readonly canCheckpoint: boolean;
+	/** Start of the task, in milliseconds. */
 	readonly startedAt: number;
 };
 
@@ -24,25 +25,28 @@
 export type WorkerLoad = {
 	readonly worker: Worker;
 	readonly tasks: Map<string, PlacedTask>;
-	/** Sum of what the tasks are expected to use. */
+	/** Sum of the expected usage of the tasks. */
 	reserved: Resources;
-	/** Sum of the squares of the deviations. */
+	/** Sum of the squared deviations of the tasks. */
 	variance: Resources;
-	/** When a task last started here, in milliseconds. */
+	/** Time of the latest start of a task on this worker, in milliseconds. */
 	lastStartAt: number;
 };
 
-/** All workers of the pools that one holder places for. */
+/** Workers of all pools that one shard holder schedules. */
 export type Cluster = {
 	readonly loads: Map<string, WorkerLoad>;
 	readonly tasks: Map<string, PlacedTask>;
-	/** Reserved by each customer. */
+	/** Resources reserved, by customer. */
 	readonly customers: Map<string, Resources>;
-	/** Tasks by customer and rack, availability zone, and in all. */
+	/**
+	 * Number of tasks, by the keys of `listSpreadKeys`: customer and rack,
+	 * customer and availability zone, and customer.
+	 */
 	readonly taskCounts: Map<string, number>;
 };
 
-/** Creates a cluster with no tasks. */
+/** Creates a cluster without tasks. */
 export const createCluster = (workers: readonly Worker[]): Cluster => ({
 	loads: new Map(
 		workers.map((worker) => [
@@ -62,25 +66,28 @@
 });
 
 /**
- * Deviations of the sum that are kept free on a worker. Cores can be shared
- * for a while; memory that runs out kills a task. Kept for the sum and not
- * for each task: errors of many tasks cancel out.
+ * Safety margin per worker, in deviations of the summed usage. Tasks can share
+ * cores for a while, but a lack of memory kills a task, so the margins differ.
+ * Applied to the sum and not per task, since errors of many tasks cancel out.
  */
 export type SafetyMargin = {
 	readonly cores: number;
 	readonly memoryMb: number;
 };
 
-/** Margin in force when none is given. */
+/** Default margin. */
 export const defaultSafetyMargin: SafetyMargin = {cores: 0.5, memoryMb: 2.5};
 
-/** What a worker needs for its tasks and one more, with the margin. */
+/**
+ * Resources that a worker needs for its tasks and one more, including the
+ * margin.
+ */
 export const getRequiredResources = (
 	load: WorkerLoad,
 	{mean, deviation}: UsageEstimate,
 	margin: SafetyMargin = defaultSafetyMargin,
 ): Resources => {
-	const getOne = (resource: 'cores' | 'memoryMb') =>
+	const getRequired = (resource: 'cores' | 'memoryMb') =>
 		load.reserved[resource] +
 		mean[resource] +
 		margin[resource] *
@@ -88,13 +95,16 @@
 				Math.max(0, load.variance[resource]) + deviation[resource] ** 2,
 			);
 	return {
-		cores: getOne('cores'),
-		memoryMb: getOne('memoryMb'),
+		cores: getRequired('cores'),
+		memoryMb: getRequired('memoryMb'),
 		accelerators: load.reserved.accelerators + mean.accelerators,
 	};
 };
 
-/** Whether one more task could fit without any margin; cheap. */
+/**
+ * Whether one more task might fit without a margin; a cheap check before
+ * `hasRoom`.
+ */
 export const mayHaveRoom = (
 	load: WorkerLoad,
 	{mean}: UsageEstimate,
@@ -106,7 +116,7 @@
 	);
 };
 
-/** Whether one more task fits on a worker, with the margin. */
+/** Whether one more task fits on a worker, including the margin. */
 export const hasRoom = (
 	load: WorkerLoad,
 	estimate: UsageEstimate,
@@ -129,7 +139,10 @@
 	`${customer} all`,
 ];
 
-/** Tasks of a customer in a worker's rack, in its zone and in all. */
+/**
+ * Number of tasks of a customer in the rack and availability zone of a worker
+ * and in the whole cluster.
+ */
 export const countCustomerTasks = (
 	cluster: Cluster,
 	customer: string,
@@ -143,7 +156,7 @@
 	};
 };
 
-const countSpread = (
+const updateTaskCounts = (
 	cluster: Cluster,
 	customer: string,
 	worker: Worker,
@@ -159,13 +172,16 @@
 	}
 };
 
-/** What a customer has reserved in all. */
+/** Resources reserved by all tasks of a customer. */
 export const getCustomerUsage = (
 	cluster: Cluster,
 	customer: string,
 ): Resources => cluster.customers.get(customer) ?? resources.noResources;
 
-/** Puts a task on its worker; a job that is placed already is refused. */
+/**
+ * Adds a task to its worker; false if the worker is unknown or the job already
+ * has a task.
+ */
 export const addTask = (cluster: Cluster, task: PlacedTask): boolean => {
 	const load = cluster.loads.get(task.worker);
 	if (!load || cluster.tasks.has(task.job)) {
@@ -182,11 +198,11 @@
 		task.customer,
 		resources.addResources(getCustomerUsage(cluster, task.customer), mean),
 	);
-	countSpread(cluster, task.customer, load.worker, 1);
+	updateTaskCounts(cluster, task.customer, load.worker, 1);
 	return true;
 };
 
-/** Takes a task off; undefined if the job has none. */
+/** Removes the task of a job; undefined if it has none. */
 export const removeTask = (
 	cluster: Cluster,
 	job: string,
@@ -206,11 +222,11 @@
 		task.customer,
 		resources.subtractResources(getCustomerUsage(cluster, task.customer), mean),
 	);
-	countSpread(cluster, task.customer, load.worker, -1);
+	updateTaskCounts(cluster, task.customer, load.worker, -1);
 	return task;
 };
 
-/** Changes what is expected of a task. */
+/** Replaces the usage estimate of a task. */
 export const updateEstimate = (
 	cluster: Cluster,
 	job: string,
@@ -222,7 +238,7 @@
 	}
 };
 
-/** Opens or closes a worker to new tasks; what runs there stays. */
+/** Updates the description of a worker or adds the worker; its tasks stay. */
 export const updateWorker = (cluster: Cluster, worker: Worker): void => {
 	const load = cluster.loads.get(worker.id);
 	cluster.loads.set(worker.id, {
--- a/packages/core/src/placement/declaration-model.ts
+++ b/packages/core/src/placement/declaration-model.ts
@@ -1,12 +1,14 @@
 /**
- * How a customer's declared sizes relate to what its jobs use: a line through
- * the logarithms, fitted by least squares as jobs end. A declaration that is
- * off by a factor pulls the estimate by less than that factor (regression to
- * the mean), which a plain ratio does not.
- * Source: docs/design/placement.md.
+ * Models how the declared sizes of a customer relate to actual usage: a line
+ * through the logarithms, fitted by least squares as jobs end. Regression to
+ * the mean makes the estimate follow an outlying declaration only in part,
+ * unlike a plain ratio. Source: docs/design/placement.md.
  */
 
-/** Sums of the fit, of logarithms; weights fade so that habits may change. */
+/**
+ * Weighted sums of the fit, over logarithms. Weights decay so that the model
+ * follows changes.
+ */
 export type DeclarationModel = {
 	readonly weight: number;
 	readonly x: number;
@@ -16,25 +18,28 @@
 	readonly yy: number;
 };
 
-/** A line of declared to used, with the variance that it leaves. */
+/** Line from declared to used size, with the residual variance. */
 export type DeclarationFit = {
 	readonly intercept: number;
 	readonly slope: number;
 	readonly variance: number;
 };
 
-/** Weight that is left of earlier jobs when one more has ended. */
-const fade = 0.99;
+/** Factor by which the weight of earlier jobs decays with each ended job. */
+const decay = 0.99;
 
-/** Jobs that count before anything was seen, on the line used = declared. */
+/** Weight, in jobs, of the prior on the line used = declared. */
 const priorWeight = 4;
 
-/** Variance of the logarithm, of sizes wrong by up to four times. */
+/**
+ * Prior variance of the logarithm: declarations uniformly wrong by a factor of
+ * up to four.
+ */
 const priorVariance = Math.log(4) ** 2 / 3;
 
-const smallest = 1e-3;
+const minSize = 1e-3;
 
-/** Nothing was seen yet. */
+/** Model without observations. */
 export const emptyDeclarationModel: DeclarationModel = {
 	weight: 0,
 	x: 0,
@@ -44,21 +49,23 @@
 	yy: 0,
 };
 
-/** Adds what one job declared and used; both above 0. */
+/**
+ * Adds the declared size and the usage of one job; values near 0 are clamped.
+ */
 export const addDeclaration = (
 	model: DeclarationModel,
 	declared: number,
 	used: number,
 ): DeclarationModel => {
-	const x = Math.log(Math.max(smallest, declared));
-	const y = Math.log(Math.max(smallest, used));
+	const x = Math.log(Math.max(minSize, declared));
+	const y = Math.log(Math.max(minSize, used));
 	return {
-		weight: model.weight * fade + 1,
-		x: model.x * fade + x,
-		y: model.y * fade + y,
-		xx: model.xx * fade + x * x,
-		xy: model.xy * fade + x * y,
-		yy: model.yy * fade + y * y,
+		weight: model.weight * decay + 1,
+		x: model.x * decay + x,
+		y: model.y * decay + y,
+		xx: model.xx * decay + x * x,
+		xy: model.xy * decay + x * y,
+		yy: model.yy * decay + y * y,
 	};
 };
 
@@ -75,14 +82,15 @@
 	const varianceY = model.yy - model.weight * meanY * meanY;
 	const prior = priorWeight * priorVariance;
 	const slope = (covariance + prior) / (varianceX + prior);
-	const left = varianceY - 2 * slope * covariance + slope ** 2 * varianceX;
-	const variance = (Math.max(0, left) + prior) / (model.weight + priorWeight);
-	// Until enough was seen, the line passes nearer the origin.
-	const trust = model.weight / (model.weight + priorWeight);
-	return {intercept: trust * (meanY - slope * meanX), slope, variance};
+	const residual = varianceY - 2 * slope * covariance + slope ** 2 * varianceX;
+	const variance =
+		(Math.max(0, residual) + prior) / (model.weight + priorWeight);
+	// With few jobs the prior pulls the line towards the origin.
+	const dataWeight = model.weight / (model.weight + priorWeight);
+	return {intercept: dataWeight * (meanY - slope * meanX), slope, variance};
 };
 
-/** Expected use and its deviation, for a declared size. */
+/** Expected usage and its deviation for a declared size. */
 export const predictUsage = (
 	fit: DeclarationFit,
 	declared: number,
--- a/packages/core/src/placement/index.ts
+++ b/packages/core/src/placement/index.ts
@@ -1,4 +1,4 @@
-/** Placement of jobs on workers: pure decisions over a cluster's state. */
+/** Placement of jobs on workers: pure decisions on the state of a cluster. */
 export * from './resources.js';
 export * from './declaration-model.js';
 export * from './usage-estimate.js';
--- a/packages/core/src/placement/place-job.ts
+++ b/packages/core/src/placement/place-job.ts
@@ -1,8 +1,8 @@
 /**
- * Where a job runs: the worker that it leaves fullest, spread over racks and
- * availability zones, within its customer's quota. Urgent work may take room
- * from work that can be throttled or checkpointed.
- * Source: docs/design/placement.md.
+ * Chooses the worker for a job: the one that it fills most, spread over racks
+ * and availability zones, within the quota of its customer. Urgent jobs may
+ * preempt tasks that can be throttled or checkpointed. Source:
+ * docs/design/placement.md.
  */
 import {match} from 'ts-pattern';
 import type {Job, Resources, Worker} from '../types/job.js';
@@ -10,26 +10,38 @@
 import * as resources from './resources.js';
 import type {UsageEstimate} from './usage-estimate.js';
 
-/** Weights of the one objective; all from 0. */
+/** Weights of the placement score, all 0 or more, and placement limits. */
 export type PlacementConfig = {
-	/** Prefers workers that are fuller already: less idle buffer. */
+	/**
+	 * Weight of the share of the worker that would be reserved; favours full
+	 * workers.
+	 */
 	readonly packWeight: number;
-	/** Against the share of the customer's tasks in the same rack. */
+	/** Penalty for the share of the customer's tasks in the same rack. */
 	readonly rackWeight: number;
-	/** Against the share of the customer's tasks in the same zone. */
+	/**
+	 * Penalty for the share of the customer's tasks in the same availability
+	 * zone.
+	 */
 	readonly zoneWeight: number;
-	/** Against each task that is throttled for urgent work. */
+	/** Penalty for each task that is throttled for urgent work. */
 	readonly throttleWeight: number;
-	/** Against each task that is checkpointed: room comes late, and it moves. */
+	/**
+	 * Penalty for each task that is checkpointed, which delays the start and
+	 * moves the task.
+	 */
 	readonly checkpointWeight: number;
-	/** Time between two starts on one worker; bounds a black hole. */
+	/**
+	 * Minimum time between two starts on one worker, in milliseconds; limits how
+	 * many jobs a worker that fails them at once attracts.
+	 */
 	readonly minStartIntervalMs: number;
-	/** Cores left to a throttled task, as a share of what it has. */
+	/** Share of its cores that a throttled task keeps. */
 	readonly throttledShare: number;
 	readonly margin: clusters.SafetyMargin;
 };
 
-/** Settings in force when none are given. */
+/** Default settings. */
 export const defaultPlacementConfig: PlacementConfig = {
 	packWeight: 1,
 	rackWeight: 0.6,
@@ -41,13 +53,13 @@
 	margin: clusters.defaultSafetyMargin,
 };
 
-/** How room is made. */
+/** Preemption of one task. */
 export type Preemption = {
 	readonly job: string;
 	readonly kind: 'throttle' | 'checkpoint';
 };
 
-/** What is decided for a job. */
+/** Decision for one job. */
 export type PlacementDecision =
 	| {
 			readonly kind: 'place';
@@ -55,16 +67,16 @@
 			readonly preempt: readonly Preemption[];
 	  }
 	| {readonly kind: 'wait'; readonly reason: 'quota' | 'capacity'}
-	/** No worker could ever run it, whatever else ends. */
+	/** No worker could ever run the job. */
 	| {readonly kind: 'impossible'; readonly reason: 'too-large' | 'over-quota'};
 
-/** A job to place and what is known of it. */
+/** A job to place, with its usage estimate and quota. */
 export type PlacementRequest = {
 	readonly job: Job;
 	readonly estimate: UsageEstimate;
-	/** What the contract lets its customer use at once. */
+	/** Resources that the contract allows its customer to use at once. */
 	readonly quota: Resources;
-	/** Workers that are not to be tried, such as those it failed on. */
+	/** Workers to skip, such as those that the job failed on. */
 	readonly excluded: ReadonlySet<string>;
 };
 
@@ -86,7 +98,7 @@
 		worker,
 	);
 	const penalty = rack * cfg.rackWeight + zone * cfg.zoneWeight;
-	// As a share after this one is placed; a first task has no others near.
+	// Share after this task is placed; the first task of a customer has none.
 	return penalty / (all + 1);
 };
 
@@ -107,7 +119,7 @@
 	cfg.packWeight * getFullness(load, estimate) -
 	getSpreadPenalty(cluster, job.customer, load.worker, cfg);
 
-const isOpen = (
+const isEligible = (
 	load: clusters.WorkerLoad,
 	{excluded}: PlacementRequest,
 	now: number,
@@ -117,7 +129,10 @@
 	!excluded.has(load.worker.id) &&
 	now - load.lastStartAt >= cfg.minStartIntervalMs;
 
-/** What a task gives up, and how; undefined if it can give up nothing. */
+/**
+ * Returns the preemption of a task and the resources that it frees; undefined
+ * if the task cannot be preempted.
+ */
 const getPreemption = (
 	task: clusters.PlacedTask,
 	needsCoresOnly: boolean,
@@ -143,11 +158,11 @@
 		: undefined;
 };
 
-/** Youngest first: what is taken back has done the least work. */
-const listByAge = (load: clusters.WorkerLoad): clusters.PlacedTask[] =>
+/** Lists the youngest task first, which loses the least work. */
+const listYoungestFirst = (load: clusters.WorkerLoad): clusters.PlacedTask[] =>
 	[...load.tasks.values()].toSorted((a, b) => b.startedAt - a.startedAt);
 
-/** What has to be freed on a worker; negative where there is room. */
+/** Resources to free on a worker; negative where there is room. */
 const getShortage = (
 	load: clusters.WorkerLoad,
 	estimate: UsageEstimate,
@@ -166,7 +181,7 @@
 	let shortage = getShortage(load, estimate, cfg);
 	const preempt: Preemption[] = [];
 	const needsCoresOnly = shortage.memoryMb <= 0 && shortage.accelerators <= 0;
-	for (const task of listByAge(load)) {
+	for (const task of listYoungestFirst(load)) {
 		if (resources.fitsInto(shortage, resources.noResources)) {
 			break;
 		}
@@ -183,16 +198,16 @@
 		: undefined;
 };
 
-const getPreemptionCost = (
+const getPreemptionPenalty = (
 	preempt: readonly Preemption[],
 	cfg: PlacementConfig,
 ): number => {
-	let cost = 0;
+	let penalty = 0;
 	for (const {kind} of preempt) {
-		cost += kind === 'throttle' ? cfg.throttleWeight : cfg.checkpointWeight;
+		penalty += kind === 'throttle' ? cfg.throttleWeight : cfg.checkpointWeight;
 	}
 
-	return cost;
+	return penalty;
 };
 
 const createCandidate = (
@@ -202,7 +217,7 @@
 	cfg: PlacementConfig,
 ): Candidate | undefined => {
 	const {job, estimate} = request;
-	// Most workers of a busy fleet are full: told by the sums alone.
+	// `mayHaveRoom` rejects most full workers without computing the margin.
 	const fits =
 		clusters.mayHaveRoom(load, estimate) &&
 		clusters.hasRoom(load, estimate, cfg.margin);
@@ -216,11 +231,11 @@
 	}
 
 	const score =
-		getScore(cluster, request, load, cfg) - getPreemptionCost(preempt, cfg);
+		getScore(cluster, request, load, cfg) - getPreemptionPenalty(preempt, cfg);
 	return {worker: load.worker.id, preempt, score};
 };
 
-const findBest = (
+const findBestCandidate = (
 	cluster: clusters.Cluster,
 	request: PlacementRequest,
 	now: number,
@@ -228,7 +243,7 @@
 ): Candidate | undefined => {
 	let best: Candidate | undefined;
 	for (const load of cluster.loads.values()) {
-		if (!isOpen(load, request, now, cfg)) {
+		if (!isEligible(load, request, now, cfg)) {
 			continue;
 		}
 
@@ -254,12 +269,12 @@
 	return false;
 };
 
-type Verdict = 'place' | 'quota' | 'too-large' | 'over-quota';
+type RequestCheck = 'place' | 'quota' | 'too-large' | 'over-quota';
 
-const judgeRequest = (
+const checkRequest = (
 	cluster: clusters.Cluster,
 	{job, estimate, quota}: PlacementRequest,
-): Verdict => {
+): RequestCheck => {
 	if (!resources.fitsInto(estimate.mean, quota)) {
 		return 'over-quota';
 	}
@@ -274,19 +289,19 @@
 		: 'quota';
 };
 
-/** Decides for one job; changes nothing. */
+/** Decides the placement of one job; changes nothing. */
 export const placeJob = (
 	cluster: clusters.Cluster,
 	request: PlacementRequest,
 	now: number,
 	cfg: PlacementConfig = defaultPlacementConfig,
 ): PlacementDecision =>
-	match(judgeRequest(cluster, request))
+	match(checkRequest(cluster, request))
 		.returnType<PlacementDecision>()
 		.with('over-quota', 'too-large', (reason) => ({kind: 'impossible', reason}))
 		.with('quota', () => ({kind: 'wait', reason: 'quota'}))
 		.with('place', () => {
-			const best = findBest(cluster, request, now, cfg);
+			const best = findBestCandidate(cluster, request, now, cfg);
 			return best
 				? {kind: 'place', worker: best.worker, preempt: best.preempt}
 				: {kind: 'wait', reason: 'capacity'};
--- a/packages/core/src/placement/relocation.ts
+++ b/packages/core/src/placement/relocation.ts
@@ -1,25 +1,28 @@
 /**
- * When a running job is moved: its worker is over its capacity by the new
- * estimates, or a nearly empty worker can be emptied. Hysteresis: a gain must
- * outweigh the move, last, and not come soon after the last move of the job.
- * Source: docs/design/placement.md.
+ * Decides which running jobs move: those on workers whose estimated usage
+ * exceeds their capacity, or on nearly empty workers that can be emptied.
+ * Hysteresis limits moves: the state of the worker must last, and a job must
+ * not have started or moved recently. Source: docs/design/placement.md.
  */
 import * as clusters from './cluster.js';
 import * as resources from './resources.js';
 
 /** Settings of relocation. */
 export type RelocationConfig = {
-	/** Share of capacity above which a worker is over. */
+	/** Share of capacity above which a worker is overloaded. */
 	readonly overloadedShare: number;
-	/** Share of capacity below which a worker is worth emptying. */
+	/** Share of capacity below which a worker is nearly empty. */
 	readonly nearlyEmptyShare: number;
-	/** Time that a worker must be so before anything moves, in ms. */
+	/**
+	 * Time for which a worker must be overloaded or nearly empty before a job
+	 * moves, in milliseconds.
+	 */
 	readonly settleMs: number;
-	/** Time for which a moved job stays where it is, in ms. */
+	/** Minimum time between the start of a task and its move, in milliseconds. */
 	readonly stayMs: number;
 };
 
-/** For long jobs, whose every move is a risk. */
+/** Settings for long jobs, where every move is a risk. */
 export const fewerMovesConfig: RelocationConfig = {
 	overloadedShare: 1.1,
 	nearlyEmptyShare: 0.15,
@@ -27,7 +30,7 @@
 	stayMs: 3_600_000,
 };
 
-/** For small instances, whose idle capacity costs most. */
+/** Settings for small instances, where idle capacity costs most. */
 export const lessIdleCapacityConfig: RelocationConfig = {
 	overloadedShare: 1.02,
 	nearlyEmptyShare: 0.25,
@@ -35,10 +38,13 @@
 	stayMs: 900_000,
 };
 
-/** Settings in force when none are given. */
+/** Default settings. */
 export const defaultRelocationConfig = fewerMovesConfig;
 
-/** Since when each worker has been over or nearly empty. */
+/**
+ * Overloaded and nearly empty workers, with the time since when, in
+ * milliseconds.
+ */
 export type LoadObservations = ReadonlyMap<
 	string,
 	{readonly kind: 'over' | 'nearly-empty'; readonly since: number}
@@ -66,7 +72,7 @@
 		: undefined;
 };
 
-/** Notes which workers are over or nearly empty, and since when. */
+/** Updates which workers are overloaded or nearly empty, and since when. */
 export const observeLoads = (
 	cluster: clusters.Cluster,
 	observed: LoadObservations,
@@ -89,7 +95,7 @@
 	return next;
 };
 
-/** Only what can go on elsewhere without loss is moved. */
+/** Only tasks that can resume from a checkpoint move, except urgent ones. */
 const mayMove = (
 	task: clusters.PlacedTask,
 	now: number,
@@ -119,7 +125,9 @@
 	return best?.worker;
 };
 
-/** The smallest task that brings an over-full worker back under. */
+/**
+ * The smallest task whose move ends the overload; otherwise the largest one.
+ */
 const chooseTask = (
 	load: clusters.WorkerLoad,
 	now: number,
@@ -135,7 +143,10 @@
 	return movable.find((task) => getShare(task) >= excess) ?? movable.at(-1);
 };
 
-/** At most one job a worker and call; the next call sees what it did. */
+/**
+ * Chooses at most one job per worker to move. The caller applies the moves
+ * before the next call.
+ */
 export const chooseRelocations = (
 	cluster: clusters.Cluster,
 	observed: LoadObservations,
--- a/packages/core/src/placement/resources.ts
+++ b/packages/core/src/placement/resources.ts
@@ -1,7 +1,7 @@
-/** Arithmetic of resources. */
+/** Arithmetic on resources. */
 import type {Resources} from '../types/job.js';
 
-/** Nothing. */
+/** No resources. */
 export const noResources: Resources = {cores: 0, memoryMb: 0, accelerators: 0};
 
 /** Sum of two amounts. */
@@ -11,7 +11,7 @@
 	accelerators: a.accelerators + b.accelerators,
 });
 
-/** An amount taken from another. */
+/** Difference of two amounts; may be negative. */
 export const subtractResources = (a: Resources, b: Resources): Resources => ({
 	cores: a.cores - b.cores,
 	memoryMb: a.memoryMb - b.memoryMb,
@@ -20,7 +20,9 @@
 
 const tolerance = 1e-6;
 
-/** Whether an amount fits into another. */
+/**
+ * Whether an amount fits into another, with a tolerance for rounding errors.
+ */
 export const fitsInto = (amount: Resources, room: Resources): boolean =>
 	amount.cores <= room.cores + tolerance &&
 	amount.memoryMb <= room.memoryMb + tolerance &&
@@ -29,7 +31,10 @@
 const getShare = (amount: number, capacity: number): number =>
 	capacity > 0 ? amount / capacity : 0;
 
-/** Largest share of a capacity that an amount takes, from 0. */
+/**
+ * Largest share of a capacity that an amount uses, over all resources; 0 or
+ * more.
+ */
 export const getDominantShare = (
 	amount: Resources,
 	capacity: Resources,
--- a/packages/core/src/placement/sort-pending.ts
+++ b/packages/core/src/placement/sort-pending.ts
@@ -1,7 +1,8 @@
 /**
- * Which job is placed next: urgent ones by age, then the customer that holds
- * the least of its quota (dominant resource fairness), then by age.
- * Source: Ghodsi et al., Dominant Resource Fairness, NSDI 2011.
+ * Order in which pending jobs are placed: urgent jobs by age, then jobs of the
+ * customer with the smallest dominant share of its quota (dominant resource
+ * fairness), then by age. Source: Ghodsi et al., Dominant Resource Fairness,
+ * NSDI 2011.
  */
 import type {Job, Resources} from '../types/job.js';
 import * as clusters from './cluster.js';
@@ -10,7 +11,9 @@
 /** Quota of each customer, from its contract. */
 export type Quotas = ReadonlyMap<string, Resources>;
 
-/** What a customer holds of its quota, from 0 to 1; 1 without a quota. */
+/**
+ * Dominant share of its quota that a customer uses, from 0; 1 without a quota.
+ */
 export const getQuotaShare = (
 	cluster: clusters.Cluster,
 	quotas: Quotas,
@@ -25,7 +28,7 @@
 		: 1;
 };
 
-/** Sorts pending jobs; the order holds until a job is placed or ends. */
+/** Sorts pending jobs. The order is valid until a job is placed or ends. */
 export const sortPending = <Pending extends Job>(
 	cluster: clusters.Cluster,
 	pending: readonly Pending[],
@@ -33,9 +36,9 @@
 ): Pending[] => {
 	const shares = new Map<string, number>();
 	const getShare = (customer: string): number => {
-		const known = shares.get(customer);
-		if (known !== undefined) {
-			return known;
+		const cached = shares.get(customer);
+		if (cached !== undefined) {
+			return cached;
 		}
 
 		const share = getQuotaShare(cluster, quotas, customer);
--- a/packages/core/src/placement/usage-estimate.ts
+++ b/packages/core/src/placement/usage-estimate.ts
@@ -1,7 +1,7 @@
 /**
- * What a job will use, from what it was seen to use. Reports lag and a young
- * job's peak is still to come, so until enough was seen its declared size
- * counts, as its customer's earlier jobs have shown how to read it.
+ * Estimates the usage of a job from its reports. Reports arrive late and a
+ * young job has not reached its peak, so until enough samples exist the
+ * estimate also uses the declared size, corrected by the model of its customer.
  * Source: docs/design/placement.md.
  */
 import type {Job, Resources} from '../types/job.js';
@@ -11,74 +11,77 @@
 export type EstimateConfig = {
 	/** Weight of a new sample in the mean and the deviation, from 0 to 1. */
 	readonly sampleWeight: number;
-	/** Samples after which the declared size counts no more. */
+	/** Samples after which the declared size is ignored. */
 	readonly minSamples: number;
 };
 
-/** Settings in force when none are given. */
+/** Default settings. */
 export const defaultEstimateConfig: EstimateConfig = {
 	sampleWeight: 0.25,
 	minSamples: 6,
 };
 
-/** A running mean with its deviation. */
+/** Exponentially weighted mean and deviation, and the peak. */
 export type RunningStatistics = {
 	readonly mean: number;
 	readonly deviation: number;
 	readonly peak: number;
 };
 
-/** What was seen of one job. */
+/** Observed usage of one job. */
 export type UsageHistory = {
 	readonly samples: number;
 	readonly cores: RunningStatistics;
 	readonly memoryMb: RunningStatistics;
-	/** When the last sample was measured, in milliseconds. */
+	/** Measurement time of the latest sample, in milliseconds. */
 	readonly measuredAt: number;
 };
 
-/** How a customer's jobs use what it declares. */
+/** Relation of declared to actual usage of the jobs of one customer. */
 export type CustomerUsageModel = {
 	readonly cores: declarations.DeclarationModel;
 	readonly memoryMb: declarations.DeclarationModel;
 };
 
-/** What to expect of a job, and how far off that may be. */
+/** Expected usage of a job and its deviation. */
 export type UsageEstimate = {
 	readonly mean: Resources;
 	readonly deviation: Resources;
 };
 
-/** Nothing is known of a customer. */
+/** Model of a customer without ended jobs. */
 export const emptyCustomerUsageModel: CustomerUsageModel = {
 	cores: declarations.emptyDeclarationModel,
 	memoryMb: declarations.emptyDeclarationModel,
 };
 
-const startTrack = (value: number): RunningStatistics => ({
+const startStatistics = (value: number): RunningStatistics => ({
 	mean: value,
 	deviation: 0,
 	peak: value,
 });
 
-const updateTrack = (
-	track: RunningStatistics | undefined,
+const updateStatistics = (
+	statistics: RunningStatistics | undefined,
 	value: number,
 	weight: number,
 ): RunningStatistics => {
-	if (!track) {
-		return startTrack(value);
+	if (!statistics) {
+		return startStatistics(value);
 	}
 
-	const error = value - track.mean;
+	const error = value - statistics.mean;
 	return {
-		mean: track.mean + weight * error,
-		deviation: track.deviation + weight * (Math.abs(error) - track.deviation),
-		peak: Math.max(track.peak, value),
+		mean: statistics.mean + weight * error,
+		deviation:
+			statistics.deviation + weight * (Math.abs(error) - statistics.deviation),
+		peak: Math.max(statistics.peak, value),
 	};
 };
 
-/** Adds a report; one that is not newer than the last changes nothing. */
+/**
+ * Adds a usage sample; a sample that is not newer than the latest is ignored.
+ */
 export const addSample = (
 	history: UsageHistory | undefined,
 	sample: {cores: number; memoryMb: number; measuredAt: number},
@@ -90,75 +93,88 @@
 
 	return {
 		samples: (history?.samples ?? 0) + 1,
-		cores: updateTrack(history?.cores, sample.cores, cfg.sampleWeight),
-		memoryMb: updateTrack(history?.memoryMb, sample.memoryMb, cfg.sampleWeight),
+		cores: updateStatistics(history?.cores, sample.cores, cfg.sampleWeight),
+		memoryMb: updateStatistics(
+			history?.memoryMb,
+			sample.memoryMb,
+			cfg.sampleWeight,
+		),
 		measuredAt: sample.measuredAt,
 	};
 };
 
 /**
- * Learns from a job how its customer declares. A job that ended before it was
- * seen often enough has not shown its peak, and teaches nothing.
+ * Updates the model of a customer from an ended job. A job with fewer than
+ * `minSamples` samples may not have reached its peak and is ignored.
  */
 export const addEndedJob = (
-	habit: CustomerUsageModel,
+	customerModel: CustomerUsageModel,
 	declared: Resources,
 	history: UsageHistory,
 	cfg: EstimateConfig = defaultEstimateConfig,
 ): CustomerUsageModel =>
 	history.samples < cfg.minSamples
-		? habit
+		? customerModel
 		: {
 				cores: declarations.addDeclaration(
-					habit.cores,
+					customerModel.cores,
 					declared.cores,
 					history.cores.peak,
 				),
 				memoryMb: declarations.addDeclaration(
-					habit.memoryMb,
+					customerModel.memoryMb,
 					declared.memoryMb,
 					history.memoryMb.peak,
 				),
 			};
 
-type Evidence = {
+type BlendInput = {
 	readonly declared: number;
 	readonly model: declarations.DeclarationModel;
-	readonly seen: RunningStatistics | undefined;
-	/** From 0 (only declared) to 1 (only seen). */
-	readonly trust: number;
+	readonly observed: RunningStatistics | undefined;
+	/**
+	 * Weight of the observed usage, from 0 (only declared) to 1 (only observed).
+	 */
+	readonly observedWeight: number;
 };
 
-const blend = ({declared, model, seen, trust}: Evidence) => {
+const blendEstimates = ({
+	declared,
+	model,
+	observed,
+	observedWeight,
+}: BlendInput) => {
 	const fit = declarations.fitDeclarations(model);
 	const predicted = declarations.predictUsage(fit, declared);
-	if (!seen) {
+	if (!observed) {
 		return predicted;
 	}
 
-	// What was seen is a floor: a young job's use only grows.
+	// The observed mean is a lower bound, since the usage of a young job grows.
 	const mean = Math.max(
-		seen.mean,
-		trust * seen.mean + (1 - trust) * predicted.mean,
+		observed.mean,
+		observedWeight * observed.mean + (1 - observedWeight) * predicted.mean,
 	);
-	const deviation = trust * seen.deviation + (1 - trust) * predicted.deviation;
+	const deviation =
+		observedWeight * observed.deviation +
+		(1 - observedWeight) * predicted.deviation;
 	return {mean, deviation};
 };
 
-/** What a job is expected to use; accelerators are taken as declared. */
+/** Estimates the usage of a job; accelerators count as declared. */
 export const estimateUsage = (
 	job: Pick<Job, 'declared'>,
 	history: UsageHistory | undefined,
-	habit: CustomerUsageModel = emptyCustomerUsageModel,
+	customerModel: CustomerUsageModel = emptyCustomerUsageModel,
 	cfg: EstimateConfig = defaultEstimateConfig,
 ): UsageEstimate => {
-	const trust = Math.min(1, (history?.samples ?? 0) / cfg.minSamples);
+	const observedWeight = Math.min(1, (history?.samples ?? 0) / cfg.minSamples);
 	const estimate = (resource: 'cores' | 'memoryMb') =>
-		blend({
+		blendEstimates({
 			declared: job.declared[resource],
-			model: habit[resource],
-			seen: history?.[resource],
-			trust,
+			model: customerModel[resource],
+			observed: history?.[resource],
+			observedWeight,
 		});
 	const cores = estimate('cores');
 	const memoryMb = estimate('memoryMb');
