--- a/packages/bench/src/benches/ownership/control.ts
+++ b/packages/bench/src/benches/ownership/control.ts
@@ -20,7 +20,7 @@
 	type World,
 } from './world.js';
 
-const settings = core.standing.membershipDefaults;
+const settings = core.membershipStatus.membershipDefaults;
 
 const controlMs = 200;
 
@@ -109,7 +109,7 @@
 		leaseMs,
 		evidence: {
 			registeredIncarnation: row?.value.acknowledged.incarnation,
-			silentMs: row ? getSilentMs(control, holder, row.version) : 0,
+			unresponsiveMs: row ? getSilentMs(control, holder, row.version) : 0,
 		},
 	});
 	if (!result.ok) {
@@ -143,10 +143,14 @@
 			version,
 			unchangedMs: getSilentMs(control, entry, version),
 			unlistedMs: since === undefined ? 0 : now - since,
-			unheardBy: core.forget.countUnheard(value, observed, settings),
+			unheardBy: core.forgetEntry.countEntriesWithoutContact(
+				value,
+				observed,
+				settings,
+			),
 			quorum: value.quorum.length,
 		};
-		const result = core.forget.forgetEntry(
+		const result = core.forgetEntry.forgetEntry(
 			evidence,
 			settings,
 			state.life.entry,
@@ -254,7 +258,7 @@
 			'shard',
 			held.shard,
 		);
-		if (core.shardLease.loseShard(held, read)) {
+		if (core.shardLease.isShardLost(held, read)) {
 			control.held.delete(held.shard);
 			continue;
 		}
--- a/packages/core/src/instances/move.ts
+++ b/packages/core/src/instances/move.ts
@@ -14,10 +14,10 @@
 	type StorePrecondition,
 } from '../types/store-write.js';
 import {
-	findLagging,
-	type HeardAcknowledgements,
-	type Lag,
-} from '../membership/lagging.js';
+	listPendingAcknowledgements,
+	type ReceivedAcknowledgements,
+	type PendingAcknowledgement,
+} from '../membership/pending-acknowledgements.js';
 import type {Registration} from '../membership/registration.js';
 import {applyTransition, type Transition} from './transition.js';
 
@@ -56,7 +56,10 @@
 /** Next step of a move. */
 export type MoveStep =
 	| MoveCommit
-	| {readonly kind: 'wait'; readonly pendingEntries: readonly Lag[]}
+	| {
+			readonly kind: 'wait';
+			readonly pendingEntries: readonly PendingAcknowledgement[];
+	  }
 	/** The snapshot in the object store does not include the drain yet. */
 	| {readonly kind: 'wait-for-snapshot'}
 	/** An entry may have just started from an older snapshot. */
@@ -103,7 +106,7 @@
 	/** Version of the membership row, read before the registrations. */
 	readonly version: number;
 	readonly registrations: readonly Registration[];
-	readonly received: HeardAcknowledgements;
+	readonly received: ReceivedAcknowledgements;
 	readonly outageStart: OutageStart;
 };
 
@@ -205,7 +208,7 @@
 		return createStep(move, instance, 'commitMove', [checkShard(shard)]);
 	}
 
-	const pendingEntries = findLagging(
+	const pendingEntries = listPendingAcknowledgements(
 		membership.registrations,
 		membership.received,
 		{
--- a/packages/core/src/spec.test.ts
+++ b/packages/core/src/spec.test.ts
@@ -117,7 +117,7 @@
 		const read = store.read<core.shardLease.ShardLease>(tables.shard, 's');
 		const acquired = core.shardLease.acquireShard('s', read, {
 			self: {entry: `d${index}`, incarnation: '1'},
-			evidence: {registeredIncarnation: '1', silentMs: 1},
+			evidence: {registeredIncarnation: '1', unresponsiveMs: 1},
 			leaseMs: 1,
 		});
 		if (acquired.ok && store.commit([acquired.value])) {
@@ -313,12 +313,12 @@
 tap.t.test(
 	'forget_after: bounds with one isolation time are not sound',
 	async (t) => {
-		const settings = core.standing.membershipDefaults;
+		const settings = core.membershipStatus.membershipDefaults;
 		const {isolationMs, listLagMs, stallMarginMs} = settings;
 		const requestMs = settings.longestRequestMs;
 		const shortMs = isolationMs + listLagMs + stallMarginMs + requestMs;
 		const short = {...settings, forgetAfterMs: shortMs};
-		t.notOk(core.standing.isSoundSettings(short));
+		t.notOk(core.membershipStatus.isSafeSettings(short));
 	},
 );
 
--- a/packages/daemon/src/jobs/owner/executor-link.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.ts
@@ -17,32 +17,32 @@
 	readonly executors: Executors;
 	readonly now: () => number;
 	/** Whether this daemon may count on being the owner. */
-	readonly isBelieved: () => boolean;
+	readonly isOwnershipConfirmed: () => boolean;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	/** Something changed that may allow or call for orders. */
 	readonly onChange: () => void;
-	readonly onLook: (changes: scheduler.LookChanges) => void;
+	readonly onPoll: (changes: scheduler.PollChanges) => void;
 	readonly onFenced: () => void;
-	readonly onOtherLife: () => void;
+	readonly onOtherIncarnation: () => void;
 	/** The answer to a start, for the metrics. */
-	readonly onStarted: (
+	readonly onStartAnswer: (
 		run: scheduler.Run,
 		answer: scheduler.StartAnswer['kind'],
 	) => void;
 };
 
 /** An order about one run. */
-type RunOrder = Exclude<scheduler.Order, {readonly kind: 'advise'}>;
+type RunOrder = Exclude<scheduler.Command, {readonly kind: 'advise'}>;
 
 /** A link at work. */
 export type ExecutorLink = {
 	/** Looks now rather than at the next occasion. */
-	readonly poke: () => void;
+	readonly pollNow: () => void;
 	/** Ends may be acknowledged that could not be before. */
-	readonly noteAckable: () => void;
+	readonly notifyAckable: () => void;
 	readonly close: () => void;
 	readonly send: (order: RunOrder) => void;
-	readonly sendPace: (order: scheduler.PaceOrder) => void;
+	readonly sendThrottle: (order: scheduler.ThrottleCommand) => void;
 };
 
 type State = {
@@ -63,7 +63,7 @@
 		isClosed: false,
 		isPoked: true,
 		ackSent: 0,
-		retryMs: periods.lookRetryMs,
+		retryMs: periods.pollRetryMs,
 	};
 
 	/** Of a link with nothing to look for. */
@@ -76,14 +76,14 @@
 	const needsLook = (): boolean =>
 		!executor.isAdopted ||
 		executor.runs.size > 0 ||
-		executor.strays > 0 ||
+		executor.orphanedRunCount > 0 ||
 		executor.acknowledgedUpto > state.ackSent ||
-		executor.silentSince !== undefined ||
+		executor.unresponsiveSince !== undefined ||
 		state.isPoked;
 
 	/** Ends that the executor lists again until they are acknowledged. */
 	const hasUnacked = (): boolean =>
-		executor.lastEnd > executor.acknowledgedUpto;
+		executor.lastEndNumber > executor.acknowledgedUpto;
 
 	const pauseForAck = async () => {
 		if (hasUnacked() && !state.isPoked) {
@@ -93,19 +93,19 @@
 
 	/** Ends that come meanwhile are listed together by the next look. */
 	const pauseForGap = async (seenAt: number) => {
-		const gapMs = scheduler.getLookGapMs(owner.startWindow);
+		const gapMs = scheduler.getMinPollIntervalMs(owner.startWindow);
 		const restMs = gapMs - (now() - seenAt);
-		if (restMs >= periods.leastLookGapMs && !state.isPoked) {
+		if (restMs >= periods.minPollGapMs && !state.isPoked) {
 			await lookGap.wait(restMs);
 		}
 	};
 
 	const takeSeen = (answer: LookAnswer & {kind: 'seen'}, sentAt: number) => {
-		state.retryMs = periods.lookRetryMs;
+		state.retryMs = periods.pollRetryMs;
 		const {clockMs, running, ends} = answer;
 		const look = {sentAt, receivedAt: now(), clockMs, running, ends};
-		const wasSilentFrom = executor.silentSince;
-		const changes = scheduler.takeLook(owner, executor, look);
+		const wasSilentFrom = executor.unresponsiveSince;
+		const changes = scheduler.applyPoll(owner, executor, look);
 		if (changes.isFirst || wasSilentFrom !== undefined) {
 			logger.info('executor answers', {
 				executor: executor.id,
@@ -119,16 +119,20 @@
 			});
 		}
 
-		for (const {taskId, run} of changes.strays) {
+		for (const {taskId, run} of changes.orphanedRuns) {
 			void stopStray(taskId, run);
 		}
 
-		deps.onLook(changes);
+		deps.onPoll(changes);
 	};
 
 	const stopStray = async (taskId: string, run: number) => {
 		const order = {taskId, run, fencingToken: owner.token};
-		const answer = await executors.stop(target, order, periods.orderTimeoutMs);
+		const answer = await executors.stop(
+			target,
+			order,
+			periods.commandTimeoutMs,
+		);
 		logger.info('run of no known task stopped', {
 			task: taskId,
 			run,
@@ -138,7 +142,7 @@
 	};
 
 	const noteNoAnswer = async () => {
-		if (executor.silentSince === undefined) {
+		if (executor.unresponsiveSince === undefined) {
 			logger.warn('executor does not answer', {
 				executor: executor.id,
 				address: target.address,
@@ -146,20 +150,22 @@
 			});
 		}
 
-		scheduler.noteSilence(owner, executor.id, now());
+		scheduler.markUnresponsive(owner, executor.id, now());
 		deps.onChange();
 		await delay(state.retryMs);
-		state.retryMs = Math.min(2 * state.retryMs, periods.lookRetryMaxMs);
+		state.retryMs = Math.min(2 * state.retryMs, periods.pollRetryMaxMs);
 	};
 
 	const lookOnce = async () => {
-		const isQuiet = executor.isAdopted && executor.silentSince === undefined;
+		const isQuiet =
+			executor.isAdopted && executor.unresponsiveSince === undefined;
 		const {acknowledgedUpto} = executor;
-		const isBusy = executor.runs.size > 0 || executor.strays > 0;
+		const isBusy = executor.runs.size > 0 || executor.orphanedRunCount > 0;
 		const mayWait = isQuiet && !state.isPoked && isBusy;
-		const waitMs = mayWait ? periods.lookWaitMs : 0;
+		const waitMs = mayWait ? periods.pollWaitMs : 0;
 		state.isPoked = false;
-		const mayGrant = scheduler.mayGrantLease(executor) && deps.isBelieved();
+		const mayGrant =
+			scheduler.mayGrantLease(executor) && deps.isOwnershipConfirmed();
 		const leaseEndMs =
 			executor.runs.size > 0 && mayGrant
 				? scheduler.grantLease(executor, owner.cfg.taskLeaseMs, now())
@@ -168,7 +174,7 @@
 		const answer = await executors.look(
 			target,
 			{fencingToken: owner.token, acknowledgedUpto, leaseEndMs, waitMs},
-			waitMs + periods.lookTimeoutMs,
+			waitMs + periods.pollTimeoutMs,
 		);
 		if (state.isClosed) {
 			return;
@@ -186,7 +192,7 @@
 				deps.onFenced();
 			})
 			.with({kind: 'other-life'}, async () => {
-				deps.onOtherLife();
+				deps.onOtherIncarnation();
 			})
 			.with({kind: 'no-answer'}, noteNoAnswer)
 			.exhaustive();
@@ -212,7 +218,7 @@
 				deps.onFenced();
 			})
 			.with('other-life', () => {
-				deps.onOtherLife();
+				deps.onOtherIncarnation();
 			})
 			.with('look-again', poke)
 			.exhaustive();
@@ -220,7 +226,7 @@
 		deps.onChange();
 	};
 
-	const sendStart = async (order: scheduler.Order & {kind: 'start'}) => {
+	const sendStart = async (order: scheduler.Command & {kind: 'start'}) => {
 		const {run: started, leaseEndMs} = order;
 		const {task, number} = started;
 		const answer = await executors.start(
@@ -234,7 +240,7 @@
 				checkpoint: task.checkpoint,
 				ticket: order.ticket,
 			},
-			periods.orderTimeoutMs,
+			periods.commandTimeoutMs,
 		);
 		if (state.isClosed) {
 			return;
@@ -250,17 +256,17 @@
 			failures: task.failures,
 			tookMs: Math.round(now() - started.askedAt),
 		});
-		deps.onStarted(started, answer.kind);
-		follow(scheduler.takeStartAnswer(owner, started, answer, now()));
+		deps.onStartAnswer(started, answer.kind);
+		follow(scheduler.applyStartAnswer(owner, started, answer, now()));
 	};
 
-	const sendStop = async (order: scheduler.Order & {kind: 'stop'}) => {
+	const sendStop = async (order: scheduler.Command & {kind: 'stop'}) => {
 		const {run: stopped, reason} = order;
 		const {task, number} = stopped;
 		const answer = await executors.stop(
 			target,
 			{taskId: task.id, run: number, fencingToken: owner.token},
-			periods.orderTimeoutMs,
+			periods.commandTimeoutMs,
 		);
 		if (state.isClosed) {
 			return;
@@ -274,21 +280,21 @@
 			outcome: answer.kind,
 			percent: stopped.percent,
 		});
-		follow(scheduler.takeStopAnswer(owner, stopped, answer, now()));
+		follow(scheduler.applyStopAnswer(owner, stopped, answer, now()));
 	};
 
 	const sendPace = async ({
 		run: paced,
 		percent,
 		tailShare,
-	}: scheduler.PaceOrder) => {
+	}: scheduler.ThrottleCommand) => {
 		const {task, number} = paced;
-		const before = paced.pacePercent;
-		paced.pacePercent = percent;
+		const before = paced.speedLimitPercent;
+		paced.speedLimitPercent = percent;
 		const answer = await executors.pace(
 			target,
 			{taskId: task.id, run: number, fencingToken: owner.token, percent},
-			periods.orderTimeoutMs,
+			periods.commandTimeoutMs,
 		);
 		logger.info('task paced', {
 			task: task.id,
@@ -300,14 +306,14 @@
 			outcome: answer.kind,
 		});
 		if (answer.kind !== 'done') {
-			paced.pacePercent = before;
+			paced.speedLimitPercent = before;
 		}
 	};
 
 	void run();
 	return {
-		poke,
-		noteAckable() {
+		pollNow: poke,
+		notifyAckable() {
 			sleep.end();
 			ackPause.end();
 		},
@@ -323,7 +329,7 @@
 			// A look that brings its end must be under way.
 			sleep.end();
 		},
-		sendPace(order) {
+		sendThrottle(order) {
 			void sendPace(order);
 		},
 	};
--- a/packages/daemon/src/jobs/rows/store-time.ts
+++ b/packages/daemon/src/jobs/rows/store-clock.ts
@@ -1,9 +1,9 @@
 /** The store's steady clock, seen from a daemon. */
 import {scheduler} from '@gullstand/core';
-import {getMostElapsedMs, type Clock, type Moment} from '../clock.js';
+import {getMaxElapsedMs, type Clock, type Moment} from '../clock.js';
 
 /** A reading of the store's clock and when it was asked for. */
-export type StoreTime = {readonly nowMs: number; readonly sent: Moment};
+export type StoreClockReading = {readonly nowMs: number; readonly sent: Moment};
 
 /**
  * The latest that the store's clock may have shown at a time of the own one,
@@ -12,9 +12,9 @@
  */
 export const getLatestStoreMs = (
 	clock: Clock,
-	{nowMs, sent}: StoreTime,
+	{nowMs, sent}: StoreClockReading,
 	at: number,
 ): number => {
-	const elapsedMs = getMostElapsedMs(clock, sent);
-	return nowMs + elapsedMs * (1 + scheduler.maxSlowdown) - (clock.now() - at);
+	const elapsedMs = getMaxElapsedMs(clock, sent);
+	return nowMs + elapsedMs * (1 + scheduler.maxClockDrift) - (clock.now() - at);
 };
