--- a/packages/core/src/budget/budget.test.fixture.ts
+++ b/packages/core/src/budget/budget.test.fixture.ts
@@ -1,8 +1,11 @@
-/** Instances and proofs that tests of budgets share. */
+/** Instances and return evidence shared by the tests of budgets. */
 import type {Instance} from '../types/instance.js';
 import type {ReturnEvidence} from './return-instance.js';
 
-/** An executor; its zone follows from the last letter of its id. */
+/**
+ * Creates an executor; its availability zone follows from the last letter of
+ * its id.
+ */
 export const createInstance = (
 	id: string,
 	pool = 'quote',
@@ -19,10 +22,10 @@
 	rack: `r${id}`,
 });
 
-/** Five executors. */
+/** Ids of five executors. */
 export const ids = ['i0', 'i1', 'i2', 'i3', 'i4'];
 
-/** All that an instance must show to be given back. */
+/** Evidence that allows an instance to return. */
 export const returnEvidence: ReturnEvidence = {
 	listed: 'live',
 	incarnationBefore: 'a',
--- a/packages/core/src/budget/racing.test.ts
+++ b/packages/core/src/budget/racing.test.ts
@@ -4,7 +4,7 @@
 import {createInstance, ids, returnEvidence} from './budget.test.fixture.js';
 import * as budget from './index.js';
 
-/** A table with versions, as the platform promises it. */
+/** Row of a table with versions and conditional commits. */
 type TestRow = {version: number; value: unknown; operationId: string};
 type TestTable = Map<string, TestRow>;
 
@@ -12,19 +12,19 @@
 	rows: TestTable,
 	{writes, operationId}: budget.BudgetChange,
 ): boolean => {
-	const holds = writes.every(
+	const areMet = writes.every(
 		({table, key, when}) =>
 			when.kind === 'version' &&
 			rows.get(`${table}/${key}`)?.version === when.version,
 	);
-	if (holds) {
+	if (areMet) {
 		for (const {table, key, value} of writes) {
 			const {version} = rows.get(`${table}/${key}`)!;
 			rows.set(`${table}/${key}`, {version: version + 1, value, operationId});
 		}
 	}
 
-	return holds;
+	return areMet;
 };
 
 const services = ['quote', 'rate'];
@@ -59,11 +59,14 @@
 	return rows;
 };
 
-/** What one planner read and wants to commit, and what it knows of it. */
+/**
+ * State of one planner: its uncommitted change, the instance, and the version
+ * that it read.
+ */
 type Planner = {
 	pending: budget.BudgetChange | undefined;
-	taken: string | undefined;
-	versionBefore: number;
+	instance: string | undefined;
+	expectedVersion: number;
 };
 
 type Step = {
@@ -90,7 +93,7 @@
 	instance: fc.nat(ids.length - 1),
 });
 
-const applyLoss = (rows: TestTable, step: Step) => {
+const applyLossOrRecovery = (rows: TestTable, step: Step) => {
 	for (const [service, ledger] of readLedgers(rows)) {
 		const id = ids[step.instance]!;
 		const write =
@@ -103,14 +106,14 @@
 	}
 };
 
-/** Drained, restarted and listed: the row says that it returns. */
+/** Reads an instance as `returning` unless it serves. */
 const createReturning = (rows: TestTable, id: string) => {
 	const {value, version} = readInstance(rows, id);
 	const state = value.state === 'serving' ? 'serving' : 'returning';
 	return {value: {...value, state} as const, version};
 };
 
-const applyGiveBack = (rows: TestTable, id: string) => {
+const applyReturn = (rows: TestTable, id: string) => {
 	const change = budget.returnInstance({
 		operationId: `back-${id}`,
 		instance: createReturning(rows, id),
@@ -124,8 +127,11 @@
 	}
 };
 
-/** Judges a committed take by the rows alone, not by the decision. */
-const isOverspent = (rows: TestTable) =>
+/**
+ * Checks a committed withdrawal against the rows, independently of the
+ * decision.
+ */
+const isOverBudget = (rows: TestTable) =>
 	services.some((service) => {
 		const {value} = readLedgers(rows).get(service)!;
 		const kinds = Object.values(value.entries).map(({kind}) => kind);
@@ -136,7 +142,12 @@
 		);
 	});
 
-const planTake = (rows: TestTable, planner: Planner, id: string, n: number) => {
+const planWithdrawal = (
+	rows: TestTable,
+	planner: Planner,
+	id: string,
+	n: number,
+) => {
 	const instance = readInstance(rows, id);
 	const change = budget.withdrawInstances(
 		{
@@ -149,15 +160,15 @@
 		n,
 	);
 	planner.pending = change.ok ? change.value : undefined;
-	planner.taken = id;
-	planner.versionBefore = instance.version;
+	planner.instance = id;
+	planner.expectedVersion = instance.version;
 };
 
 const readOutcome = (rows: TestTable, planner: Planner) => {
-	const row = readInstance(rows, planner.taken!);
+	const row = readInstance(rows, planner.instance!);
 	return budget.getWithdrawalOutcome(
 		{
-			expectedVersion: planner.versionBefore,
+			expectedVersion: planner.expectedVersion,
 			version: row.version,
 			operationId: row.operationId,
 			instance: row.value,
@@ -167,7 +178,7 @@
 	);
 };
 
-/** Commits what a planner has pending, if anything, and judges it. */
+/** Commits the pending change of a planner, if any, and checks the outcome. */
 const commitPending = (
 	rows: TestTable,
 	planner: Planner,
@@ -178,42 +189,45 @@
 	}
 
 	const hasCommitted = commit(rows, planner.pending);
-	const isRead =
+	const isOutcomeCorrect =
 		kind === 'commit' ||
 		(readOutcome(rows, planner) === 'committed') === hasCommitted;
 	planner.pending = undefined;
 	return {
 		hasCommitted,
-		isSound: isRead && !(hasCommitted && isOverspent(rows)),
+		isSound: isOutcomeCorrect && !(hasCommitted && isOverBudget(rows)),
 	};
 };
 
-/** Runs one interleaving; returns the takes, or -1 if a promise broke. */
+/**
+ * Runs one interleaving; returns the number of withdrawals, or -1 if a contract
+ * term was violated.
+ */
 const runSteps = (steps: readonly Step[]): number => {
 	const rows = createTable();
 	const planners: Planner[] = Array.from({length: 3}, () => ({
 		pending: undefined,
-		taken: undefined,
-		versionBefore: 0,
+		instance: undefined,
+		expectedVersion: 0,
 	}));
-	let takes = 0;
+	let withdrawals = 0;
 	for (const [n, step] of steps.entries()) {
 		const planner = planners[step.planner]!;
 		const id = ids[step.instance]!;
 		switch (step.kind) {
 			case 'read': {
-				planTake(rows, planner, id, n);
+				planWithdrawal(rows, planner, id, n);
 				break;
 			}
 
 			case 'give-back': {
-				applyGiveBack(rows, id);
+				applyReturn(rows, id);
 				break;
 			}
 
 			case 'loss':
 			case 'recover': {
-				applyLoss(rows, step);
+				applyLossOrRecovery(rows, step);
 				break;
 			}
 
@@ -224,57 +238,54 @@
 					return -1;
 				}
 
-				takes += result.hasCommitted ? 1 : 0;
+				withdrawals += result.hasCommitted ? 1 : 0;
 				break;
 			}
 		}
 	}
 
-	return takes;
+	return withdrawals;
 };
 
 tap.t.test(
-	'racing planners, lost replies and losses never overspend',
+	'concurrent planners, lost replies and losses never exceed a budget',
 	async (t) => {
-		let takes = 0;
+		let withdrawals = 0;
 		const steps = fc.array(stepArbitrary, {minLength: 60, maxLength: 120});
 		const property = fc.property(steps, (each) => {
-			const seen = runSteps(each);
-			takes += Math.max(0, seen);
-			return seen >= 0;
+			const result = runSteps(each);
+			withdrawals += Math.max(0, result);
+			return result >= 0;
 		});
 		fc.assert(property, {seed: 5, numRuns: 2000});
-		t.ok(takes > 1000, `the property saw ${takes} takes`);
+		t.ok(withdrawals > 1000, `the property made ${withdrawals} withdrawals`);
 	},
 );
 
-tap.t.test(
-	'a take without preconditions overspends: the judge sees it',
-	async (t) => {
-		const rows = createTable();
-		const planners = ids.slice(0, 2).map((id, n) => {
-			const planner: Planner = {
-				pending: undefined,
-				taken: undefined,
-				versionBefore: 0,
-			};
-			planTake(rows, planner, id, n);
-			return planner;
-		});
-		for (const {pending} of planners) {
-			const writes = pending!.writes.map((write) => ({
-				...write,
-				when: {
-					kind: 'version' as const,
-					version: rows.get(`${write.table}/${write.key}`)!.version,
-				},
-			}));
-			commit(rows, {...pending!, writes});
-		}
+tap.t.test('withdrawals without preconditions exceed the budget', async (t) => {
+	const rows = createTable();
+	const planners = ids.slice(0, 2).map((id, n) => {
+		const planner: Planner = {
+			pending: undefined,
+			instance: undefined,
+			expectedVersion: 0,
+		};
+		planWithdrawal(rows, planner, id, n);
+		return planner;
+	});
+	for (const {pending} of planners) {
+		const writes = pending!.writes.map((write) => ({
+			...write,
+			when: {
+				kind: 'version' as const,
+				version: rows.get(`${write.table}/${write.key}`)!.version,
+			},
+		}));
+		commit(rows, {...pending!, writes});
+	}
 
-		// Both planners read the same ledger; the later write hides the earlier.
-		const isAway = (id: string) =>
-			readInstance(rows, id).value.state !== 'serving';
-		t.equal(ids.filter((id) => isAway(id)).length, 2);
-	},
-);
+	// Both planners read the same ledger, so the later write replaces the earlier.
+	const isAway = (id: string) =>
+		readInstance(rows, id).value.state !== 'serving';
+	t.equal(ids.filter((id) => isAway(id)).length, 2);
+});
--- a/packages/core/src/instances/move.test.ts
+++ b/packages/core/src/instances/move.test.ts
@@ -68,11 +68,11 @@
 	markerWaitMs: 25_000,
 };
 
-const steps: ReadonlyArray<
+const stepTable: ReadonlyArray<
 	readonly [string, Partial<Instance>, Partial<MembershipRead>, object]
 > = [
 	[
-		'every entry has let go',
+		'every entry has acknowledged the drain',
 		{},
 		{},
 		{
@@ -83,7 +83,7 @@
 		},
 	],
 	[
-		'an entry is behind',
+		'an entry routes by an older revision',
 		{},
 		{registrations: [createRegistration(11)]},
 		{kind: 'wait', pendingEntries: [{reason: 'not-in-force'}]},
@@ -95,14 +95,14 @@
 		{kind: 'wait', pendingEntries: [{reason: 'holding'}]},
 	],
 	[
-		'drained',
+		'the instance is away',
 		{state: 'away'},
 		{registrations: [createRegistration(1)]},
 		{transition: 'commitMove', instance: {state: 'serving', pool: 'b'}},
 	],
-	['cancelled by another', {epoch: 7}, {}, {kind: 'superseded'}],
-	['moved by another', {pool: 'c'}, {}, {kind: 'superseded'}],
-	['served again', {state: 'serving'}, {}, {kind: 'superseded'}],
+	['cancelled by another writer', {epoch: 7}, {}, {kind: 'superseded'}],
+	['moved by another writer', {pool: 'c'}, {}, {kind: 'superseded'}],
+	['serving again', {state: 'serving'}, {}, {kind: 'superseded'}],
 	[
 		'the snapshot is older than the drain',
 		{},
@@ -115,13 +115,18 @@
 		{outageStart: {...outageStart, markerUnchangedMs: 20_000}},
 		{kind: 'wait-for-start-marker', leftMs: 5000},
 	],
-	['no entry starts now', {}, {outageStart}, {transition: 'finishDrain'}],
+	[
+		'no entry can start from an older snapshot',
+		{},
+		{outageStart},
+		{transition: 'finishDrain'},
+	],
 ];
 
-for (const [name, change, read, wanted] of steps) {
+for (const [name, change, read, expected] of stepTable) {
 	tap.t.test(`next step: ${name}`, async (t) => {
 		const instance = {value: createInstance(change), version: 20};
-		t.match(decideMove(move, instance, createRead(read), shard), wanted);
+		t.match(decideMove(move, instance, createRead(read), shard), expected);
 	});
 }
 
@@ -131,7 +136,7 @@
 	t.equal(cancelMove(move, undefined).kind, 'superseded');
 });
 
-tap.t.test('a move is taken back until its end', async (t) => {
+tap.t.test('a move can be cancelled while draining or away', async (t) => {
 	for (const state of ['draining', 'away'] as const) {
 		const instance = {value: createInstance({state}), version: 20};
 		t.match(cancelMove(move, instance), {
@@ -142,22 +147,22 @@
 	}
 });
 
-const starts = [
+const startTable = [
 	[{state: 'serving'}, 'b', false, {ok: true}],
 	[{state: 'serving'}, 'a', false, {error: {kind: 'same-pool'}}],
 	[{state: 'away'}, 'b', false, {error: {kind: 'not-serving'}}],
 	[{state: 'serving'}, 'b', true, {error: {kind: 'already-moving'}}],
 ] as const;
 
-for (const [change, to, isMoving, wanted] of starts) {
-	tap.t.test(`starts from ${change.state} to ${to}`, async (t) => {
+for (const [change, to, isMoving, expected] of startTable) {
+	tap.t.test(`a move starts from ${change.state} to ${to}`, async (t) => {
 		const instance = {value: createInstance(change), version: 20};
 		const request = {instance, to, isMoving, author: 'ann', revision: 12};
-		t.match(startMove(request), wanted);
+		t.match(startMove(request), expected);
 	});
 }
 
-tap.t.test('every transition makes the next epoch or is refused', async (t) => {
+tap.t.test('every transition increments the epoch or is refused', async (t) => {
 	let allowed = 0;
 	for (const transition of transitions) {
 		for (const state of ['serving', 'draining', 'away', 'returning'] as const) {
--- a/packages/core/src/instances/ownership-system.test.fixture.ts
+++ b/packages/core/src/instances/ownership-system.test.fixture.ts
@@ -1,4 +1,4 @@
-/** Entries and movers on one store, for the tests of ownership. */
+/** Entries and movers that share one store, for the ownership tests. */
 import * as assert from 'node:assert/strict';
 import {createAcknowledgement} from '../membership/acknowledgement.js';
 import {
@@ -21,7 +21,10 @@
 	type MoveCommit,
 } from './move.js';
 
-/** Guards that a run may leave out, to show that the test needs them. */
+/**
+ * Guards that a run can omit, to show that the ownership property depends on
+ * each.
+ */
 export type Guard =
 	| 'membership'
 	| 'in-flight'
@@ -44,7 +47,7 @@
 	prepared?: MoveCommit | undefined;
 };
 
-const first: Instance = {
+const initialInstance: Instance = {
 	id: 'x',
 	kind: 'executor',
 	address: '127.0.0.1:1',
@@ -61,7 +64,7 @@
 /** Creates a system with one instance that serves pool a. */
 export const createSystem = (omittedGuard: Guard | undefined) => {
 	const store = createStore();
-	const history: Instance[] = [first];
+	const history: Instance[] = [initialInstance];
 	const entries = [0, 1, 2].map((): Entry => ({
 		life: 0,
 		isUp: false,
@@ -83,7 +86,7 @@
 			kind: 'put',
 			table: 'instance',
 			key: 'x',
-			value: first,
+			value: initialInstance,
 			when: {kind: 'any'},
 		},
 		{
@@ -98,26 +101,34 @@
 	return {omittedGuard, store, history, entries, movers};
 };
 
-/** Everything that a run changes. */
+/** State of one run. */
 export type System = ReturnType<typeof createSystem>;
 
-/** The instance as the store has it. */
+/** The instance as committed last. */
 export const getCommittedInstance = ({history}: System): Instance =>
 	history.at(-1)!;
 
-const viewOf = (system: System, revision: number): View => ({
+const createView = (system: System, revision: number): View => ({
 	...emptyView,
 	revision,
 	instances: new Map([['x', system.history[revision]!]]),
 });
 
-/** Asserts what must hold after every step. */
+/** Asserts the properties that must hold after every step. */
 export const checkProperties = (system: System) => {
-	const truth = getCommittedInstance(system);
+	const committed = getCommittedInstance(system);
 	for (const {picks} of system.entries) {
 		for (const {pool} of picks.filter(({isSent}) => isSent)) {
-			assert.equal(pool, truth.pool, 'one pool');
-			assert.notEqual(truth.state, 'away', 'drain cuts nothing');
+			assert.equal(
+				pool,
+				committed.pool,
+				'requests go only to the pool of the instance',
+			);
+			assert.notEqual(
+				committed.state,
+				'away',
+				'no request is in flight once the instance is away',
+			);
 		}
 	}
 };
@@ -149,7 +160,10 @@
 		acknowledged: createAcknowledgement(
 			{entry: `e${index}`, incarnation: `${entry.life}`},
 			entry.sequence,
-			{view: viewOf(system, entry.revision), router: getRouter(system, entry)},
+			{
+				view: createView(system, entry.revision),
+				router: getRouter(system, entry),
+			},
 		),
 	};
 };
@@ -253,7 +267,7 @@
 			return;
 		}
 
-		// The version of a counter row that has moved on never matches.
+		// -1 matches no version, as if the counter row had been updated since.
 		const counterVersion =
 			isCurrent || omittedGuard === 'current-view'
 				? store.read(counter, singleRowKey)!.version
@@ -324,7 +338,7 @@
 			commitStep(system, mover.prepared);
 		}
 
-		// A lost reply: the mover keeps its step and may send it again.
+		// Index 2 loses the reply: the mover keeps its step and may commit it again.
 		mover.prepared = index === 2 ? mover.prepared : undefined;
 	},
 	cancelDrain(system: System) {
--- a/packages/core/src/instances/ownership.test.ts
+++ b/packages/core/src/instances/ownership.test.ts
@@ -1,4 +1,4 @@
-/** Drives entries and movers by random commands; names as in spec/. */
+/** Runs random interleavings of entries and movers; names as in spec/. */
 import * as assert from 'node:assert/strict';
 import * as fc from 'fast-check';
 import * as tap from 'tap';
@@ -13,9 +13,12 @@
 
 type Action = keyof typeof actions;
 
-const names = Object.keys(actions) as Action[];
+const actionNames = Object.keys(actions) as Action[];
 
-/** Each command is one step of one process, at any moment. */
+/**
+ * Creates a command that runs one step of one process and checks the
+ * properties.
+ */
 const createCommand = (name: Action, index: number, age: number) => ({
 	check: () => true,
 	run(_model: {steps: number}, system: System) {
@@ -24,13 +27,16 @@
 		checkProperties(system);
 		for (const [at, {revision, life}] of before.entries()) {
 			const entry = system.entries[at]!;
-			assert.ok(entry.life > life || entry.revision >= revision, 'no revert');
+			assert.ok(
+				entry.life > life || entry.revision >= revision,
+				'a running entry never reverts to an older revision',
+			);
 		}
 	},
 	toString: () => `${name}(${index}, ${age})`,
 });
 
-// Steps towards a move come more often than those that undo one.
+// Steps that advance a move are drawn more often than steps that undo it.
 const weights: Readonly<Partial<Record<Action, number>>> = {
 	applyRevision: 4,
 	registerEntry: 3,
@@ -42,7 +48,7 @@
 	finish: 2,
 };
 
-const weightedNames = names.flatMap((name) =>
+const weightedNames = actionNames.flatMap((name) =>
 	Array.from({length: weights[name] ?? 1}, () => name),
 );
 
@@ -59,18 +65,24 @@
 	{maxCommands: 150, size: 'max'},
 );
 
-const runAll = (left?: Guard, numRuns = 1500) =>
+const runAll = (omittedGuard?: Guard, numRuns = 1500) =>
 	fc.check(
 		fc.property(commands, (list) => {
-			fc.modelRun(() => ({model: {steps: 0}, real: createSystem(left)}), list);
+			fc.modelRun(
+				() => ({model: {steps: 0}, real: createSystem(omittedGuard)}),
+				list,
+			);
 		}),
 		{seed: 17, numRuns, endOnFailure: true},
 	);
 
-tap.t.test('an instance has one pool, whatever the order', async (t) => {
-	const result = runAll();
-	t.notOk(result.failed, String(result.errorInstance));
-});
+tap.t.test(
+	'an instance belongs to one pool in every interleaving',
+	async (t) => {
+		const result = runAll();
+		t.notOk(result.failed, String(result.errorInstance));
+	},
+);
 
 const guards: Guard[] = [
 	'membership',
@@ -82,14 +94,17 @@
 ];
 
 for (const guard of guards) {
-	tap.t.test(`without the guard ${guard} a run breaks it`, async (t) => {
-		const {failed, errorInstance} = runAll(guard, 20_000);
-		t.ok(failed);
-		t.equal((errorInstance as Error).name, 'AssertionError');
-	});
+	tap.t.test(
+		`some run violates ownership without the guard ${guard}`,
+		async (t) => {
+			const {failed, errorInstance} = runAll(guard, 20_000);
+			t.ok(failed);
+			t.equal((errorInstance as Error).name, 'AssertionError');
+		},
+	);
 }
 
-tap.t.test('moves end in these runs', async (t) => {
+tap.t.test('moves complete in these runs', async (t) => {
 	let moved = 0;
 	fc.assert(
 		fc.property(commands, (list) => {
--- a/packages/core/src/placement/placement.test.ts
+++ b/packages/core/src/placement/placement.test.ts
@@ -28,7 +28,7 @@
 	...change,
 });
 
-const certain = (mean: Resources): placement.UsageEstimate => ({
+const createCertainEstimate = (mean: Resources): placement.UsageEstimate => ({
 	mean,
 	deviation: {cores: 0, memoryMb: 0, accelerators: 0},
 });
@@ -41,7 +41,7 @@
 	job,
 	worker,
 	customer: 'c',
-	estimate: certain({cores: 8, memoryMb: 8000, accelerators: 0}),
+	estimate: createCertainEstimate({cores: 8, memoryMb: 8000, accelerators: 0}),
 	urgent: false,
 	canThrottle: true,
 	canCheckpoint: true,
@@ -56,7 +56,7 @@
 	change: Partial<placement.PlacementRequest> = {},
 ): placement.PlacementRequest => ({
 	job,
-	estimate: certain(job.declared),
+	estimate: createCertainEstimate(job.declared),
 	quota,
 	excluded: new Set(),
 	...change,
@@ -73,13 +73,20 @@
 	return cluster;
 };
 
-const full = (index: number, change: Partial<placement.PlacedTask> = {}) =>
+const createFullTask = (
+	index: number,
+	change: Partial<placement.PlacedTask> = {},
+) =>
 	createTask(`full-${index}`, `w${index}`, {
-		estimate: certain({cores: 32, memoryMb: 32_000, accelerators: 0}),
+		estimate: createCertainEstimate({
+			cores: 32,
+			memoryMb: 32_000,
+			accelerators: 0,
+		}),
 		...change,
 	});
 
-type Row = [
+type PlacementCase = [
 	name: string,
 	tasks: placement.PlacedTask[],
 	request: placement.PlacementRequest,
@@ -92,39 +99,39 @@
 
 const checkpoint = {job: 'full-0', kind: 'checkpoint'} as const;
 
-const table: Row[] = [
+const table: PlacementCase[] = [
 	[
-		'the fuller worker first',
+		'prefers the fuller worker',
 		[createTask('a', 'w1', {customer: 'other'})],
 		createRequest(createJob()),
 		{kind: 'place', worker: 'w1', preempt: []},
 	],
 	[
-		'not a worker that it failed on',
+		'skips excluded workers',
 		[createTask('a', 'w1', {customer: 'other'})],
 		createRequest(createJob(), {excluded: new Set(['w1', 'w0'])}),
 		{kind: 'place', worker: 'w2', preempt: []},
 	],
 	[
 		'waits for capacity',
-		[full(0), full(1), full(2)],
+		[createFullTask(0), createFullTask(1), createFullTask(2)],
 		createRequest(createJob()),
 		{kind: 'wait', reason: 'capacity'},
 	],
 	[
-		'waits for its quota',
+		'waits for quota',
 		[createTask('a', 'w0')],
 		createRequest(createJob(), {quota: {...quota, cores: 15}}),
 		{kind: 'wait', reason: 'quota'},
 	],
 	[
-		'never fits its quota',
+		'rejects a job larger than its quota',
 		[],
 		createRequest(createJob(), {quota: {...quota, cores: 7}}),
 		{kind: 'impossible', reason: 'over-quota'},
 	],
 	[
-		'never fits a worker',
+		'rejects a job larger than any worker',
 		[],
 		createRequest(
 			createJob({declared: {cores: 1, memoryMb: 1, accelerators: 3}}),
@@ -132,24 +139,32 @@
 		{kind: 'impossible', reason: 'too-large'},
 	],
 	[
-		'urgent work throttles what can be throttled',
-		[full(0), full(1, {urgent: true}), full(2, {urgent: true})],
+		'an urgent job throttles a task that can be throttled',
+		[
+			createFullTask(0),
+			createFullTask(1, {urgent: true}),
+			createFullTask(2, {urgent: true}),
+		],
 		createRequest(urgent),
 		{kind: 'place', worker: 'w0', preempt: [throttle]},
 	],
 	[
-		'urgent work checkpoints what cannot be throttled',
+		'an urgent job checkpoints a task that cannot be throttled',
 		[
-			full(0, {canThrottle: false}),
-			full(1, {canThrottle: false, canCheckpoint: false}),
-			full(2, {urgent: true}),
+			createFullTask(0, {canThrottle: false}),
+			createFullTask(1, {canThrottle: false, canCheckpoint: false}),
+			createFullTask(2, {urgent: true}),
 		],
 		createRequest(urgent),
 		{kind: 'place', worker: 'w0', preempt: [checkpoint]},
 	],
 	[
-		'urgent work never takes room from urgent work',
-		[full(0, {urgent: true}), full(1, {urgent: true}), full(2, {urgent: true})],
+		'an urgent job never preempts urgent tasks',
+		[
+			createFullTask(0, {urgent: true}),
+			createFullTask(1, {urgent: true}),
+			createFullTask(2, {urgent: true}),
+		],
 		createRequest(urgent),
 		{kind: 'wait', reason: 'capacity'},
 	],
@@ -161,98 +176,116 @@
 	});
 }
 
-tap.t.test('a customer is spread over racks and zones', async (t) => {
-	const cluster = createCluster([], 12);
-	const cfg = {...placement.defaultPlacementConfig, packWeight: 0};
-	for (let index = 0; index < 6; index += 1) {
-		const job = createJob({id: `j${index}`});
-		const decision = placement.placeJob(cluster, createRequest(job), 0, cfg);
-		if (decision.kind === 'place') {
-			placement.addTask(cluster, createTask(job.id, decision.worker));
+tap.t.test(
+	'tasks of a customer are spread over racks and availability zones',
+	async (t) => {
+		const cluster = createCluster([], 12);
+		const cfg = {...placement.defaultPlacementConfig, packWeight: 0};
+		for (let index = 0; index < 6; index += 1) {
+			const job = createJob({id: `j${index}`});
+			const decision = placement.placeJob(cluster, createRequest(job), 0, cfg);
+			if (decision.kind === 'place') {
+				placement.addTask(cluster, createTask(job.id, decision.worker));
+			}
 		}
-	}
 
-	const counts = [...cluster.taskCounts.entries()]
-		.filter(([key]) => !key.endsWith(' all'))
-		.map(([, count]) => count);
-	t.equal(cluster.tasks.size, 6);
-	t.same(counts, [2, 2, 2, 2, 2, 2], 'three racks and three zones');
-});
+		const counts = [...cluster.taskCounts.entries()]
+			.filter(([key]) => !key.endsWith(' all'))
+			.map(([, count]) => count);
+		t.equal(cluster.tasks.size, 6);
+		t.same(
+			counts,
+			[2, 2, 2, 2, 2, 2],
+			'two tasks in each of three racks and three zones',
+		);
+	},
+);
 
-tap.t.test('reservations add up whatever happens', async (t) => {
-	const event = fc.record({
-		job: fc.constantFrom('a', 'b', 'c', 'd'),
-		worker: fc.constantFrom('w0', 'w1', 'w2'),
-		kind: fc.constantFrom('add', 'remove', 'update'),
-		cores: fc.integer({min: 0, max: 64}),
-	});
-	fc.assert(
-		fc.property(fc.array(event, {maxLength: 50}), (events) => {
-			const cluster = createCluster([]);
-			for (const {job, worker, kind, cores} of events) {
-				const estimate = certain({cores, memoryMb: 1, accelerators: 0});
-				if (kind === 'add') {
-					placement.addTask(cluster, createTask(job, worker, {estimate}));
-				} else if (kind === 'remove') {
-					placement.removeTask(cluster, job);
-				} else {
-					placement.updateEstimate(cluster, job, estimate);
+tap.t.test(
+	'reservations equal the sum of the tasks after any changes',
+	async (t) => {
+		const event = fc.record({
+			job: fc.constantFrom('a', 'b', 'c', 'd'),
+			worker: fc.constantFrom('w0', 'w1', 'w2'),
+			kind: fc.constantFrom('add', 'remove', 'update'),
+			cores: fc.integer({min: 0, max: 64}),
+		});
+		fc.assert(
+			fc.property(fc.array(event, {maxLength: 50}), (events) => {
+				const cluster = createCluster([]);
+				for (const {job, worker, kind, cores} of events) {
+					const estimate = createCertainEstimate({
+						cores,
+						memoryMb: 1,
+						accelerators: 0,
+					});
+					if (kind === 'add') {
+						placement.addTask(cluster, createTask(job, worker, {estimate}));
+					} else if (kind === 'remove') {
+						placement.removeTask(cluster, job);
+					} else {
+						placement.updateEstimate(cluster, job, estimate);
+					}
 				}
-			}
 
-			const sum = [...cluster.tasks.values()].reduce(
-				(total, each) => total + each.estimate.mean.cores,
-				0,
-			);
-			const loads = [...cluster.loads.values()];
-			return (
-				placement.getCustomerUsage(cluster, 'c').cores === sum &&
-				loads.reduce((total, each) => total + each.reserved.cores, 0) === sum &&
-				loads.reduce((total, each) => total + each.tasks.size, 0) ===
-					cluster.tasks.size
-			);
-		}),
-		{seed: 5},
-	);
-	t.pass();
-});
+				const sum = [...cluster.tasks.values()].reduce(
+					(total, each) => total + each.estimate.mean.cores,
+					0,
+				);
+				const loads = [...cluster.loads.values()];
+				return (
+					placement.getCustomerUsage(cluster, 'c').cores === sum &&
+					loads.reduce((total, each) => total + each.reserved.cores, 0) ===
+						sum &&
+					loads.reduce((total, each) => total + each.tasks.size, 0) ===
+						cluster.tasks.size
+				);
+			}),
+			{seed: 5},
+		);
+		t.pass();
+	},
+);
 
-tap.t.test('estimates follow use; an old report changes nothing', async (t) => {
+tap.t.test('estimates follow usage and ignore outdated samples', async (t) => {
 	const declared = {cores: 8, memoryMb: 8000, accelerators: 1};
-	const young = placement.estimateUsage({declared}, undefined);
-	t.ok(young.deviation.cores > 0, 'a declaration alone is uncertain');
+	const initial = placement.estimateUsage({declared}, undefined);
+	t.ok(initial.deviation.cores > 0, 'a declaration alone is uncertain');
 	let history: placement.UsageHistory | undefined;
 	for (let at = 1; at <= 20; at += 1) {
 		const sample = {cores: 2, memoryMb: 32_000, measuredAt: at};
 		history = placement.addSample(history, sample);
 	}
 
-	const old = {cores: 99, memoryMb: 1, measuredAt: 3};
-	t.equal(placement.addSample(history, old), history);
+	const outdated = {cores: 99, memoryMb: 1, measuredAt: 3};
+	t.equal(placement.addSample(history, outdated), history);
 	t.same(
 		placement.estimateUsage({declared}, history),
-		certain({cores: 2, memoryMb: 32_000, accelerators: 1}),
+		createCertainEstimate({cores: 2, memoryMb: 32_000, accelerators: 1}),
 	);
 });
 
-tap.t.test('a habit of declaring is learned in both ways', async (t) => {
-	let model = placement.emptyDeclarationModel;
-	for (let index = 0; index < 200; index += 1) {
-		const used = 2 ** (index % 4);
-		// Off by half or double in turns, around three times too much.
-		const error = index % 8 < 4 ? 0.5 : 2;
-		model = placement.addDeclaration(model, 3 * error * used, used);
-	}
+tap.t.test(
+	'the declaration model corrects consistent over-declaration',
+	async (t) => {
+		let model = placement.emptyDeclarationModel;
+		for (let index = 0; index < 200; index += 1) {
+			const used = 2 ** (index % 4);
+			// Declares three times the usage on average, off by a factor of two.
+			const error = index % 8 < 4 ? 0.5 : 2;
+			model = placement.addDeclaration(model, 3 * error * used, used);
+		}
 
-	const fit = placement.fitDeclarations(model);
-	const {mean} = placement.predictUsage(fit, 12);
-	t.ok(mean > 2.5 && mean < 6, `12 declared, ${mean} expected`);
-	const far = placement.predictUsage(fit, 48).mean;
-	t.ok(far > 4 && far < 16, `48 declared, ${far} expected`);
-	t.same(placement.predictUsage(fit, 0), {mean: 0, deviation: 0});
-});
+		const fit = placement.fitDeclarations(model);
+		const {mean} = placement.predictUsage(fit, 12);
+		t.ok(mean > 2.5 && mean < 6, `12 declared, ${mean} expected`);
+		const larger = placement.predictUsage(fit, 48).mean;
+		t.ok(larger > 4 && larger < 16, `48 declared, ${larger} expected`);
+		t.same(placement.predictUsage(fit, 0), {mean: 0, deviation: 0});
+	},
+);
 
-tap.t.test('the margin is for the sum, not for each task', async (t) => {
+tap.t.test('the margin applies to the sum, not to each task', async (t) => {
 	const estimate = {
 		mean: {cores: 4, memoryMb: 1, accelerators: 0},
 		deviation: {cores: 2, memoryMb: 0, accelerators: 0},
@@ -268,34 +301,39 @@
 			memoryMb: 1,
 		},
 	);
-	t.equal(need.cores, 16 + 4, 'four deviations of 2 add up to 4, not 8');
+	t.equal(need.cores, 16 + 4, 'four deviations of 2 combine to 4, not 8');
 });
 
-tap.t.test('the customer with the least of its quota goes first', async (t) => {
-	const cluster = createCluster([createTask('x', 'w0', {customer: 'a'})]);
-	const pending = [
-		createJob({id: '1', customer: 'a', submittedAt: 1}),
-		createJob({id: '2', customer: 'b', submittedAt: 2}),
-		createJob({id: '3', customer: 'a', submittedAt: 3, urgent: true}),
-		createJob({id: '4', customer: 'none', submittedAt: 0}),
-	];
-	const quotas = new Map([
-		['a', quota],
-		['b', quota],
-	]);
-	const ordered = placement.sortPending(cluster, pending, quotas);
-	t.same(
-		ordered.map((each) => each.id),
-		['3', '2', '1', '4'],
-	);
-});
+tap.t.test(
+	'the customer with the smallest quota share goes first',
+	async (t) => {
+		const cluster = createCluster([createTask('x', 'w0', {customer: 'a'})]);
+		const pending = [
+			createJob({id: '1', customer: 'a', submittedAt: 1}),
+			createJob({id: '2', customer: 'b', submittedAt: 2}),
+			createJob({id: '3', customer: 'a', submittedAt: 3, urgent: true}),
+			createJob({id: '4', customer: 'none', submittedAt: 0}),
+		];
+		const quotas = new Map([
+			['a', quota],
+			['b', quota],
+		]);
+		const ordered = placement.sortPending(cluster, pending, quotas);
+		t.same(
+			ordered.map((each) => each.id),
+			['3', '2', '1', '4'],
+		);
+	},
+);
 
 const {settleMs, stayMs} = placement.defaultRelocationConfig;
 
-const over = [
-	createTask('a', 'w0', {estimate: certain({...capacity, cores: 30})}),
+const overloaded = [
+	createTask('a', 'w0', {
+		estimate: createCertainEstimate({...capacity, cores: 30}),
+	}),
 	createTask('b', 'w0', {
-		estimate: certain({cores: 10, memoryMb: 1, accelerators: 0}),
+		estimate: createCertainEstimate({cores: 10, memoryMb: 1, accelerators: 0}),
 	}),
 ];
 
@@ -303,22 +341,30 @@
 	[string, placement.PlacedTask[], number, number, string[]]
 > = [
 	[
-		'an over-full worker sheds its smallest enough',
-		over,
+		'an overloaded worker sheds the smallest sufficient task',
+		overloaded,
 		0,
 		settleMs + stayMs,
 		['b'],
 	],
-	['not before it has settled', over, stayMs, settleMs + stayMs - 1, []],
-	['not soon after the last move', over, 0, stayMs - 1, []],
+	['no move before settleMs', overloaded, stayMs, settleMs + stayMs - 1, []],
+	['no move within stayMs of the last one', overloaded, 0, stayMs - 1, []],
 	[
-		'a nearly empty worker is emptied',
+		'a nearly empty worker sheds its task',
 		[
 			createTask('a', 'w0', {
-				estimate: certain({cores: 1, memoryMb: 1, accelerators: 0}),
+				estimate: createCertainEstimate({
+					cores: 1,
+					memoryMb: 1,
+					accelerators: 0,
+				}),
 			}),
 			createTask('b', 'w1', {
-				estimate: certain({cores: 16, memoryMb: 1, accelerators: 0}),
+				estimate: createCertainEstimate({
+					cores: 16,
+					memoryMb: 1,
+					accelerators: 0,
+				}),
 			}),
 		],
 		0,
@@ -327,11 +373,15 @@
 	],
 ];
 
-for (const [name, tasks, seenAt, now, moved] of relocations) {
+for (const [name, tasks, firstObservedAt, now, moved] of relocations) {
 	tap.t.test(name, async (t) => {
 		const cluster = createCluster(tasks);
-		const seen = placement.observeLoads(cluster, new Map(), seenAt);
-		const observed = placement.observeLoads(cluster, seen, now);
+		const firstObserved = placement.observeLoads(
+			cluster,
+			new Map(),
+			firstObservedAt,
+		);
+		const observed = placement.observeLoads(cluster, firstObserved, now);
 		const chosen = placement.chooseRelocations(cluster, observed, now);
 		t.same(
 			chosen.map((each) => each.job),
--- a/packages/core/src/waves/blocker.test.ts
+++ b/packages/core/src/waves/blocker.test.ts
@@ -19,19 +19,31 @@
 	reserves: new Map(),
 });
 
-const obstacleTable: Array<
+const blockerTable: Array<
 	[string, Partial<CombinedTerms>, number, string, string]
 > = [
-	['possible', {}, 1, '', ''],
+	['no blocker', {}, 1, '', ''],
 	['maxAway is 0', {maxAway: 0}, 1, 'never-allowed', 'isarwelle'],
-	['all are kept', {keepExecutors: 4}, 1, 'never-allowed', 'harrowby'],
-	['two rounds in one', {maxAway: 2}, 0.3, 'too-slow', 'isarwelle'],
-	['one at a time', {keepExecutors: 3}, 0.8, 'too-slow', 'harrowby'],
+	[
+		'keepExecutors covers all executors',
+		{keepExecutors: 4},
+		1,
+		'never-allowed',
+		'harrowby',
+	],
+	['time for one of two rounds', {maxAway: 2}, 0.3, 'too-slow', 'isarwelle'],
+	[
+		'time for three of four rounds',
+		{keepExecutors: 3},
+		0.8,
+		'too-slow',
+		'harrowby',
+	],
 ];
 
-for (const [name, change, hours, kind, customer] of obstacleTable) {
-	tap.t.test(`obstacle: ${name}`, async (t) => {
-		const [found] = waves.findBlockers(
+for (const [name, change, hours, kind, customer] of blockerTable) {
+	tap.t.test(`blocker: ${name}`, async (t) => {
+		const [blocker] = waves.findBlockers(
 			{
 				pools: ['quote'],
 				settings: waves.waveDefaults,
@@ -40,7 +52,7 @@
 			},
 			createFacts({...terms, ...change}),
 		);
-		t.equal(found?.kind ?? '', kind);
-		t.match(found ?? {customer}, {customer});
+		t.equal(blocker?.kind ?? '', kind);
+		t.match(blocker ?? {customer}, {customer});
 	});
 }
--- a/packages/core/src/waves/evacuation.test.ts
+++ b/packages/core/src/waves/evacuation.test.ts
@@ -11,19 +11,19 @@
 }> = [
 	{name: 'no jobs', input: {jobs: []}, moves: [], waitHours: 0},
 	{
-		name: 'short jobs run out',
+		name: 'waits for short jobs',
 		input: {jobs: [createJob('a', 0.2), createJob('b', 0.1)]},
 		moves: [],
 		waitHours: 0.2,
 	},
 	{
-		name: 'a long job moves, a short one runs out',
+		name: 'moves a long job and waits for a short one',
 		input: {jobs: [createJob('long', 30), createJob('short', 0.2)]},
 		moves: ['long'],
 		waitHours: 0.2,
 	},
 	{
-		name: 'moves that cost nothing are made at once',
+		name: 'moves at once if moves cost nothing',
 		input: {
 			jobs: [createJob('a', 0.2)],
 			weights: {...weights, moves: 0},
@@ -32,13 +32,13 @@
 		waitHours: 0,
 	},
 	{
-		name: 'one that may not move is waited for, and others with it',
+		name: 'waits for an immovable job and for others that end before it',
 		input: {jobs: [createJob('fixed', 5, 'none'), createJob('b', 4)]},
 		moves: [],
 		waitHours: 5,
 	},
 	{
-		name: 'a restart costs the work that it repeats',
+		name: 'counts repeated work as a cost of a restart',
 		input: {
 			jobs: [
 				{...createJob('old', 8, 'restart'), elapsedMs: 100 * hourMs},
@@ -50,13 +50,13 @@
 		waitHours: 8,
 	},
 	{
-		name: 'past the deadline it moves however long it may wait',
+		name: 'moves jobs that would end after the deadline',
 		input: {jobs: [createJob('a', 1)], untilDeadlineMs: 0.5 * hourMs},
 		moves: ['a'],
 		waitHours: 0,
 	},
 	{
-		name: 'a wait that has cost the move ends, whatever is estimated',
+		name: 'moves once the wait has cost as much as the move',
 		input: {jobs: [createJob('a', 0.1)], waitedMs: 10 * hourMs},
 		moves: ['a'],
 		waitHours: 0,
@@ -81,7 +81,7 @@
 	});
 }
 
-tap.t.test('evacuation: no other wait costs less', async (t) => {
+tap.t.test('evacuation: no other waiting time costs less', async (t) => {
 	const jobs = fc.array(
 		fc.record({
 			cores: fc.integer({min: 1, max: 3}),
@@ -89,10 +89,10 @@
 		}),
 		{maxLength: 6},
 	);
-	const property = fc.property(jobs, fc.nat(20), (drawn, moveTenths) => {
+	const property = fc.property(jobs, fc.nat(20), (jobSpecs, moveTenths) => {
 		const input = {
 			cores: 18,
-			jobs: drawn.map(({cores, hours}, index) => ({
+			jobs: jobSpecs.map(({cores, hours}, index) => ({
 				...createJob(`j${index}`, hours),
 				cores,
 			})),
@@ -101,14 +101,16 @@
 			untilDeadlineMs: 24 * hourMs,
 		};
 		const best = waves.planEvacuation(input);
-		return [0, ...drawn.map(({hours}) => hours)].every((hours) => {
-			const left = input.jobs.filter((job) => job.remainingMs > hours * hourMs);
-			const busy = drawn
+		return [0, ...jobSpecs.map(({hours}) => hours)].every((hours) => {
+			const moved = input.jobs.filter(
+				(job) => job.remainingMs > hours * hourMs,
+			);
+			const busy = jobSpecs
 				.filter((each) => each.hours <= hours)
 				.reduce((sum, each) => sum + each.cores * each.hours, 0);
 			const idle = Math.max(0, 18 * hours - busy);
 			const cost =
-				left.length * input.weights.moves + 0.01 * idle + 0.1 * hours;
+				moved.length * input.weights.moves + 0.01 * idle + 0.1 * hours;
 			return best.cost <= cost + 1e-9;
 		});
 	});
--- a/packages/core/src/waves/preview.test.ts
+++ b/packages/core/src/waves/preview.test.ts
@@ -99,10 +99,10 @@
 const table: Array<
 	[string, waves.WaveContext, Partial<waves.PreviewResult>, minutes: number]
 > = [
-	['a rack at a time', createContext(3, 2), {moves: 0, skipped: []}, 45],
+	['one rack at a time', createContext(3, 2), {moves: 0, skipped: []}, 45],
 	['two racks at a time', createContext(4, 4), {moves: 0, skipped: []}, 30],
 	[
-		'jobs that move when there is no time to wait',
+		'moves jobs when there is no time to wait',
 		createContext(2, 2, [job], {
 			deadline: 120 * minuteMs,
 			settings: {...waves.waveDefaults, deferWithinMs: 0},
@@ -111,7 +111,7 @@
 		30,
 	],
 	[
-		'jobs that may not move outlast the deadline',
+		'skips instances whose immovable jobs outlast the deadline',
 		createContext(1, 2, [{...job, movability: 'none'}], {
 			deadline: 120 * minuteMs,
 		}),
@@ -130,9 +130,9 @@
 }
 
 const waitTable: Array<[string, waves.WaveContext, object[]]> = [
-	['nothing is begun yet', createContext(1, 2), [{kind: 'put-off'}]],
+	['deferred racks', createContext(1, 2), [{kind: 'put-off'}]],
 	[
-		'the budget has nothing left',
+		'an exhausted budget',
 		createContext(1, 0),
 		[{kind: 'budget', refusal: {kind: 'max-away', customer: 'isarwelle'}}],
 	],
@@ -150,7 +150,7 @@
 	});
 }
 
-const phaseTable: Array<
+const memberWaitTable: Array<
 	[string, waves.MemberPhase, Partial<waves.InstanceFacts>, object]
 > = [
 	[
@@ -159,11 +159,16 @@
 		{jobs: [{...job, movability: 'none'}]},
 		{kind: 'job', job: 'j', isMovable: false},
 	],
-	['a drain', takenAt(0), {state: 'draining'}, {kind: 'drain', sinceMs: 0}],
-	['a restart', takenAt(0), {state: 'away'}, {kind: 'restart'}],
 	[
-		'proof',
-		takenAt(0),
+		'a drain',
+		createTakenPhase(0),
+		{state: 'draining'},
+		{kind: 'drain', sinceMs: 0},
+	],
+	['a restart', createTakenPhase(0), {state: 'away'}, {kind: 'restart'}],
+	[
+		'probes',
+		createTakenPhase(0),
 		{
 			state: 'returning',
 			evidence: {
@@ -175,10 +180,15 @@
 		},
 		{kind: 'proof'},
 	],
-	['one that is lost', {...takenAt(0), isLost: true}, {}, {kind: 'lost'}],
+	[
+		'a lost instance',
+		{...createTakenPhase(0), isLost: true},
+		{},
+		{kind: 'lost'},
+	],
 ];
 
-function takenAt(since: number) {
+function createTakenPhase(since: number) {
 	return {
 		kind: 'taken' as const,
 		since,
@@ -189,13 +199,13 @@
 	};
 }
 
-for (const [name, phase, change, expected] of phaseTable) {
+for (const [name, phase, change, expected] of memberWaitTable) {
 	tap.t.test(`waits: ${name}`, async (t) => {
 		const context = createContext(1, 2);
-		const known = context.facts.instances;
+		const original = context.facts.instances;
 		const instances = {
 			get: (id: string) =>
-				id === 'w0' ? {...known.get(id)!, ...change} : known.get(id),
+				id === 'w0' ? {...original.get(id)!, ...change} : original.get(id),
 		};
 		waves.updatePhase(context.progress, ['w0'], phase);
 		const facts = {...context.facts, instances};
--- a/packages/core/src/waves/step.test.fixture.ts
+++ b/packages/core/src/waves/step.test.fixture.ts
@@ -1,4 +1,4 @@
-/** Four instances in two racks of one pool, and a wave over them. */
+/** A wave over four instances in two racks of one pool, for tests. */
 import {
 	createLedger,
 	markLost,
@@ -47,7 +47,7 @@
 });
 
 export const weights = {moves: 1, bufferCoreHours: 0.01, rollOutHours: 0.1};
-/** A worker of the one pool. */
+/** Creates a worker of the pool. */
 export const createInstance = (id: string, rack: string): Instance => ({
 	id,
 	kind: 'worker',
@@ -60,7 +60,10 @@
 	rack,
 });
 
-/** Facts of an instance of 8 cores that is up and idle. */
+/**
+ * Creates the facts of an instance with 8 cores that is listed as live and
+ * idle.
+ */
 export const createInstanceFacts = (
 	{id, pool, state}: Instance,
 	changes: Partial<waves.InstanceFacts> = {},
--- a/packages/core/src/waves/step.test.ts
+++ b/packages/core/src/waves/step.test.ts
@@ -15,14 +15,14 @@
 import * as waves from './index.js';
 
 const stepTable: Array<[string, waves.WaveContext, string[]]> = [
-	['a whole rack is begun', createContext(), ['evacuate a0,a1']],
+	['evacuates a whole rack', createContext(), ['evacuate a0,a1']],
 	[
-		'a pool without services: a tenth at once, at least one',
+		'pool without services: limited to a tenth at once, at least one',
 		createContext({}, {}, {...createFacts(), servicesByPool: new Map()}),
 		['evacuate a0'],
 	],
 	[
-		'an instance that the list does not show is left for later',
+		'defers an instance that is not listed',
 		createContext(
 			{a1: done},
 			{},
@@ -30,15 +30,19 @@
 		),
 		['evacuate b0,b1'],
 	],
-	['a planned wave does nothing', createContext({}, {state: 'planned'}), []],
-	['a paused wave begins nothing', createContext({}, {state: 'paused'}), []],
+	['does nothing in a planned wave', createContext({}, {state: 'planned'}), []],
 	[
-		'a paused wave lets go of what still serves',
+		'starts no evacuation in a paused wave',
+		createContext({}, {state: 'paused'}),
+		[],
+	],
+	[
+		'releases evacuating instances in a paused wave',
 		createContext({a0: evacuating}, {state: 'paused'}),
 		['release a0'],
 	],
 	[
-		'a cancelled wave brings back what is away',
+		'returns withdrawn instances in a cancelled wave',
 		createContext(
 			{a0: taken},
 			{state: 'cancelled'},
@@ -47,12 +51,12 @@
 		['give-back a0'],
 	],
 	[
-		'an empty rack is taken whole',
+		'withdraws an empty rack as a whole',
 		createContext({a0: evacuating, a1: evacuating}),
 		['take a0,a1'],
 	],
 	[
-		'a rack with a job waits for it, if only whole racks are taken',
+		'waits for the job on a rack with only-whole',
 		createContext(
 			{a0: evacuating, a1: evacuating},
 			onlyWhole,
@@ -61,7 +65,7 @@
 		[],
 	],
 	[
-		'else what is empty is taken',
+		'withdraws the empty part of a rack with prefer-whole',
 		createContext(
 			{a0: evacuating, a1: evacuating},
 			{},
@@ -70,12 +74,12 @@
 		['take a1'],
 	],
 	[
-		'loss uses the budget: nothing is begun',
+		'starts no evacuation while losses use up the budget',
 		createContext({}, {}, createFacts({}, createLedgerWithLost(['b0', 'b1']))),
 		[],
 	],
 	[
-		'loss after the emptying began: the take waits',
+		'defers the withdrawal while losses use up the budget',
 		createContext(
 			{a0: evacuating},
 			{},
@@ -84,7 +88,7 @@
 		[],
 	],
 	[
-		'one that is lost while it is emptied is let go',
+		'releases an instance that is lost during its evacuation',
 		createContext(
 			{a0: evacuating},
 			{},
@@ -93,7 +97,7 @@
 		['release a0'],
 	],
 	[
-		'a job moves to a worker that is done',
+		'moves a job to a maintained worker',
 		createContext(
 			{a0: evacuating, b0: done},
 			{deadline: 2 * hourMs},
@@ -102,7 +106,7 @@
 		['move j b0', 'evacuate a1'],
 	],
 	[
-		'a job is held if no worker that is done has room',
+		'holds a job if no maintained worker has room',
 		createContext(
 			{a0: evacuating, b0: done},
 			{deadline: 2 * hourMs},
@@ -111,7 +115,7 @@
 		['move j held', 'evacuate a1'],
 	],
 	[
-		'drained: it is stopped',
+		'stops a drained instance',
 		createContext(
 			{a0: taken, a1: done, b0: done, b1: done},
 			{},
@@ -120,7 +124,7 @@
 		['stop a0'],
 	],
 	[
-		'not drained: it is waited for',
+		'waits for a drain',
 		createContext(
 			{a0: taken, a1: done, b0: done, b1: done},
 			{},
@@ -129,7 +133,7 @@
 		[],
 	],
 	[
-		'listed in its old life: still away',
+		'waits while the old incarnation is listed',
 		createContext(
 			{a0: taken, a1: done, b0: done, b1: done},
 			{},
@@ -138,7 +142,7 @@
 		[],
 	],
 	[
-		'listed in a new life: it returns',
+		'starts the return once a new incarnation is listed',
 		createContext(
 			{a0: taken, a1: done, b0: done, b1: done},
 			{},
@@ -149,7 +153,7 @@
 		['return a0'],
 	],
 	[
-		'not back in time: it counts as lost',
+		'gives up on an instance that did not return in time',
 		createContext(
 			{a0: taken, a1: done, b0: done, b1: done},
 			{},
@@ -159,7 +163,7 @@
 		['give-up a0'],
 	],
 	[
-		'lost at the deadline: left out',
+		'skips a lost instance at the deadline',
 		createContext(
 			{a0: {...taken, isLost: true}, a1: done, b0: done, b1: done},
 			{deadline: hourMs},
@@ -168,18 +172,18 @@
 		['skip a0 did-not-return'],
 	],
 	[
-		'after the deadline what has not begun is left out',
+		'skips pending instances after the deadline',
 		createContext({a0: done, a1: done}, {deadline: hourMs}),
 		['skip b0,b1 deadline'],
 	],
 	[
-		'all done: the wave ends',
+		'finishes once all instances are done',
 		createContext({a0: done, a1: done, b0: done, b1: done}),
 		['finish'],
 	],
 ];
 
-const printAction = (action: waves.WaveAction): string => {
+const formatAction = (action: waves.WaveAction): string => {
 	switch (action.kind) {
 		case 'move': {
 			return `move ${action.job.id} ${action.to ?? 'held'}`;
@@ -212,14 +216,14 @@
 	tap.t.test(`step: ${name}`, async (t) => {
 		const actions = waves.stepWave(context, 16);
 		t.same(
-			actions.map((action) => printAction(action)),
+			actions.map((action) => formatAction(action)),
 			expected,
 		);
 	});
 }
 
 tap.t.test(
-	'a dear rack is put off until the delay has cost as much',
+	'defers an expensive rack until the delay has cost as much',
 	async (t) => {
 		const settings = {...waves.waveDefaults, weights};
 		const jobs = [createJob('fixed', 6, 'none')];
@@ -229,14 +233,14 @@
 			b0: {jobs},
 			b1: {jobs},
 		});
-		const begins = (hours: number) => {
+		const startsEvacuation = (hours: number) => {
 			const context = createContext({}, {settings}, facts, hours * hourMs);
 			return waves.stepWave(context, 16).length > 0;
 		};
 
-		t.notOk(begins(1));
-		t.notOk(begins(7));
-		t.ok(begins(9));
+		t.notOk(startsEvacuation(1));
+		t.notOk(startsEvacuation(7));
+		t.ok(startsEvacuation(9));
 	},
 );
 
@@ -250,31 +254,31 @@
 	];
 
 for (const [phase, hasMoved, expected] of adviceTable) {
-	tap.t.test(`advice: ${phase.kind}, moved ${hasMoved}`, async (t) => {
-		const {progress} = createContext({a0: phase});
-		t.equal(waves.getPlacementAdvice(progress, 'a0', hasMoved), expected);
-	});
+	tap.t.test(
+		`placement advice: ${phase.kind}, moved ${hasMoved}`,
+		async (t) => {
+			const {progress} = createContext({a0: phase});
+			t.equal(waves.getPlacementAdvice(progress, 'a0', hasMoved), expected);
+		},
+	);
 }
 
-tap.t.test(
-	'room promised to a job on its way is not promised twice',
-	async (t) => {
-		const context = createContext(
-			{b0: done},
-			{},
-			createFacts({b0: {coresFree: 6}}),
-		);
-		const job = createJob('j', 1);
-		t.equal(waves.pickTarget(context, 'quote', job), 'b0');
-		const {cores, memoryMb} = job;
-		waves.updateJobMove(context.progress, 'j', {
-			from: 'a0',
-			to: 'b0',
-			cores,
-			memoryMb,
-		});
-		t.equal(waves.pickTarget(context, 'quote', job), undefined);
-		waves.updateJobMove(context.progress, 'j', undefined);
-		t.equal(waves.pickTarget(context, 'quote', job), 'b0');
-	},
-);
+tap.t.test('reserves room for a job move only once', async (t) => {
+	const context = createContext(
+		{b0: done},
+		{},
+		createFacts({b0: {coresFree: 6}}),
+	);
+	const job = createJob('j', 1);
+	t.equal(waves.pickTarget(context, 'quote', job), 'b0');
+	const {cores, memoryMb} = job;
+	waves.updateJobMove(context.progress, 'j', {
+		from: 'a0',
+		to: 'b0',
+		cores,
+		memoryMb,
+	});
+	t.equal(waves.pickTarget(context, 'quote', job), undefined);
+	waves.updateJobMove(context.progress, 'j', undefined);
+	t.equal(waves.pickTarget(context, 'quote', job), 'b0');
+});
--- a/packages/core/src/waves/wave.test.ts
+++ b/packages/core/src/waves/wave.test.ts
@@ -34,7 +34,7 @@
 ];
 
 for (const [state, command, expected] of stateTable) {
-	tap.t.test(`a wave that is ${state}: ${command}`, async (t) => {
+	tap.t.test(`command ${command} on a ${state} wave`, async (t) => {
 		const result = waves.applyWaveCommand(createWave(state), command, 7);
 		t.equal(result.ok ? result.value.state : result.error.kind, expected);
 	});
