--- a/packages/core/src/budget/ledger.ts
+++ b/packages/core/src/budget/ledger.ts
@@ -1,8 +1,8 @@
 /**
  * The budget ledger of one service: which of its executors are withdrawn, which
  * are lost, and the contract terms that apply. One row per service; every
- * change is conditional on the version of the row. Source:
- * docs/design/budget.md.
+ * change is conditional on the version of the row.
+ * Source: docs/design/budget.md.
  */
 import type {Instance} from '../types/instance.js';
 import type {CombinedTerms} from './terms.js';
--- a/packages/core/src/budget/lost-instances.ts
+++ b/packages/core/src/budget/lost-instances.ts
@@ -1,5 +1,5 @@
 /**
- * Records unplanned loss of instances. Each ledger is updated on its own, since
+ * Records unplanned loss of instances. Each ledger changes separately, since
  * recording a loss needs no capacity from other services.
  */
 import type {Instance} from '../types/instance.js';
@@ -7,8 +7,9 @@
 import {createLedgerPut, updateEntry, type Ledger} from './ledger.js';
 
 /**
- * Records serving instances as lost. Instances that are withdrawn stay so,
- * since each counts once either way. Returns undefined if nothing changes.
+ * Creates the write that records serving instances as lost. Withdrawn instances
+ * stay `away`, since each instance counts once either way. Returns undefined if
+ * nothing changes.
  */
 export const markLost = (
 	ledger: Versioned<Ledger>,
@@ -28,9 +29,10 @@
 };
 
 /**
- * Records lost instances as serving again once they are healthy. An instance
- * whose row is not `serving` stays lost: no entry routes to it yet, and
- * `returnInstance` completes its return. Returns undefined if nothing changes.
+ * Creates the write that records lost instances as serving again once they are
+ * healthy. An instance whose row is not `serving` stays lost: no entry routes
+ * to it yet, and `returnInstance` completes its return. Returns undefined if
+ * nothing changes.
  */
 export const markRecovered = (
 	ledger: Versioned<Ledger>,
@@ -49,9 +51,9 @@
 };
 
 /**
- * Records a withdrawn instance that did not return in time as lost: it still
- * counts, but no longer as part of its wave. Returns undefined if the instance
- * is not away.
+ * Creates the write that records a withdrawn instance as lost because it did
+ * not return in time: it still counts, but no longer as part of its wave.
+ * Returns undefined if the instance is not away.
  */
 export const convertAwayToLost = (
 	ledger: Versioned<Ledger>,
--- a/packages/core/src/budget/move-ledgers.ts
+++ b/packages/core/src/budget/move-ledgers.ts
@@ -2,8 +2,8 @@
  * Ledger changes of a move between pools. The start of a move withdraws the
  * instance (`withdrawInLedgers` with `noWaveId`); its end removes the instance
  * from the ledgers of the old pool and adds it to those of the new pool, in the
- * transaction of `commitMove`. Source: spec/ledger.pml (move_counts,
- * move_ledgers).
+ * transaction of `commitMove`.
+ * Source: spec/ledger.pml (move_counts, move_ledgers).
  */
 import type {Instance} from '../types/instance.js';
 import {fail, succeed, type Result} from '../types/result.js';
--- a/packages/core/src/budget/return-instance.ts
+++ b/packages/core/src/budget/return-instance.ts
@@ -83,9 +83,9 @@
 };
 
 /**
- * Returns the instance row to `serving` and its ledger entries to serving, in
- * one transaction. Fails if evidence is missing, the instance is not
- * `returning`, or a ledger is missing.
+ * Creates the writes that return the instance row and its ledger entries to
+ * `serving`, for one transaction. Fails if evidence is missing, the instance is
+ * not `returning`, or a ledger is missing.
  */
 export const returnInstance = (
 	request: ReturnRequest,
--- a/packages/core/src/budget/withdraw-instances.ts
+++ b/packages/core/src/budget/withdraw-instances.ts
@@ -131,9 +131,9 @@
 };
 
 /**
- * Records the instances as away in the ledger of every service on their pools.
- * Returns only the ledger writes, for callers that write the instances
- * themselves.
+ * Creates the writes that record the instances as away in the ledger of every
+ * service on their pools; only the ledger writes, for callers that write the
+ * instances themselves.
  */
 export const withdrawInLedgers = (
 	request: WithdrawalRequest,
@@ -165,8 +165,9 @@
 };
 
 /**
- * Withdraws all instances of the request or none: each becomes `draining` and
- * is recorded as away in the ledger of every service on its pool.
+ * Creates the writes that withdraw all instances of the request, or fails if
+ * any is refused: each instance becomes `draining` and is recorded as away in
+ * the ledger of every service on its pool.
  */
 export const withdrawInstances = (
 	request: WithdrawalRequest,
--- a/packages/core/src/instances/move.ts
+++ b/packages/core/src/instances/move.ts
@@ -191,8 +191,9 @@
 
 /**
  * Decides the next step of a move. The drain completes only if every registered
- * entry routes by its revision or a newer one with no request to the instance
- * in flight, and no entry has joined or left between the read and the commit.
+ * entry routes by the revision of the drain or a newer one, none has a request
+ * to the instance in flight, and no entry has joined or left between the read
+ * and the commit.
  */
 export const decideMove = (
 	move: ReadRow<Move>,
--- a/packages/core/src/instances/ownership-system.test.fixture.ts
+++ b/packages/core/src/instances/ownership-system.test.fixture.ts
@@ -34,7 +34,7 @@
 	| 'version';
 
 type Entry = {
-	life: number;
+	incarnation: number;
 	isUp: boolean;
 	revision: number;
 	rowVersion: number;
@@ -66,7 +66,7 @@
 	const store = createStore();
 	const history: Instance[] = [initialInstance];
 	const entries = [0, 1, 2].map((): Entry => ({
-		life: 0,
+		incarnation: 0,
 		isUp: false,
 		revision: 0,
 		rowVersion: 0,
@@ -158,7 +158,7 @@
 		quorum: [],
 		upMs: 60_000,
 		acknowledged: createAcknowledgement(
-			{entry: `e${index}`, incarnation: `${entry.life}`},
+			{entry: `e${index}`, incarnation: `${entry.incarnation}`},
 			entry.sequence,
 			{
 				view: createView(system, entry.revision),
@@ -245,7 +245,7 @@
 		const entry = system.entries[index]!;
 		if (!entry.isUp) {
 			entry.isUp = true;
-			entry.life += 1;
+			entry.incarnation += 1;
 			entry.revision = 0;
 			entry.rowVersion = 0;
 		}
@@ -319,7 +319,7 @@
 		const entry = system.entries[index]!;
 		const row = system.store.read<Registration>('entry', `e${index}`);
 		const incarnation = row?.value.acknowledged.incarnation;
-		if (row && (!entry.isUp || incarnation !== `${entry.life}`)) {
+		if (row && (!entry.isUp || incarnation !== `${entry.incarnation}`)) {
 			system.store.commit(removeEntry(`e${index}`, row.version, 'e9'));
 		}
 	},
--- a/packages/core/src/instances/ownership.test.ts
+++ b/packages/core/src/instances/ownership.test.ts
@@ -22,13 +22,16 @@
 const createCommand = (name: Action, index: number, age: number) => ({
 	check: () => true,
 	run(_model: {steps: number}, system: System) {
-		const before = system.entries.map(({revision, life}) => ({revision, life}));
+		const before = system.entries.map(({revision, incarnation}) => ({
+			revision,
+			incarnation,
+		}));
 		actions[name](system, index, age);
 		checkProperties(system);
-		for (const [at, {revision, life}] of before.entries()) {
+		for (const [at, {revision, incarnation}] of before.entries()) {
 			const entry = system.entries[at]!;
 			assert.ok(
-				entry.life > life || entry.revision >= revision,
+				entry.incarnation > incarnation || entry.revision >= revision,
 				'a running entry never reverts to an older revision',
 			);
 		}
--- a/packages/core/src/placement/declaration-model.ts
+++ b/packages/core/src/placement/declaration-model.ts
@@ -2,12 +2,13 @@
  * Models how the declared sizes of a customer relate to actual usage: a line
  * through the logarithms, fitted by least squares as jobs end. Regression to
  * the mean makes the estimate follow an outlying declaration only in part,
- * unlike a plain ratio. Source: docs/design/placement.md.
+ * unlike a plain ratio.
+ * Source: docs/design/placement.md.
  */
 
 /**
- * Weighted sums of the fit, over logarithms. Weights decay so that the model
- * follows changes.
+ * Weighted sums of the fit; x is the logarithm of a declared size, y of the
+ * used size. Weights decay so that the model follows changes.
  */
 export type DeclarationModel = {
 	readonly weight: number;
--- a/packages/core/src/placement/place-job.ts
+++ b/packages/core/src/placement/place-job.ts
@@ -1,8 +1,8 @@
 /**
  * Chooses the worker for a job: the one that it fills most, spread over racks
  * and availability zones, within the quota of its customer. Urgent jobs may
- * preempt tasks that can be throttled or checkpointed. Source:
- * docs/design/placement.md.
+ * preempt tasks that can be throttled or checkpointed.
+ * Source: docs/design/placement.md.
  */
 import {match} from 'ts-pattern';
 import type {Job, Resources, Worker} from '../types/job.js';
--- a/packages/core/src/placement/relocation.ts
+++ b/packages/core/src/placement/relocation.ts
@@ -2,7 +2,8 @@
  * Decides which running jobs move: those on workers whose estimated usage
  * exceeds their capacity, or on nearly empty workers that can be emptied.
  * Hysteresis limits moves: the state of the worker must last, and a job must
- * not have started or moved recently. Source: docs/design/placement.md.
+ * not have started or moved recently.
+ * Source: docs/design/placement.md.
  */
 import * as clusters from './cluster.js';
 import * as resources from './resources.js';
--- a/packages/core/src/placement/sort-pending.ts
+++ b/packages/core/src/placement/sort-pending.ts
@@ -1,8 +1,8 @@
 /**
  * Order in which pending jobs are placed: urgent jobs by age, then jobs of the
  * customer with the smallest dominant share of its quota (dominant resource
- * fairness), then by age. Source: Ghodsi et al., Dominant Resource Fairness,
- * NSDI 2011.
+ * fairness), then by age.
+ * Source: Ghodsi et al., Dominant Resource Fairness, NSDI 2011.
  */
 import type {Job, Resources} from '../types/job.js';
 import * as clusters from './cluster.js';
--- a/packages/core/src/waves/choose-domain.ts
+++ b/packages/core/src/waves/choose-domain.ts
@@ -35,7 +35,7 @@
  * at least 1.
  */
 const getMaxConcurrent = (facts: WaveFacts, pool: string): number => {
-	let best = Number.MAX_SAFE_INTEGER;
+	let max = Number.MAX_SAFE_INTEGER;
 	for (const service of facts.servicesByPool.get(pool) ?? []) {
 		const ledger = facts.ledgers.get(service);
 		if (ledger) {
@@ -43,11 +43,11 @@
 				getUsage(ledger).total -
 				ledger.terms.keepExecutors -
 				(facts.reserves.get(service) ?? 0);
-			best = Math.min(best, ledger.terms.maxAway, spare);
+			max = Math.min(max, ledger.terms.maxAway, spare);
 		}
 	}
 
-	return Math.max(1, best);
+	return Math.max(1, max);
 };
 
 /** Minimum rounds of withdrawals that a pool still needs. */
@@ -166,11 +166,11 @@
 	maxRounds: number,
 ): number => {
 	const {weights, cycleMs} = progress.wave.settings;
-	const perCycle = (weights.rollOutHours * cycleMs) / hourMs;
+	const costPerCycle = (weights.rollOutHours * cycleMs) / hourMs;
 	let score = 0;
 	for (const {member, cost} of due) {
 		const rounds = getMinRounds(progress, facts, member.pool);
-		score += (perCycle * rounds) / maxRounds - cost;
+		score += (costPerCycle * rounds) / maxRounds - cost;
 	}
 
 	return score / due.length;
@@ -202,8 +202,8 @@
 	const pending = members.filter(({phase}) => phase.kind === 'pending');
 	const isWhole = due.length === pending.length;
 	const {domains} = progress.wave.settings;
-	const mayBePart = domains === 'prefer-whole' || isTooLarge(facts, members);
-	if (due.length === 0 || (!isWhole && !mayBePart)) {
+	const mayBePartial = domains === 'prefer-whole' || isTooLarge(facts, members);
+	if (due.length === 0 || (!isWhole && !mayBePartial)) {
 		return undefined;
 	}
 
@@ -238,8 +238,8 @@
 		}
 	}
 
-	const isInOrder = progress.wave.settings.order === 'by-availability-zone';
-	const from = isInOrder && best ? 0 : cursors.pending + size;
+	const isZoneOrder = progress.wave.settings.order === 'by-availability-zone';
+	const from = isZoneOrder && best ? 0 : cursors.pending + size;
 	cursors.pending = from % Math.max(1, pendingDomains.length);
 	return best;
 };
--- a/packages/core/src/waves/facts.ts
+++ b/packages/core/src/waves/facts.ts
@@ -17,7 +17,7 @@
 	readonly id: string;
 	readonly cores: number;
 	readonly memoryMb: number;
-	/** Time since the job started, in milliseconds. */
+	/** Run time of the job so far, in milliseconds. */
 	readonly elapsedMs: number;
 	/** Learned estimate of the remaining run time, in milliseconds. */
 	readonly remainingMs: number;
--- a/packages/core/src/waves/progress.ts
+++ b/packages/core/src/waves/progress.ts
@@ -220,7 +220,7 @@
 export const updateJobMove = (
 	progress: Progress,
 	jobId: string,
-	moving: JobMove | undefined,
+	move: JobMove | undefined,
 ): void => {
 	const previous = progress.jobMoves.get(jobId);
 	if (previous) {
@@ -228,8 +228,8 @@
 		progress.jobMoves.delete(jobId);
 	}
 
-	if (moving) {
-		updateReservation(progress, moving, 1);
-		progress.jobMoves.set(jobId, moving);
+	if (move) {
+		updateReservation(progress, move, 1);
+		progress.jobMoves.set(jobId, move);
 	}
 };
--- a/packages/core/src/waves/settings.ts
+++ b/packages/core/src/waves/settings.ts
@@ -42,7 +42,7 @@
 	 * zones.
 	 */
 	readonly order: WaveOrder;
-	/** Instances of a service that may evacuate beyond its budget. */
+	/** Number of instances of a service that may evacuate ahead of its budget. */
 	readonly lookahead: number;
 	/**
 	 * Maximum share, from 0 to 1, of a pool without services that is in
--- a/packages/core/src/waves/step.ts
+++ b/packages/core/src/waves/step.ts
@@ -1,7 +1,7 @@
 /**
  * One step of a wave: examines a bounded number of racks and returns the
- * actions to take. The next call continues with the remaining racks, so the
- * work per call does not grow with the fleet.
+ * actions to take. The next call continues with the remaining racks, so that no
+ * call blocks the event loop for long in a large fleet.
  */
 import {findReturnBlocker} from '../budget/return-instance.js';
 import type {WaveAction} from './action.js';
@@ -75,8 +75,8 @@
 };
 
 /**
- * Withdraws empty members: all that evacuate, or with `prefer-whole` as many as
- * the budgets allow.
+ * Withdraws the evacuating members if all are empty and the budgets allow them;
+ * with `prefer-whole` also a part of them.
  */
 const getWithdrawal = (
 	{progress, facts}: WaveContext,
--- a/packages/core/src/waves/waits.ts
+++ b/packages/core/src/waves/waits.ts
@@ -1,6 +1,6 @@
 /**
- * Reports to operators what a wave waits for. Source:
- * docs/operators/when-a-wave-waits.md.
+ * Reports to operators what a wave waits for.
+ * Source: docs/operators/when-a-wave-waits.md.
  */
 import {findReturnBlocker} from '../budget/return-instance.js';
 import {getRefusal, type BudgetRefusal} from '../budget/withdraw-instances.js';
@@ -43,12 +43,15 @@
 			readonly instance: string;
 			readonly sinceMs: number;
 	  }
+	/** The instance has not been listed again after its maintenance. */
 	| {
 			readonly kind: 'restart';
 			readonly instance: string;
 			readonly sinceMs: number;
 	  }
+	/** The instance is listed again but has not passed enough probes. */
 	| {readonly kind: 'proof'; readonly instance: string}
+	/** The instance did not return in time and counts as lost. */
 	| {readonly kind: 'lost'; readonly instance: string};
 
 const findLongest = (jobs: readonly RunningJob[]): RunningJob | undefined => {
--- a/packages/core/src/waves/wave.ts
+++ b/packages/core/src/waves/wave.ts
@@ -66,7 +66,9 @@
 			readonly operationId: string;
 			/** Revision of the view in which the instance is draining. */
 			readonly drainRevision: number;
-			/** Incarnation that was listed at the withdrawal; tells a restart. */
+			/**
+			 * Incarnation that was listed at the withdrawal, to detect the restart.
+			 */
 			readonly incarnation: string;
 			/**
 			 * Whether the instance did not return in time and its ledgers record it
