--- a/packages/core/src/scheduler/attempts.ts
+++ b/packages/core/src/scheduler/attempts.ts
@@ -3,7 +3,7 @@
  * the same end may be taken in more than once, also by the next owner: a
  * failure is counted by its run.
  */
-import {listTogether, type Task} from './task.js';
+import {listCoscheduledTasks, type Task} from './task.js';
 
 /**
  * Runs of lasting tasks have no bound, so that only the latest are kept: runs
@@ -28,7 +28,7 @@
 		return false;
 	}
 
-	const members = listTogether(task);
+	const members = listCoscheduledTasks(task);
 	const isCounted = members.some((each) => wasCounted(each, run, maxAttempts));
 	task.failedRuns = [...task.failedRuns, run]
 		.toSorted((one, two) => one - two)
--- a/packages/core/src/scheduler/backlog.test.ts
+++ b/packages/core/src/scheduler/backlog.test.ts
@@ -29,14 +29,14 @@
 	for (let index = 0; index < executors; index++) {
 		const listed = createListed(`x${index}`);
 		const {capacity} = listed;
-		scheduler.listExecutor(owner, {
+		scheduler.recordListedExecutor(owner, {
 			...listed,
 			get capacity() {
 				reads.count += 1;
 				return capacity;
 			},
 		});
-		scheduler.takeLook(owner, owner.executors.get(`x${index}`)!, {
+		scheduler.applyPoll(owner, owner.executors.get(`x${index}`)!, {
 			sentAt: 0,
 			receivedAt: 0,
 			clockMs: 0,
@@ -71,11 +71,11 @@
 	const {owner, reads} = createCountingOwner(20);
 	submitMany(owner, jobs);
 	for (let turn = 1; turn < 20; turn++) {
-		scheduler.planOrders(owner, turn, turn);
+		scheduler.planCommands(owner, turn, turn);
 	}
 
 	reads.count = 0;
-	scheduler.planOrders(owner, 20, 20);
+	scheduler.planCommands(owner, 20, 20);
 	return reads.count;
 };
 
--- a/packages/core/src/scheduler/answers.ts
+++ b/packages/core/src/scheduler/command-answers.ts
@@ -1,10 +1,10 @@
 /** What the answers to orders change. */
 import {match} from 'ts-pattern';
-import {dropTicket} from './advice.js';
-import {dropRun, noteClock, type Executor} from './executor.js';
-import {noteSilence} from './owner.js';
+import {dropTicket} from './placement-advice.js';
+import {removeRun, recordClockReading, type Executor} from './executor.js';
+import {markUnresponsive} from './owner.js';
 import type {Owner} from './owner-state.js';
-import {noteStartOutcome} from './start-window.js';
+import {recordStartOutcome} from './start-window.js';
 import type {Run} from './task.js';
 
 /** Answer to a start. */
@@ -28,7 +28,7 @@
 	'outdated-run' | 'too-late' | 'no-room' | 'ticket' | 'unhealthy' | 'invalid';
 
 /** Answer to any other order. */
-export type OrderAnswer =
+export type CommandAnswer =
 	| {readonly kind: 'done'; readonly clockMs: number}
 	| {readonly kind: 'refused'}
 	| {readonly kind: 'fenced'}
@@ -49,31 +49,31 @@
 export type AnswerEffect = 'none' | 'fenced' | 'other-life' | 'look-again';
 
 /** Takes in the answer to a start. */
-export const takeStartAnswer = (
+export const applyStartAnswer = (
 	owner: Owner,
 	run: Run,
 	answer: StartAnswer,
 	now: number,
 ): AnswerEffect => {
-	owner.startWindow = noteStartOutcome(
+	owner.startWindow = recordStartOutcome(
 		owner.startWindow,
 		{askedAt: run.askedAt, isAnswered: answer.kind !== 'no-answer'},
 		now,
 	);
 	const executor = owner.executors.get(run.executorId);
 	return executor
-		? applyStartAnswer({owner, executor, run, now}, answer)
+		? applyStartOutcome({owner, executor, run, now}, answer)
 		: 'none';
 };
 
-const applyStartAnswer = (
+const applyStartOutcome = (
 	{owner, executor, run, now}: Answered,
 	answer: StartAnswer,
 ): AnswerEffect =>
 	match(answer)
 		.returnType<AnswerEffect>()
 		.with({kind: 'started'}, ({clockMs}) => {
-			noteClock(executor, clockMs, now);
+			recordClockReading(executor, clockMs, now);
 			run.confirmedAt ??= now;
 			run.progressedAt = now;
 			run.state = run.state === 'asked' ? 'running' : run.state;
@@ -81,23 +81,26 @@
 			return 'none';
 		})
 		.with({kind: 'refused'}, ({reason}) => {
-			dropRun(executor, run);
+			removeRun(executor, run);
 			if (reason === 'ticket') {
 				dropTicket(owner, run.task.step, executor.id);
 				return 'none';
 			}
 
-			executor.restsUntil = Math.max(executor.restsUntil, now + refusalRestMs);
+			executor.quarantinedUntil = Math.max(
+				executor.quarantinedUntil,
+				now + refusalRestMs,
+			);
 			return 'none';
 		})
 		.with({kind: 'fenced'}, () => {
-			dropRun(executor, run);
+			removeRun(executor, run);
 			return 'fenced';
 		})
 		.with({kind: 'other-life'}, () => 'other-life')
 		.with({kind: 'no-answer'}, () => {
 			run.state = run.state === 'asked' ? 'unsettled' : run.state;
-			noteSilence(owner, executor.id, now);
+			markUnresponsive(owner, executor.id, now);
 			return 'look-again';
 		})
 		.exhaustive();
@@ -106,36 +109,36 @@
  * Takes in the answer to a stop. Once it is answered, a start of that run can
  * no longer be carried out: the next look tells whether it is there.
  */
-export const takeStopAnswer = (
+export const applyStopAnswer = (
 	owner: Owner,
 	run: Run,
-	answer: OrderAnswer,
+	answer: CommandAnswer,
 	now: number,
 ): AnswerEffect => {
 	const executor = owner.executors.get(run.executorId);
 	return executor
-		? applyOrderAnswer({owner, executor, run, now}, answer)
+		? applyStopOutcome({owner, executor, run, now}, answer)
 		: 'none';
 };
 
-const applyOrderAnswer = (
+const applyStopOutcome = (
 	{owner, executor, run, now}: Answered,
-	answer: OrderAnswer,
+	answer: CommandAnswer,
 ): AnswerEffect =>
 	match(answer)
 		.returnType<AnswerEffect>()
 		.with({kind: 'done'}, ({clockMs}) => {
-			noteClock(executor, clockMs, now);
+			recordClockReading(executor, clockMs, now);
 			run.confirmedAt ??= now;
 			return 'look-again';
 		})
 		.with({kind: 'refused'}, {kind: 'no-answer'}, ({kind}) => {
 			// The order is given again after the next look.
-			run.isStopUnderWay = false;
+			run.isStopPending = false;
 			run.state = run.confirmedAt === undefined ? 'unsettled' : 'running';
 			if (kind === 'no-answer') {
-				run.mayBeStopped = true;
-				noteSilence(owner, executor.id, now);
+				run.mayHaveStopped = true;
+				markUnresponsive(owner, executor.id, now);
 			}
 
 			return 'look-again';
--- a/packages/core/src/scheduler/config.ts
+++ b/packages/core/src/scheduler/config.ts
@@ -12,7 +12,7 @@
 	 * How long an owner acts without having confirmed that it is the owner:
 	 * outages of the store last up to six seconds, and what runs outlives them.
 	 */
-	readonly ownerBeliefMs: number;
+	readonly ownershipTimeoutMs: number;
 	/** Time in which an order that was sent may still be under way. */
 	readonly maxTransitMs: number;
 	/** A lasting task that is not at work after this is started elsewhere. */
@@ -22,11 +22,11 @@
 	/** ... if its progress has stood still for this long. */
 	readonly hangMs: number;
 	/** Failed runs in a row on one executor after which it rests ... */
-	readonly failuresUntilRest: number;
+	readonly failuresUntilQuarantine: number;
 	/** ... for so long. */
-	readonly restMs: number;
+	readonly quarantineMs: number;
 	/** Largest share of a service's executors that may rest at once. */
-	readonly maxRestShare: number;
+	readonly maxQuarantinedShare: number;
 	/** Ended jobs are kept, and shown, for this long. */
 	readonly keepEndedMs: number;
 	/** An evacuation ends unless it is asked for again within this time. */
@@ -38,14 +38,14 @@
 /** Settings in force where the deployment gives none. */
 export const defaultSchedulerConfig: SchedulerConfig = {
 	taskLeaseMs: 4500,
-	ownerBeliefMs: 7000,
+	ownershipTimeoutMs: 7000,
 	maxTransitMs: 500,
 	startupLimitMs: 6000,
 	hangFactor: 3,
 	hangMs: 1500,
-	failuresUntilRest: 3,
-	restMs: 3000,
-	maxRestShare: 0.34,
+	failuresUntilQuarantine: 3,
+	quarantineMs: 3000,
+	maxQuarantinedShare: 0.34,
 	keepEndedMs: 120_000,
 	evacuationTtlMs: 1500,
 	evacuationPatienceMs: 1500,
--- a/packages/core/src/scheduler/twice.test.ts
+++ b/packages/core/src/scheduler/duplicate-runs.test.ts
@@ -3,12 +3,12 @@
 	createAccepted,
 	createListed,
 	createTestOwner,
-	describeOrders,
+	describeCommands,
 	listRuns,
-	look,
+	pollExecutor,
 	planAndStart,
-	runOf,
-	store,
+	getCommandRun,
+	flushAll,
 	submit,
 	testConfig,
 } from './owner.test.fixture.js';
@@ -18,7 +18,7 @@
 const createWorld = () => {
 	const owner = createTestOwner([createListed('x'), createListed('yy')]);
 	submit(owner, createAccepted('a'));
-	const [order] = scheduler.planOrders(owner, 0, 0);
+	const [order] = scheduler.planCommands(owner, 0, 0);
 	if (order?.kind !== 'start') {
 		throw new Error('no start');
 	}
@@ -32,26 +32,26 @@
 
 tap.t.test('a start without an answer is barred before another', async (t) => {
 	const {owner, run} = createWorld();
-	scheduler.takeStartAnswer(owner, run, noAnswer, 500);
+	scheduler.applyStartAnswer(owner, run, noAnswer, 500);
 	t.same(planAndStart(owner, 510), [], 'nothing until the executor answers');
-	look(owner, 'x', {at: 520});
-	t.same(describeOrders(planAndStart(owner, 530)), [
+	pollExecutor(owner, 'x', {at: 520});
+	t.same(describeCommands(planAndStart(owner, 530)), [
 		'stop a.0.0.0 on x: unanswered-start',
 	]);
-	look(owner, 'x', {at: 540});
+	pollExecutor(owner, 'x', {at: 540});
 	t.same(planAndStart(owner, 545), [], 'the stop has not been answered');
-	scheduler.takeStopAnswer(owner, run, done, 550);
+	scheduler.applyStopAnswer(owner, run, done, 550);
 	t.same(planAndStart(owner, 555), [], 'it may have been there by then');
-	look(owner, 'x', {at: 560});
+	pollExecutor(owner, 'x', {at: 560});
 	const orders = planAndStart(owner, 570);
 	t.equal(orders.length, 1);
-	t.ok(runOf(orders[0])!.number > run.number, 'run numbers rise');
+	t.ok(getCommandRun(orders[0])!.number > run.number, 'run numbers rise');
 });
 
 tap.t.test('a start without an answer that runs is left running', async (t) => {
 	const {owner, run} = createWorld();
-	scheduler.takeStartAnswer(owner, run, noAnswer, 500);
-	look(owner, 'x', {
+	scheduler.applyStartAnswer(owner, run, noAnswer, 500);
+	pollExecutor(owner, 'x', {
 		at: 520,
 		running: [{taskId: run.task.id, run: run.number, percent: 50}],
 	});
@@ -61,32 +61,32 @@
 
 tap.t.test('a refused start goes elsewhere with a higher run', async (t) => {
 	const {owner, run} = createWorld();
-	scheduler.takeStartAnswer(
+	scheduler.applyStartAnswer(
 		owner,
 		run,
 		{kind: 'refused', reason: 'no-room', clockMs: 5},
 		5,
 	);
 	const orders = planAndStart(owner, 10);
-	t.same(describeOrders(orders), ['start a.0.0.0 on yy']);
-	t.ok(runOf(orders[0])!.number > run.number);
+	t.same(describeCommands(orders), ['start a.0.0.0 on yy']);
+	t.ok(getCommandRun(orders[0])!.number > run.number);
 });
 
 tap.t.test(
 	'work on a silent executor waits for the end of its lease',
 	async (t) => {
 		const {owner, run} = createWorld();
-		scheduler.takeStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 0);
-		scheduler.noteSilence(owner, 'x', 100);
+		scheduler.applyStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 0);
+		scheduler.markUnresponsive(owner, 'x', 100);
 		const step = 250;
-		const slowest = testConfig.taskLeaseMs / (1 - scheduler.maxSlowdown);
+		const slowest = testConfig.taskLeaseMs / (1 - scheduler.maxClockDrift);
 		for (let now = 100; now < slowest; now += step) {
 			t.same(scheduler.expireLeases(owner, now), [], `at ${now}`);
 			t.same(planAndStart(owner, now), [], `at ${now}`);
 		}
 
 		t.equal(scheduler.expireLeases(owner, slowest + step).length, 1);
-		t.same(describeOrders(planAndStart(owner, slowest + step)), [
+		t.same(describeCommands(planAndStart(owner, slowest + step)), [
 			'start a.0.0.0 on yy',
 		]);
 	},
@@ -94,21 +94,21 @@
 
 tap.t.test('an executor dropped by the registry keeps its work', async (t) => {
 	const {owner, run} = createWorld();
-	scheduler.takeStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 0);
-	scheduler.unlistExecutor(owner, 'x');
+	scheduler.applyStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 0);
+	scheduler.recordUnlistedExecutor(owner, 'x');
 	t.same(planAndStart(owner, 10), []);
 	t.ok(owner.executors.has('x'));
-	t.equal(scheduler.noteGone(owner, 'x').length, 1);
+	t.equal(scheduler.markTerminated(owner, 'x').length, 1);
 	t.notOk(owner.executors.has('x'));
-	t.same(describeOrders(planAndStart(owner, 20)), ['start a.0.0.0 on yy']);
+	t.same(describeCommands(planAndStart(owner, 20)), ['start a.0.0.0 on yy']);
 });
 
 tap.t.test('a run that is there no more is started again', async (t) => {
 	const {owner, run} = createWorld();
-	scheduler.takeStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 10);
-	look(owner, 'x', {at: 5});
+	scheduler.applyStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 10);
+	pollExecutor(owner, 'x', {at: 5});
 	t.same(planAndStart(owner, 20), [], 'the look was sent before the answer');
-	look(owner, 'x', {at: 30});
+	pollExecutor(owner, 'x', {at: 30});
 	t.equal(planAndStart(owner, 40).length, 1);
 });
 
@@ -139,7 +139,7 @@
 		name: 'it has answered and runs nothing',
 		isInherited: true,
 		resolve(owner) {
-			look(owner, 'old', {at: 1});
+			pollExecutor(owner, 'old', {at: 1});
 		},
 		starts: 1,
 	},
@@ -147,7 +147,10 @@
 		name: 'it has answered and runs the task',
 		isInherited: true,
 		resolve(owner) {
-			look(owner, 'old', {at: 1, running: [{taskId: 'a.0.0.0', run: 7}]});
+			pollExecutor(owner, 'old', {
+				at: 1,
+				running: [{taskId: 'a.0.0.0', run: 7}],
+			});
 		},
 		starts: 0,
 	},
@@ -155,7 +158,7 @@
 		name: 'it has answered and the task is done',
 		isInherited: true,
 		resolve(owner) {
-			look(owner, 'old', {at: 1, ends: [{taskId: 'a.0.0.0', run: 7}]});
+			pollExecutor(owner, 'old', {at: 1, ends: [{taskId: 'a.0.0.0', run: 7}]});
 		},
 		starts: 0,
 	},
@@ -163,7 +166,7 @@
 		name: 'another life answers at its address',
 		isInherited: true,
 		resolve(owner) {
-			scheduler.noteGone(owner, 'old');
+			scheduler.markTerminated(owner, 'old');
 		},
 		starts: 1,
 	},
@@ -187,7 +190,7 @@
 		name: 'the registry has dropped it, which proves nothing',
 		isInherited: true,
 		resolve(owner) {
-			scheduler.unlistExecutor(owner, 'old');
+			scheduler.recordUnlistedExecutor(owner, 'old');
 		},
 		starts: 0,
 	},
@@ -207,20 +210,20 @@
 tap.t.test('a later owner uses higher run numbers', async (t) => {
 	const first = createWorld();
 	const later = scheduler.createOwner('s', 2, testConfig, 0);
-	scheduler.listExecutor(later, createListed('x'));
-	look(later, 'x', {at: 0});
-	store(later);
+	scheduler.recordListedExecutor(later, createListed('x'));
+	pollExecutor(later, 'x', {at: 0});
+	flushAll(later);
 	submit(later, createAccepted('a'), true);
 	const [order] = planAndStart(later, 1);
-	t.ok(runOf(order)!.number > first.run.number);
+	t.ok(getCommandRun(order)!.number > first.run.number);
 });
 
 tap.t.test('of two runs of one task the older is stopped', async (t) => {
 	const owner = createTestOwner([createListed('x'), createListed('yy')]);
 	submit(owner, createAccepted('a'));
-	look(owner, 'x', {at: 1, running: [{taskId: 'a.0.0.0', run: 3}]});
-	look(owner, 'yy', {at: 1, running: [{taskId: 'a.0.0.0', run: 4}]});
-	t.same(describeOrders(planAndStart(owner, 2)), [
+	pollExecutor(owner, 'x', {at: 1, running: [{taskId: 'a.0.0.0', run: 3}]});
+	pollExecutor(owner, 'yy', {at: 1, running: [{taskId: 'a.0.0.0', run: 4}]});
+	t.same(describeCommands(planAndStart(owner, 2)), [
 		'stop a.0.0.0 on x: duplicate',
 	]);
 });
@@ -228,8 +231,8 @@
 tap.t.test('runs of a task that is done, or of no job, are told', async (t) => {
 	const owner = createTestOwner([createListed('x'), createListed('yy')]);
 	submit(owner, createAccepted('a', [{count: 2}]));
-	look(owner, 'x', {at: 1, ends: [{taskId: 'a.0.0.0', run: 3}]});
-	const changes = look(owner, 'yy', {
+	pollExecutor(owner, 'x', {at: 1, ends: [{taskId: 'a.0.0.0', run: 3}]});
+	const changes = pollExecutor(owner, 'yy', {
 		at: 1,
 		running: [
 			{taskId: 'a.0.0.0', run: 2},
@@ -237,10 +240,10 @@
 		],
 	});
 	t.same(
-		changes.strays.map(({taskId}) => taskId),
+		changes.orphanedRuns.map(({taskId}) => taskId),
 		['gone.0.0.0'],
 	);
-	t.match(describeOrders(planAndStart(owner, 2)), [
+	t.match(describeCommands(planAndStart(owner, 2)), [
 		'stop a.0.0.0 on yy: task-done',
 	]);
 });
@@ -274,29 +277,29 @@
 		owner.openJobs.delete(ended);
 		submit(owner, createAccepted('a'));
 		const running = [{taskId: 'e.0.0.0', run: 7}];
-		look(owner, 'x', {at: 1, running});
-		t.same(describeOrders(planAndStart(owner, 2)), [
+		pollExecutor(owner, 'x', {at: 1, running});
+		t.same(describeCommands(planAndStart(owner, 2)), [
 			'stop e.0.0.0 on x: job-ended',
 		]);
-		look(owner, 'x', {at: 3, ends: [{...running[0]!, how: 'stopped'}]});
-		t.same(describeOrders(planAndStart(owner, 4)), ['start a.0.0.0 on x']);
+		pollExecutor(owner, 'x', {at: 3, ends: [{...running[0]!, how: 'stopped'}]});
+		t.same(describeCommands(planAndStart(owner, 4)), ['start a.0.0.0 on x']);
 	},
 );
 
 tap.t.test('an executor with runs of no known job gets nothing', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
 	submit(owner, createAccepted('a'));
-	look(owner, 'x', {at: 1, running: [{taskId: 'gone.0.0.0', run: 1}]});
+	pollExecutor(owner, 'x', {at: 1, running: [{taskId: 'gone.0.0.0', run: 1}]});
 	t.same(planAndStart(owner, 2), []);
-	look(owner, 'x', {at: 3});
-	t.same(describeOrders(planAndStart(owner, 4)), ['start a.0.0.0 on x']);
+	pollExecutor(owner, 'x', {at: 3});
+	t.same(describeCommands(planAndStart(owner, 4)), ['start a.0.0.0 on x']);
 });
 
 tap.t.test('an executor that is gone is not listed again', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
-	scheduler.noteGone(owner, 'x');
+	scheduler.markTerminated(owner, 'x');
 	t.notOk(owner.executors.has('x'));
-	scheduler.listExecutor(owner, createListed('x'));
+	scheduler.recordListedExecutor(owner, createListed('x'));
 	t.notOk(
 		owner.executors.has('x'),
 		'the registry may hold its row for seconds',
--- a/packages/core/src/scheduler/evacuation.test.ts
+++ b/packages/core/src/scheduler/evacuation.test.ts
@@ -3,9 +3,9 @@
 	createAccepted,
 	createListed,
 	createTestOwner,
-	describeOrders,
+	describeCommands,
 	listRuns,
-	look,
+	pollExecutor,
 	planAndStart,
 	submit,
 } from './owner.test.fixture.js';
@@ -24,7 +24,7 @@
 			...run,
 			percent: getPercent(run.taskId),
 		}));
-		look(owner, id, {at, running});
+		pollExecutor(owner, id, {at, running});
 	}
 };
 
@@ -115,7 +115,7 @@
 		const state = scheduler.requestEvacuation(owner, 'e0', patienceMs, 200);
 		t.same(state, {kind: 'waiting', runs: 1});
 		t.same(
-			describeOrders(planAndStart(owner, 200)),
+			describeCommands(planAndStart(owner, 200)),
 			stops.map((id) => `stop ${id} on e0: evacuation`),
 		);
 	});
@@ -142,12 +142,12 @@
 			owner,
 			createAccepted('a', [{isLongRunning: true, count: 2, mayMiss: 1}]),
 		);
-		look(owner, 'e0', {
+		pollExecutor(owner, 'e0', {
 			at: 1,
 			running: ['a.0.0.0', 'a.0.0.1'].map((taskId) => ({taskId, percent: 100})),
 		});
 		scheduler.requestEvacuation(owner, 'e0', 0, 200);
-		t.same(describeOrders(planAndStart(owner, 200)), [
+		t.same(describeCommands(planAndStart(owner, 200)), [
 			'stop a.0.0.0 on e0: evacuation',
 		]);
 		t.same(planAndStart(owner, 210), [], 'the other waits for the first');
@@ -171,7 +171,7 @@
 
 tap.t.test('an executor that has not answered is not clear', async (t) => {
 	const owner = createTestOwner([]);
-	scheduler.listExecutor(owner, createListed('x'));
+	scheduler.recordListedExecutor(owner, createListed('x'));
 	t.same(scheduler.requestEvacuation(owner, 'x', 0, 0), {
 		kind: 'waiting',
 		runs: 0,
@@ -190,20 +190,20 @@
 		scheduler.requestEvacuation(owner, 'e0', 0, 200);
 		scheduler.requestEvacuation(owner, 'e1', 0, 200);
 		const [stop] = planAndStart(owner, 200);
-		t.same(describeOrders(stop ? [stop] : []), [
+		t.same(describeCommands(stop ? [stop] : []), [
 			'stop a.0.0.0 on e0: evacuation',
 		]);
 		if (stop?.kind === 'stop') {
-			scheduler.takeStopAnswer(owner, stop.run, {kind: 'no-answer'}, 800);
+			scheduler.applyStopAnswer(owner, stop.run, {kind: 'no-answer'}, 800);
 		}
 
 		t.same(
-			describeOrders(planAndStart(owner, 810)),
+			describeCommands(planAndStart(owner, 810)),
 			[],
 			'it may have been carried out',
 		);
 		lookAll(owner, 900, () => 100);
-		t.same(describeOrders(planAndStart(owner, 910)), [
+		t.same(describeCommands(planAndStart(owner, 910)), [
 			'stop a.0.0.0 on e0: evacuation',
 		]);
 	},
--- a/packages/core/src/scheduler/evacuation.ts
+++ b/packages/core/src/scheduler/evacuation.ts
@@ -5,7 +5,7 @@
  */
 import type {Evacuation, Executor} from './executor.js';
 import type {Owner} from './owner-state.js';
-import {listUsable, placeTask} from './place.js';
+import {listUsable, placeTask} from './placement.js';
 import type {Run, Step, Task} from './task.js';
 
 /** Percent at which a lasting task is at work. */
@@ -13,8 +13,8 @@
 
 const isAtWork = ({runs}: Task): boolean =>
 	runs.some(
-		({state, percent, mayBeStopped}) =>
-			state === 'running' && percent >= atWorkPercent && !mayBeStopped,
+		({state, percent, mayHaveStopped}) =>
+			state === 'running' && percent >= atWorkPercent && !mayHaveStopped,
 	);
 
 /** Tasks of a step that are away, leaving out one of them. */
@@ -27,7 +27,7 @@
  * was still starting counts too: what is known of it is up to a second old,
  * and it may be at work by now.
  */
-export const mayStopLasting = (task: Task): boolean =>
+export const mayStopLongRunning = (task: Task): boolean =>
 	countOthersAway(task.step, task) < (task.step.spec.mayMiss ?? 1);
 
 /** What an executor that is to be emptied still holds. */
@@ -96,7 +96,7 @@
 	}
 
 	return task.step.spec.isLongRunning
-		? mayStopLasting(task) && hasRoomElsewhere(owner, task, now)
+		? mayStopLongRunning(task) && hasRoomElsewhere(owner, task, now)
 		: shouldStopBatch(owner, run, evacuation.stopFrom, now);
 };
 
--- a/packages/core/src/scheduler/look.ts
+++ b/packages/core/src/scheduler/executor-poll.ts
@@ -1,24 +1,24 @@
 /** What an executor's list of its runs and ends says, taken in by the owner. */
 import {match} from 'ts-pattern';
 import {countFailure} from './attempts.js';
-import {clearDark} from './dark.js';
+import {clearSuspicion} from './suspected-executors.js';
 import {
 	addRun,
-	dropRun,
+	removeRun,
 	getRunKey,
-	noteClock,
+	recordClockReading,
 	type Executor,
 } from './executor.js';
-import {completeIfDone, endJob, type JobChange} from './owner.js';
+import {completeIfDone, endJob, type EndedJob} from './owner.js';
 import type {Owner} from './owner-state.js';
 import {
 	addOccurrencesUpTo,
-	createPastTask,
+	createDetachedTask,
 	createRun,
-	listTogether,
+	listCoscheduledTasks,
 	markDone,
 	parseTaskId,
-	takeCheckpoint,
+	applyCheckpoint,
 	type Run,
 	type Task,
 } from './task.js';
@@ -60,7 +60,7 @@
 };
 
 /** One look at an executor. */
-export type Look = {
+export type ExecutorPoll = {
 	readonly sentAt: number;
 	readonly receivedAt: number;
 	readonly clockMs: number;
@@ -69,22 +69,22 @@
 };
 
 /** What a look changed, for the log. */
-export type LookChanges = {
+export type PollChanges = {
 	readonly isFirst: boolean;
 	readonly ends: ReadonlyArray<ListedEnd & {readonly failures: number}>;
 	readonly adopted: readonly string[];
-	readonly lost: readonly string[];
+	readonly vanished: readonly string[];
 	/** Runs of no task at hand, to be stopped. */
-	readonly strays: readonly ListedRun[];
-	readonly jobEnds: readonly JobChange[];
+	readonly orphanedRuns: readonly ListedRun[];
+	readonly jobEnds: readonly EndedJob[];
 };
 
 type Changes = {
 	ends: Array<ListedEnd & {failures: number}>;
 	adopted: string[];
-	lost: string[];
-	strays: ListedRun[];
-	jobEnds: JobChange[];
+	vanished: string[];
+	orphanedRuns: ListedRun[];
+	jobEnds: EndedJob[];
 };
 
 /** The task of that id, if its job and occurrence are at hand. */
@@ -111,14 +111,14 @@
 	const parts = parseTaskId(taskId);
 	const job = parts && owner.jobs.get(parts.jobId);
 	return parts && job
-		? createPastTask(job, parts.occurrence, parts.step, parts.index)
+		? createDetachedTask(job, parts.occurrence, parts.step, parts.index)
 		: undefined;
 };
 
 const noteDone = (owner: Owner, task: Task, now: number): void => {
 	const {job} = task.step.occurrence;
 	// One `done` stands for all members of a gang.
-	for (const each of listTogether(task)) {
+	for (const each of listCoscheduledTasks(task)) {
 		markDone(each);
 	}
 
@@ -126,13 +126,16 @@
 };
 
 const restIfFailing = (owner: Owner, executor: Executor, now: number): void => {
-	const {failuresUntilRest, restMs, maxRestShare} = owner.cfg;
+	const {failuresUntilQuarantine, quarantineMs, maxQuarantinedShare} =
+		owner.cfg;
 	const all = [...owner.executors.values()];
-	const resting = all.filter(({restsUntil}) => restsUntil > now).length;
-	const mayRest = (resting + 1) / all.length <= maxRestShare;
-	if (executor.failuresInRow >= failuresUntilRest && mayRest) {
-		executor.restsUntil = now + restMs;
-		executor.failuresInRow = 0;
+	const resting = all.filter(
+		({quarantinedUntil}) => quarantinedUntil > now,
+	).length;
+	const mayRest = (resting + 1) / all.length <= maxQuarantinedShare;
+	if (executor.consecutiveFailures >= failuresUntilQuarantine && mayRest) {
+		executor.quarantinedUntil = now + quarantineMs;
+		executor.consecutiveFailures = 0;
 	}
 };
 
@@ -141,7 +144,7 @@
 	task: Task,
 	{executor, run}: {readonly executor: Executor; readonly run: number},
 	now: number,
-): JobChange | undefined => {
+): EndedJob | undefined => {
 	if (!countFailure(task, run)) {
 		return undefined;
 	}
@@ -149,9 +152,9 @@
 	const {step} = task;
 	const {job} = step.occurrence;
 	task.failedOn = executor.id;
-	executor.failuresInRow += 1;
+	executor.consecutiveFailures += 1;
 	restIfFailing(owner, executor, now);
-	owner.dirty.add(job);
+	owner.dirtyJobs.add(job);
 	const {maxAttempts} = job.accepted.policy;
 	if (step.spec.isLongRunning || task.failures < maxAttempts || job.end) {
 		return undefined;
@@ -167,11 +170,11 @@
 	executor: Executor,
 	end: ListedEnd,
 	now: number,
-): JobChange | undefined => {
+): EndedJob | undefined => {
 	const task = findTask(owner, end.taskId);
 	const run = executor.runs.get(getRunKey(end.taskId, end.run));
 	if (run) {
-		dropRun(executor, run);
+		removeRun(executor, run);
 	}
 
 	if (!task || task.isDone) {
@@ -179,15 +182,15 @@
 	}
 
 	task.step.occurrence.job.hasStarted = true;
-	if (takeCheckpoint(task, end.run, end.checkpoint)) {
+	if (applyCheckpoint(task, end.run, end.checkpoint)) {
 		// It may be known from the run itself and is not stored for all that.
-		owner.dirty.add(task.step.occurrence.job);
+		owner.dirtyJobs.add(task.step.occurrence.job);
 	}
 
 	return match(end.how)
-		.returnType<JobChange | undefined>()
+		.returnType<EndedJob | undefined>()
 		.with('done', () => {
-			executor.failuresInRow = 0;
+			executor.consecutiveFailures = 0;
 			noteDone(owner, task, now);
 			return undefined;
 		})
@@ -201,14 +204,14 @@
 const takeEnds = (
 	owner: Owner,
 	executor: Executor,
-	look: Look,
+	look: ExecutorPoll,
 	changes: Changes,
 ): void => {
 	const fresh = look.ends
-		.filter(({number}) => number > executor.lastEnd)
+		.filter(({number}) => number > executor.lastEndNumber)
 		.toSorted((one, two) => one.number - two.number);
 	for (const end of fresh) {
-		executor.lastEnd = end.number;
+		executor.lastEndNumber = end.number;
 		const change = settleEnd(owner, executor, end, look.receivedAt);
 		const failures = findTask(owner, end.taskId)?.failures ?? 0;
 		changes.ends.push({...end, failures});
@@ -216,7 +219,10 @@
 			changes.jobEnds.push(change);
 		}
 
-		executor.unackedEnds.push({number: end.number, flush: owner.flush});
+		executor.unackedEnds.push({
+			number: end.number,
+			flushNumber: owner.flushNumber,
+		});
 	}
 };
 
@@ -227,7 +233,7 @@
 
 	run.percent = listed.percent;
 	run.load = listed.load;
-	run.mayBeStopped = false;
+	run.mayHaveStopped = false;
 	run.confirmedAt ??= now;
 	if (run.state === 'asked' || run.state === 'unsettled') {
 		run.state = 'running';
@@ -259,7 +265,7 @@
 const takeRunning = (
 	owner: Owner,
 	executor: Executor,
-	look: Look,
+	look: ExecutorPoll,
 	changes: Changes,
 ): void => {
 	for (const listed of look.running) {
@@ -267,7 +273,7 @@
 		const known = executor.runs.get(key);
 		const run = known ?? adoptRun(owner, executor, listed, look.receivedAt);
 		if (!run) {
-			changes.strays.push(listed);
+			changes.orphanedRuns.push(listed);
 			continue;
 		}
 
@@ -277,14 +283,14 @@
 
 		noteProgress(run, listed, look.receivedAt);
 		// Not stored while it runs: a lost one costs work, never a promise.
-		takeCheckpoint(run.task, run.number, listed.checkpoint);
+		applyCheckpoint(run.task, run.number, listed.checkpoint);
 	}
 };
 
 /** Runs that were proved before the look was sent and are not listed. */
 const dropVanished = (
 	executor: Executor,
-	look: Look,
+	look: ExecutorPoll,
 	changes: Changes,
 ): void => {
 	const listed = new Set(
@@ -294,8 +300,8 @@
 		const wasThere =
 			run.confirmedAt !== undefined && run.confirmedAt < look.sentAt;
 		if (wasThere && !listed.has(key)) {
-			dropRun(executor, run);
-			changes.lost.push(key);
+			removeRun(executor, run);
+			changes.vanished.push(key);
 		}
 	}
 };
@@ -304,30 +310,30 @@
  * Takes in a look at an executor. Looks of one executor are made one after
  * another, so that none is overtaken by an earlier one.
  */
-export const takeLook = (
+export const applyPoll = (
 	owner: Owner,
 	executor: Executor,
-	look: Look,
-): LookChanges => {
+	look: ExecutorPoll,
+): PollChanges => {
 	const isFirst = !executor.isAdopted;
 	const changes: Changes = {
 		ends: [],
 		adopted: [],
-		lost: [],
-		strays: [],
+		vanished: [],
+		orphanedRuns: [],
 		jobEnds: [],
 	};
-	noteClock(executor, look.clockMs, look.receivedAt);
-	executor.silentSince = undefined;
-	clearDark(owner, executor);
+	recordClockReading(executor, look.clockMs, look.receivedAt);
+	executor.unresponsiveSince = undefined;
+	clearSuspicion(owner, executor);
 	executor.hasListedEnds = look.ends.length > 0;
 	takeEnds(owner, executor, look, changes);
 	takeRunning(owner, executor, look, changes);
-	executor.strays = changes.strays.length;
+	executor.orphanedRunCount = changes.orphanedRuns.length;
 	executor.isAdopted = true;
-	owner.unresolved.delete(executor.id);
+	owner.unresolvedExecutors.delete(executor.id);
 	// A full page of ends may hide the end of a run that is not listed.
-	if (look.ends.length < endsPerLook) {
+	if (look.ends.length < maxEndsPerPoll) {
 		dropVanished(executor, look, changes);
 	}
 
@@ -335,4 +341,4 @@
 };
 
 /** Most ends that one look lists; origin: the executors' interface. */
-export const endsPerLook = 500;
+export const maxEndsPerPoll = 500;
--- a/packages/core/src/scheduler/executor.ts
+++ b/packages/core/src/scheduler/executor.ts
@@ -1,8 +1,8 @@
 /** Executors of a service as the owner of the service holds them. */
 import {
 	isCertainlyPast,
-	keepLatest,
-	readRemoteClock,
+	pickLatestReading,
+	estimateRemoteTime,
 	type RemoteClock,
 } from './remote-clock.js';
 import type {Run, Step} from './task.js';
@@ -12,7 +12,7 @@
 export type UnackedEnd = {
 	readonly number: number;
 	/** The flush that must be stored before it may be acknowledged. */
-	readonly flush: number;
+	readonly flushNumber: number;
 };
 
 /** Why an executor is being emptied. */
@@ -30,34 +30,34 @@
 	/** False once the registry has dropped it. */
 	isListed: boolean;
 	/** The registry has dropped it; one that was inherited may not be read yet. */
-	isDropped: boolean;
+	wasUnlisted: boolean;
 	/** It has answered a look that carried this owner's fencing token. */
 	isAdopted: boolean;
 	/** The store says that runs may be here. */
 	isRostered: boolean;
 	/** Since when it has left calls unanswered; absent while it answers. */
-	silentSince: number | undefined;
+	unresponsiveSince: number | undefined;
 	/** Its mark in the roster: since when nothing is granted there. */
-	darkSince: number | undefined;
+	suspectedSince: number | undefined;
 	/** The store has the mark, or may have it. */
-	isMarkSent: boolean;
+	isSuspicionSent: boolean;
 	clock: RemoteClock | undefined;
 	/** Latest lease end sent, by the executor's clock, answered or not. */
 	grantedUntil: number;
 	readonly runs: Map<string, Run>;
 	used: Resources;
 	/** Runs of no known job; what room they take is not known. */
-	strays: number;
+	orphanedRunCount: number;
 	/** Number of the last end that was taken in. */
-	lastEnd: number;
+	lastEndNumber: number;
 	unackedEnds: UnackedEnd[];
 	acknowledgedUpto: number;
 	/** Its last look listed ends: it waits for their acknowledgement. */
 	hasListedEnds: boolean;
 	evacuation: Evacuation | undefined;
 	/** Failed runs in a row. */
-	failuresInRow: number;
-	restsUntil: number;
+	consecutiveFailures: number;
+	quarantinedUntil: number;
 };
 
 const nothingUsed: Resources = {cpuMillis: 0, memoryMb: 0, accelerators: 0};
@@ -67,24 +67,24 @@
 	id: listed.id,
 	listed,
 	isListed: true,
-	isDropped: false,
+	wasUnlisted: false,
 	isAdopted: false,
 	isRostered: false,
-	silentSince: undefined,
-	darkSince: undefined,
-	isMarkSent: false,
+	unresponsiveSince: undefined,
+	suspectedSince: undefined,
+	isSuspicionSent: false,
 	clock: undefined,
 	grantedUntil: 0,
 	runs: new Map(),
 	used: nothingUsed,
-	strays: 0,
-	lastEnd: 0,
+	orphanedRunCount: 0,
+	lastEndNumber: 0,
 	unackedEnds: [],
 	acknowledgedUpto: 0,
 	hasListedEnds: false,
 	evacuation: undefined,
-	failuresInRow: 0,
-	restsUntil: 0,
+	consecutiveFailures: 0,
+	quarantinedUntil: 0,
 });
 
 /** Key of a run among those of one executor. */
@@ -113,7 +113,7 @@
 };
 
 /** Drops a run that is certainly not there any more. */
-export const dropRun = (executor: Executor, run: Run): void => {
+export const removeRun = (executor: Executor, run: Run): void => {
 	if (!executor.runs.delete(getRunKey(run.task.id, run.number))) {
 		return;
 	}
@@ -177,7 +177,7 @@
 		return 'draining';
 	}
 
-	if (executor.silentSince !== undefined) {
+	if (executor.unresponsiveSince !== undefined) {
 		return 'silent';
 	}
 
@@ -189,7 +189,7 @@
 		return 'not-rostered';
 	}
 
-	if (executor.strays > 0) {
+	if (executor.orphanedRunCount > 0) {
 		return 'strays';
 	}
 
@@ -197,7 +197,7 @@
 		return 'evacuating';
 	}
 
-	return executor.restsUntil > now ? 'resting' : 'usable';
+	return executor.quarantinedUntil > now ? 'resting' : 'usable';
 };
 
 /** Whether an executor may be given new work at all. */
@@ -205,12 +205,12 @@
 	getReadiness(executor, now) === 'usable';
 
 /** Notes a reading of the executor's clock. */
-export const noteClock = (
+export const recordClockReading = (
 	executor: Executor,
 	reportedMs: number,
 	receivedAt: number,
 ): void => {
-	executor.clock = keepLatest(executor.clock, {reportedMs, receivedAt});
+	executor.clock = pickLatestReading(executor.clock, {reportedMs, receivedAt});
 };
 
 /** The lease end to grant now, in whole milliseconds of its clock. */
@@ -223,12 +223,12 @@
 		return undefined;
 	}
 
-	const until = Math.floor(readRemoteClock(executor.clock, now) + leaseMs);
+	const until = Math.floor(estimateRemoteTime(executor.clock, now) + leaseMs);
 	executor.grantedUntil = Math.max(executor.grantedUntil, until);
 	return until;
 };
 
 /** Whether all that this owner started there has certainly lapsed. */
-export const hasLapsed = (executor: Executor, now: number): boolean =>
+export const haveLeasesExpired = (executor: Executor, now: number): boolean =>
 	executor.clock !== undefined &&
 	isCertainlyPast(executor.clock, executor.grantedUntil, now);
--- a/packages/core/src/scheduler/explain.test.ts
+++ b/packages/core/src/scheduler/explain.test.ts
@@ -45,7 +45,7 @@
 		name: 'no executor takes work',
 		steps: [{}],
 		prepare(owner) {
-			scheduler.noteSilence(owner, 'x', 0);
+			scheduler.markUnresponsive(owner, 'x', 0);
 		},
 		because: [/no executor of the service may take work now/v],
 	},
--- a/packages/core/src/scheduler/explain.ts
+++ b/packages/core/src/scheduler/explain.ts
@@ -1,8 +1,8 @@
 /** Why the tasks of a job do not run, in words for an operator. */
-import {isPlaceKnown} from './owner.js';
+import {isLocationKnown} from './owner.js';
 import type {Owner} from './owner-state.js';
-import {listUsable, placementRefusals, placeTask} from './place.js';
-import {isStepOpen, isWaiting, type Job, type Task} from './task.js';
+import {listUsable, placementRefusals, placeTask} from './placement.js';
+import {isStepReady, isWaiting, type Job, type Task} from './task.js';
 
 /** Where one task stands. */
 export type TaskExplanation = {
@@ -26,12 +26,12 @@
 		return `the job is ${job.end}`;
 	}
 
-	if (!isStepOpen(step)) {
+	if (!isStepReady(step)) {
 		return `steps ${step.spec.after.join(', ')} are not all done`;
 	}
 
-	if (!isPlaceKnown(owner, task)) {
-		const ids = [...owner.unresolved.keys()].join(', ');
+	if (!isLocationKnown(owner, task)) {
+		const ids = [...owner.unresolvedExecutors.keys()].join(', ');
 		return `it may still run on ${ids}, which has not answered since the takeover`;
 	}
 
--- a/packages/core/src/scheduler/acknowledge.ts
+++ b/packages/core/src/scheduler/flush.ts
@@ -2,14 +2,14 @@
  * What may be acknowledged to executors: ends are forgotten there once they
  * are acknowledged, so only those that the store has are.
  */
-import {takeRoster, type RosterEntry} from './dark.js';
+import {prepareRoster, type RosterEntry} from './suspected-executors.js';
 import type {Executor} from './executor.js';
 import type {Owner} from './owner-state.js';
 import {encodeProgress, type JobProgress} from './progress.js';
 import type {Job, JobEnd} from './task.js';
 
 /** A job's progress that is on its way to the store. */
-export type StoredJob = {
+export type FlushedJob = {
 	readonly job: Job;
 	readonly end: JobEnd | undefined;
 	readonly progress: JobProgress;
@@ -18,7 +18,7 @@
 /** What one flush stores. */
 export type Flush = {
 	readonly number: number;
-	readonly jobs: readonly StoredJob[];
+	readonly jobs: readonly FlushedJob[];
 	/** All executors that may run tasks; absent if unchanged. */
 	readonly roster: readonly RosterEntry[] | undefined;
 };
@@ -28,33 +28,33 @@
 
 /** Whether there is anything to store. */
 export const needsFlush = (owner: Owner): boolean =>
-	owner.dirty.size > 0 || owner.isRosterDirty;
+	owner.dirtyJobs.size > 0 || owner.isRosterDirty;
 
 /** Takes what is to be stored next, at most so many jobs. */
 export const beginFlush = (owner: Owner, maxJobs: number): Flush => {
-	const taken = [...owner.dirty].slice(0, maxJobs);
-	const isWhole = taken.length === owner.dirty.size;
+	const taken = [...owner.dirtyJobs].slice(0, maxJobs);
+	const isWhole = taken.length === owner.dirtyJobs.size;
 	const jobs = taken.map((job) => ({
 		job,
 		end: job.end,
 		progress: encodeProgress(job),
 	}));
 	for (const job of taken) {
-		owner.dirty.delete(job);
+		owner.dirtyJobs.delete(job);
 	}
 
-	const roster = owner.isRosterDirty ? takeRoster(owner) : undefined;
+	const roster = owner.isRosterDirty ? prepareRoster(owner) : undefined;
 	owner.isRosterDirty = false;
-	const number = owner.flush;
+	const number = owner.flushNumber;
 	// Ends taken in from now on wait for a later flush.
-	owner.flush += isWhole ? 1 : 0;
+	owner.flushNumber += isWhole ? 1 : 0;
 	return {number: isWhole ? number : noFlush, jobs, roster};
 };
 
 /** The flush failed or its outcome is unknown: all of it is stored again. */
 export const abandonFlush = (owner: Owner, flush: Flush): void => {
 	for (const {job} of flush.jobs) {
-		owner.dirty.add(job);
+		owner.dirtyJobs.add(job);
 	}
 
 	owner.isRosterDirty ||= flush.roster !== undefined;
@@ -66,7 +66,7 @@
  * has seen, and the executor that listed it would have forgotten it.
  */
 const acknowledge = (owner: Owner, stored: number): readonly Executor[] =>
-	owner.unresolved.size > 0
+	owner.unresolvedExecutors.size > 0
 		? []
 		: [...owner.executors.values()].filter((executor) =>
 				advanceAck(executor, stored),
@@ -75,7 +75,7 @@
 const advanceAck = (executor: Executor, stored: number): boolean => {
 	const before = executor.acknowledgedUpto;
 	let [first] = executor.unackedEnds;
-	while (first && first.flush <= stored) {
+	while (first && first.flushNumber <= stored) {
 		executor.acknowledgedUpto = first.number;
 		executor.unackedEnds.shift();
 		[first] = executor.unackedEnds;
@@ -99,7 +99,7 @@
 
 	const rostered = new Set(
 		flush.roster
-			?.filter(({darkSince}) => darkSince === undefined)
+			?.filter(({suspectedSince}) => suspectedSince === undefined)
 			.map(({listed}) => listed.id),
 	);
 	const executors = [...owner.executors.values()];
@@ -114,5 +114,5 @@
  * Nothing is unsaved and no flush is under way, so that all ends taken in may
  * be acknowledged: those that changed nothing need no flush of their own.
  */
-export const acknowledgeIdle = (owner: Owner): readonly Executor[] =>
+export const acknowledgeAll = (owner: Owner): readonly Executor[] =>
 	acknowledge(owner, Number.POSITIVE_INFINITY);
--- a/packages/core/src/scheduler/overview.test.ts
+++ b/packages/core/src/scheduler/owner-overview.test.ts
@@ -30,7 +30,7 @@
 	{
 		readiness: 'silent',
 		change(executor) {
-			executor.silentSince = 5;
+			executor.unresponsiveSince = 5;
 		},
 	},
 	{
@@ -48,7 +48,7 @@
 	{
 		readiness: 'strays',
 		change(executor) {
-			executor.strays = 1;
+			executor.orphanedRunCount = 1;
 		},
 	},
 	{
@@ -60,7 +60,7 @@
 	{
 		readiness: 'resting',
 		change(executor) {
-			executor.restsUntil = 100;
+			executor.quarantinedUntil = 100;
 		},
 	},
 ];
--- a/packages/core/src/scheduler/overview.ts
+++ b/packages/core/src/scheduler/owner-overview.ts
@@ -1,8 +1,8 @@
 /** Where the work and the executors of a service stand, for its owner's log. */
 import {getReadiness, type Readiness} from './executor.js';
-import {isPlaceKnown} from './owner.js';
+import {isLocationKnown} from './owner.js';
 import type {Owner} from './owner-state.js';
-import {isStepOpen, isWaiting, listTasks} from './task.js';
+import {isStepReady, isWaiting, listTasks} from './task.js';
 
 /** Counts of one moment. */
 export type OwnerOverview = {
@@ -35,11 +35,11 @@
 	let tasksOfUnknownPlace = 0;
 	for (const job of owner.openJobs) {
 		const waiting = [...listTasks(job)].filter(
-			(task) => isWaiting(task) && isStepOpen(task.step),
+			(task) => isWaiting(task) && isStepReady(task.step),
 		);
 		waitingTasks += waiting.length;
 		tasksOfUnknownPlace += waiting.filter(
-			(task) => !isPlaceKnown(owner, task),
+			(task) => !isLocationKnown(owner, task),
 		).length;
 	}
 
@@ -49,7 +49,7 @@
 		waitingTasks,
 		tasksOfUnknownPlace,
 		runs: executors.reduce((sum, {runs}) => sum + runs.size, 0),
-		unresolvedExecutors: owner.unresolved.size,
+		unresolvedExecutors: owner.unresolvedExecutors.size,
 		executors: countReadiness(owner, now),
 	};
 };
--- a/packages/core/src/scheduler/owner-state.ts
+++ b/packages/core/src/scheduler/owner-state.ts
@@ -8,12 +8,12 @@
 export type StepAdvice = {
 	readonly tickets: Map<string, string>;
 	/** Executors that were asked about and are not named. */
-	readonly refused: Set<string>;
+	readonly rejectedExecutors: Set<string>;
 	/** When the tickets expire, by the own clock. */
 	validUntil: number;
-	isUnderWay: boolean;
+	isRequestPending: boolean;
 	/** Not asked again before. */
-	askAgainAt: number;
+	retryAt: number;
 };
 
 /** Work that came in, weighted so that older work counts less. */
@@ -38,17 +38,17 @@
 	 * Executors that may run what an earlier owner started, with the time at
 	 * which its leases there are certainly over.
 	 */
-	readonly unresolved: Map<string, number>;
+	readonly unresolvedExecutors: Map<string, number>;
 	/** Jobs whose progress differs from the store. */
-	readonly dirty: Set<Job>;
+	readonly dirtyJobs: Set<Job>;
 	/** The set of executors in the store is out of date. */
 	isRosterDirty: boolean;
 	/** Number of the flush that takes in what changes now. */
-	flush: number;
+	flushNumber: number;
 	/** What the advice service has said, by step. */
 	readonly advice: Map<string, StepAdvice>;
 	/** Lives of executors that are over; the registry may still list them. */
-	readonly gone: Set<string>;
+	readonly terminatedExecutors: Set<string>;
 	/** Work handed in lately. */
 	arrivals: Arrivals;
 	/** Bounds the starts under way. */
--- a/packages/core/src/scheduler/owner.test.fixture.ts
+++ b/packages/core/src/scheduler/owner.test.fixture.ts
@@ -5,7 +5,7 @@
 export const testConfig: scheduler.SchedulerConfig = {
 	...scheduler.defaultSchedulerConfig,
 	taskLeaseMs: 4000,
-	ownerBeliefMs: 10_000,
+	ownershipTimeoutMs: 10_000,
 };
 
 /** A step of one small task. */
@@ -82,39 +82,39 @@
 ): scheduler.Owner => {
 	const owner = scheduler.createOwner('s', 1, cfg, 0);
 	for (const listed of executors) {
-		scheduler.listExecutor(owner, listed);
-		look(owner, listed.id, {at: 0});
+		scheduler.recordListedExecutor(owner, listed);
+		pollExecutor(owner, listed.id, {at: 0});
 	}
 
-	store(owner);
+	flushAll(owner);
 	return owner;
 };
 
 /** Stores all that is to be stored; answers the executors to acknowledge to. */
-export const store = (owner: scheduler.Owner): readonly string[] => {
+export const flushAll = (owner: scheduler.Owner): readonly string[] => {
 	const flush = scheduler.beginFlush(owner, 100);
 	return scheduler.completeFlush(owner, flush).map(({id}) => id);
 };
 
 /** What an executor lists. */
-export type TestLook = {
+export type TestPoll = {
 	readonly at: number;
 	readonly running?: ReadonlyArray<Partial<scheduler.ListedRun>>;
 	readonly ends?: ReadonlyArray<Partial<scheduler.ListedEnd>>;
 };
 
 /** Takes in a look at an executor whose clock shows the same time. */
-export const look = (
+export const pollExecutor = (
 	owner: scheduler.Owner,
 	id: string,
-	{at, running = [], ends = []}: TestLook,
-): scheduler.LookChanges => {
+	{at, running = [], ends = []}: TestPoll,
+): scheduler.PollChanges => {
 	const executor = owner.executors.get(id);
 	if (!executor) {
 		throw new Error(`no executor ${id}`);
 	}
 
-	return scheduler.takeLook(owner, executor, {
+	return scheduler.applyPoll(owner, executor, {
 		sentAt: at,
 		receivedAt: at,
 		clockMs: at,
@@ -138,8 +138,8 @@
 };
 
 /** Orders as short texts. */
-export const describeOrders = (
-	orders: readonly scheduler.Order[],
+export const describeCommands = (
+	orders: readonly scheduler.Command[],
 ): readonly string[] =>
 	orders.map((order) => {
 		if (order.kind === 'advise') {
@@ -156,11 +156,11 @@
 export const planAndStart = (
 	owner: scheduler.Owner,
 	now: number,
-): readonly scheduler.Order[] => {
-	const orders = scheduler.planOrders(owner, now, now);
+): readonly scheduler.Command[] => {
+	const orders = scheduler.planCommands(owner, now, now);
 	for (const order of orders) {
 		if (order.kind === 'start') {
-			scheduler.takeStartAnswer(
+			scheduler.applyStartAnswer(
 				owner,
 				order.run,
 				{kind: 'started', clockMs: now},
@@ -194,7 +194,7 @@
 	}));
 
 /** The run of an order, if it is about one. */
-export const runOf = (
-	order: scheduler.Order | undefined,
+export const getCommandRun = (
+	order: scheduler.Command | undefined,
 ): scheduler.Run | undefined =>
 	order && order.kind !== 'advise' ? order.run : undefined;
--- a/packages/core/src/scheduler/owner.ts
+++ b/packages/core/src/scheduler/owner.ts
@@ -4,15 +4,20 @@
  * owner; see docs/design/platform-programs.md.
  */
 import type {SchedulerConfig} from './config.js';
-import {noArrivals, noteArrival} from './load.js';
-import {createExecutor, dropRun, hasLapsed, type Executor} from './executor.js';
+import {noArrivals, recordArrival} from './service-load.js';
+import {
+	createExecutor,
+	removeRun,
+	haveLeasesExpired,
+	type Executor,
+} from './executor.js';
 import type {Owner} from './owner-state.js';
 import {initialStartWindow} from './start-window.js';
 import {
 	addDueOccurrences,
 	createJob,
-	isLasting,
-	isWhollyDone,
+	isLongRunningJob,
+	isJobComplete,
 	listTasks,
 	type Job,
 	type JobEnd,
@@ -22,7 +27,7 @@
 import type {AcceptedJob, JobState, ListedExecutor} from './types.js';
 
 /** A job that changed and why, for the log. */
-export type JobChange = {
+export type EndedJob = {
 	readonly job: string;
 	readonly end: JobEnd;
 	readonly reason: string;
@@ -42,12 +47,12 @@
 	jobs: new Map(),
 	openJobs: new Set(),
 	executors: new Map(),
-	unresolved: new Map(),
-	dirty: new Set(),
+	unresolvedExecutors: new Map(),
+	dirtyJobs: new Set(),
 	isRosterDirty: false,
-	flush: 1,
+	flushNumber: 1,
 	advice: new Map(),
-	gone: new Set(),
+	terminatedExecutors: new Set(),
 	arrivals: noArrivals,
 	startWindow: initialStartWindow,
 	meanWork: new Map(),
@@ -77,8 +82,8 @@
 	owner.jobs.set(accepted.id, job);
 	owner.openJobs.add(job);
 	noteWork(owner, job);
-	if (!isInherited && !isLasting(job)) {
-		owner.arrivals = noteArrival(owner.arrivals, job.totalWork, now);
+	if (!isInherited && !isLongRunningJob(job)) {
+		owner.arrivals = recordArrival(owner.arrivals, job.totalWork, now);
 	}
 
 	return job;
@@ -104,7 +109,7 @@
 	}
 
 	owner.openJobs.delete(job);
-	owner.dirty.add(job);
+	owner.dirtyJobs.add(job);
 };
 
 /**
@@ -137,8 +142,8 @@
 
 /** Notes a done task's job: it may be wholly done. */
 export const completeIfDone = (owner: Owner, job: Job, now: number): void => {
-	owner.dirty.add(job);
-	if (!job.end && isWhollyDone(job)) {
+	owner.dirtyJobs.add(job);
+	if (!job.end && isJobComplete(job)) {
 		endJob(owner, job, 'completed', now);
 	}
 };
@@ -149,7 +154,7 @@
 		const before = job.nextOccurrence;
 		addDueOccurrences(job, epochNow);
 		if (job.nextOccurrence !== before && job.accepted.spec.schedule) {
-			owner.dirty.add(job);
+			owner.dirtyJobs.add(job);
 		}
 	}
 };
@@ -162,23 +167,26 @@
 	!executor.isListed && executor.runs.size === 0 && !executor.hasListedEnds;
 
 const forgetIfGone = (owner: Owner, executor: Executor): void => {
-	if (canForget(executor) && !owner.unresolved.has(executor.id)) {
+	if (canForget(executor) && !owner.unresolvedExecutors.has(executor.id)) {
 		owner.executors.delete(executor.id);
 		owner.isRosterDirty ||= executor.isRostered;
 	}
 };
 
 /** Notes that an executor is listed as this. */
-export const listExecutor = (owner: Owner, listed: ListedExecutor): void => {
+export const recordListedExecutor = (
+	owner: Owner,
+	listed: ListedExecutor,
+): void => {
 	const known = owner.executors.get(listed.id);
 	if (known) {
 		known.listed = listed;
 		known.isListed = true;
-		known.isDropped = false;
+		known.wasUnlisted = false;
 		return;
 	}
 
-	if (owner.gone.has(listed.id)) {
+	if (owner.terminatedExecutors.has(listed.id)) {
 		return;
 	}
 
@@ -190,11 +198,11 @@
  * Notes that the registry has dropped an executor. That says nothing of what
  * runs there: only its answer, its next life or the end of its leases does.
  */
-export const unlistExecutor = (owner: Owner, id: string): void => {
+export const recordUnlistedExecutor = (owner: Owner, id: string): void => {
 	const executor = owner.executors.get(id);
 	if (executor) {
 		executor.isListed = false;
-		executor.isDropped = true;
+		executor.wasUnlisted = true;
 		forgetIfGone(owner, executor);
 	}
 };
@@ -203,7 +211,7 @@
 const releaseAll = (owner: Owner, executor: Executor): readonly Run[] => {
 	const runs = [...executor.runs.values()];
 	for (const run of runs) {
-		dropRun(executor, run);
+		removeRun(executor, run);
 	}
 
 	forgetIfGone(owner, executor);
@@ -211,9 +219,9 @@
 };
 
 /** This life of an executor is certainly gone, with all that it ran. */
-export const noteGone = (owner: Owner, id: string): readonly Run[] => {
-	owner.unresolved.delete(id);
-	owner.gone.add(id);
+export const markTerminated = (owner: Owner, id: string): readonly Run[] => {
+	owner.unresolvedExecutors.delete(id);
+	owner.terminatedExecutors.add(id);
 	const executor = owner.executors.get(id);
 	if (!executor) {
 		return [];
@@ -226,10 +234,14 @@
 };
 
 /** A call to an executor had no answer. */
-export const noteSilence = (owner: Owner, id: string, now: number): void => {
+export const markUnresponsive = (
+	owner: Owner,
+	id: string,
+	now: number,
+): void => {
 	const executor = owner.executors.get(id);
 	if (executor) {
-		executor.silentSince ??= now;
+		executor.unresponsiveSince ??= now;
 	}
 };
 
@@ -245,23 +257,23 @@
 	darkSince?: number,
 ): void => {
 	const executor = createExecutor(listed);
-	executor.darkSince = darkSince;
-	executor.isMarkSent = darkSince !== undefined;
+	executor.suspectedSince = darkSince;
+	executor.isSuspicionSent = darkSince !== undefined;
 	// The next owner goes by the word of this one only.
 	owner.isRosterDirty ||= darkSince !== undefined;
 	// The roster that names it is the one in the store.
 	executor.isRostered = true;
 	executor.isListed = false;
 	owner.executors.set(listed.id, executor);
-	owner.unresolved.set(listed.id, overAt);
+	owner.unresolvedExecutors.set(listed.id, overAt);
 };
 
 /**
  * The owner before has let go: what it granted ends at `overAt` at the latest.
  */
-export const shortenInheritance = (owner: Owner, overAt: number): void => {
-	for (const [id, known] of owner.unresolved) {
-		owner.unresolved.set(id, Math.min(known, overAt));
+export const limitInheritedLeases = (owner: Owner, overAt: number): void => {
+	for (const [id, known] of owner.unresolvedExecutors) {
+		owner.unresolvedExecutors.set(id, Math.min(known, overAt));
 	}
 };
 
@@ -269,9 +281,9 @@
  * A task accepted under an earlier owner may run on an executor that has not
  * answered yet; one that this owner has seen is where it was seen.
  */
-export const isPlaceKnown = (owner: Owner, task: Task): boolean =>
+export const isLocationKnown = (owner: Owner, task: Task): boolean =>
 	!task.step.occurrence.job.isInherited ||
-	owner.unresolved.size === 0 ||
+	owner.unresolvedExecutors.size === 0 ||
 	task.lastRun > 0;
 
 const unlistIfUnknown = (owner: Owner, id: string): void => {
@@ -286,21 +298,24 @@
  * list and empty. Answers the runs freed.
  */
 export const expireLeases = (owner: Owner, now: number): readonly Run[] => {
-	for (const [id, overAt] of owner.unresolved) {
+	for (const [id, overAt] of owner.unresolvedExecutors) {
 		if (now >= overAt) {
-			owner.unresolved.delete(id);
+			owner.unresolvedExecutors.delete(id);
 			unlistIfUnknown(owner, id);
 		}
 	}
 
 	const freed: Run[] = [];
 	for (const executor of owner.executors.values()) {
-		if (executor.silentSince !== undefined && hasLapsed(executor, now)) {
+		if (
+			executor.unresponsiveSince !== undefined &&
+			haveLeasesExpired(executor, now)
+		) {
 			// Nothing is assumed of it until it has answered a look again.
 			executor.isAdopted = false;
 			executor.hasListedEnds = false;
 			freed.push(...releaseAll(owner, executor));
-		} else if (executor.isDropped) {
+		} else if (executor.wasUnlisted) {
 			// Kept for what it ran: in the roster, the next owner would wait for it.
 			forgetIfGone(owner, executor);
 		}
@@ -310,7 +325,7 @@
 };
 
 /** Removes jobs that ended so long ago that nobody may ask for them. */
-export const forgetEndedJobs = (
+export const listExpiredJobs = (
 	owner: Owner,
 	now: number,
 	most: number,
--- a/packages/core/src/scheduler/advice.test.ts
+++ b/packages/core/src/scheduler/placement-advice.test.ts
@@ -3,7 +3,7 @@
 	createAccepted,
 	createListed,
 	createTestOwner,
-	describeOrders,
+	describeCommands,
 	planAndStart,
 	submit,
 } from './owner.test.fixture.js';
@@ -19,7 +19,7 @@
 		owner,
 		createAccepted('a', [{count: 2}], {policy: {needsAdvice: true}}),
 	);
-	const first = describeOrders(planAndStart(owner, 0));
+	const first = describeCommands(planAndStart(owner, 0));
 	return {owner, first};
 };
 
@@ -29,9 +29,9 @@
 		const {owner, first} = createWorld();
 		t.same(first, ['ask for a.0.0: x, yy']);
 		t.same(planAndStart(owner, 10), [], 'not asked twice');
-		scheduler.takeAdvice(owner, request, answer, 20);
+		scheduler.applyAdvice(owner, request, answer, 20);
 		const orders = planAndStart(owner, 30);
-		t.same(describeOrders(orders), [
+		t.same(describeCommands(orders), [
 			'start a.0.0.0 on yy',
 			'start a.0.0.1 on yy',
 		]);
@@ -41,40 +41,40 @@
 
 tap.t.test('no answer is asked for again after a while', async (t) => {
 	const {owner} = createWorld();
-	scheduler.takeAdvice(owner, request, undefined, 20);
+	scheduler.applyAdvice(owner, request, undefined, 20);
 	t.same(planAndStart(owner, 30), []);
-	t.same(describeOrders(planAndStart(owner, 400)), ['ask for a.0.0: x, yy']);
+	t.same(describeCommands(planAndStart(owner, 400)), ['ask for a.0.0: x, yy']);
 });
 
 tap.t.test(
 	'tickets expire; who is not named is not asked about again',
 	async (t) => {
 		const {owner} = createWorld();
-		scheduler.takeAdvice(owner, request, answer, 20);
-		t.same(describeOrders(planAndStart(owner, 2900)), ['ask for a.0.0: yy']);
+		scheduler.applyAdvice(owner, request, answer, 20);
+		t.same(describeCommands(planAndStart(owner, 2900)), ['ask for a.0.0: yy']);
 	},
 );
 
 tap.t.test('an executor that comes later is asked about', async (t) => {
 	const {owner} = createWorld();
-	scheduler.takeAdvice(owner, request, {...answer, tickets: []}, 20);
+	scheduler.applyAdvice(owner, request, {...answer, tickets: []}, 20);
 	t.same(planAndStart(owner, 30), []);
-	scheduler.listExecutor(owner, createListed('new'));
+	scheduler.recordListedExecutor(owner, createListed('new'));
 	const executor = owner.executors.get('new')!;
 	executor.isAdopted = true;
 	executor.isRostered = true;
-	t.same(describeOrders(planAndStart(owner, 40)), ['ask for a.0.0: new']);
+	t.same(describeCommands(planAndStart(owner, 40)), ['ask for a.0.0: new']);
 });
 
 tap.t.test('a ticket that is refused is asked for anew', async (t) => {
 	const {owner} = createWorld();
-	scheduler.takeAdvice(owner, request, answer, 20);
-	const [order] = scheduler.planOrders(owner, 30, 30);
+	scheduler.applyAdvice(owner, request, answer, 20);
+	const [order] = scheduler.planCommands(owner, 30, 30);
 	if (order?.kind !== 'start') {
 		throw new Error('no start');
 	}
 
 	const refused = {kind: 'refused', reason: 'ticket', clockMs: 31} as const;
-	scheduler.takeStartAnswer(owner, order.run, refused, 31);
-	t.match(describeOrders(planAndStart(owner, 40)), ['ask for a.0.0: yy']);
+	scheduler.applyStartAnswer(owner, order.run, refused, 31);
+	t.match(describeCommands(planAndStart(owner, 40)), ['ask for a.0.0: yy']);
 });
--- a/packages/core/src/scheduler/advice.ts
+++ b/packages/core/src/scheduler/placement-advice.ts
@@ -44,10 +44,10 @@
 	const stepId = getStepId(step);
 	const known = owner.advice.get(stepId) ?? {
 		tickets: new Map<string, string>(),
-		refused: new Set<string>(),
+		rejectedExecutors: new Set<string>(),
 		validUntil: 0,
-		isUnderWay: false,
-		askAgainAt: 0,
+		isRequestPending: false,
+		retryAt: 0,
 	};
 	owner.advice.set(stepId, known);
 	return known;
@@ -70,7 +70,7 @@
 };
 
 /** Those of the executors that may run a step now. */
-export const listAdvised = (
+export const listAdvisedExecutors = (
 	owner: Owner,
 	step: Step,
 	executors: readonly Executor[],
@@ -81,32 +81,33 @@
 		: executors;
 
 /** The question that a step needs answered, if any. */
-export const planAdvice = (
+export const prepareAdviceRequest = (
 	owner: Owner,
 	step: Step,
 	executors: readonly Executor[],
 	now: number,
 ): AdviceRequest | undefined => {
 	const advice = getAdvice(owner, step);
-	if (advice.isUnderWay || now < advice.askAgainAt) {
+	if (advice.isRequestPending || now < advice.retryAt) {
 		return undefined;
 	}
 
 	const isFresh = isValid(advice, now);
 	const open = executors.filter(
-		({id}) => !advice.refused.has(id) && !(isFresh && advice.tickets.has(id)),
+		({id}) =>
+			!advice.rejectedExecutors.has(id) && !(isFresh && advice.tickets.has(id)),
 	);
 	if (open.length === 0) {
 		return undefined;
 	}
 
-	advice.isUnderWay = true;
+	advice.isRequestPending = true;
 	const executorIds = open.slice(0, maxAsked).map(({id}) => id);
 	return {stepId: getStepId(step), executorIds};
 };
 
 /** Takes in an answer, or that none came. */
-export const takeAdvice = (
+export const applyAdvice = (
 	owner: Owner,
 	request: AdviceRequest,
 	answer: Advice | undefined,
@@ -117,9 +118,9 @@
 		return;
 	}
 
-	advice.isUnderWay = false;
+	advice.isRequestPending = false;
 	if (!answer) {
-		advice.askAgainAt = now + retryMs;
+		advice.retryAt = now + retryMs;
 		return;
 	}
 
@@ -131,7 +132,7 @@
 	for (const id of request.executorIds) {
 		const ticket = named.get(id);
 		if (ticket === undefined) {
-			advice.refused.add(id);
+			advice.rejectedExecutors.add(id);
 		} else {
 			advice.tickets.set(id, ticket);
 		}
--- a/packages/core/src/scheduler/plan.test.ts
+++ b/packages/core/src/scheduler/plan.test.ts
@@ -3,11 +3,11 @@
 	createAccepted,
 	createListed,
 	createTestOwner,
-	describeOrders,
+	describeCommands,
 	listRuns,
-	look,
+	pollExecutor,
 	planAndStart,
-	store,
+	flushAll,
 	submit,
 	testConfig,
 } from './owner.test.fixture.js';
@@ -188,8 +188,8 @@
 			submit(owner, job);
 		}
 
-		t.same(describeOrders(planAndStart(owner, 0)), orders);
-		t.same(describeOrders(planAndStart(owner, 0)), [], 'once');
+		t.same(describeCommands(planAndStart(owner, 0)), orders);
+		t.same(describeCommands(planAndStart(owner, 0)), [], 'once');
 	});
 }
 
@@ -197,12 +197,12 @@
 	'an executor is used once the store has it in its roster',
 	async (t) => {
 		const owner = scheduler.createOwner('s', 1, testConfig, 0);
-		scheduler.listExecutor(owner, createListed('x'));
-		look(owner, 'x', {at: 0});
+		scheduler.recordListedExecutor(owner, createListed('x'));
+		pollExecutor(owner, 'x', {at: 0});
 		submit(owner, createAccepted('a'));
 		t.same(planAndStart(owner, 0), []);
-		store(owner);
-		t.same(describeOrders(planAndStart(owner, 0)), ['start a.0.0.0 on x']);
+		flushAll(owner);
+		t.same(describeCommands(planAndStart(owner, 0)), ['start a.0.0.0 on x']);
 	},
 );
 
@@ -215,12 +215,12 @@
 		const [run] = listRuns(owner, 'x');
 		scheduler.cancelJob(owner, job, 10);
 		submit(owner, createAccepted('b', [{resources: full}]));
-		t.same(describeOrders(planAndStart(owner, 10)), [
+		t.same(describeCommands(planAndStart(owner, 10)), [
 			'stop a.0.0.0 on x: job-ended',
 		]);
 		t.same(planAndStart(owner, 20), [], 'neither a stop nor a start');
-		look(owner, 'x', {at: 30, ends: [{...run!, how: 'stopped'}]});
-		t.same(describeOrders(planAndStart(owner, 40)), ['start b.0.0.0 on x']);
+		pollExecutor(owner, 'x', {at: 30, ends: [{...run!, how: 'stopped'}]});
+		t.same(describeCommands(planAndStart(owner, 40)), ['start b.0.0.0 on x']);
 	},
 );
 
@@ -229,7 +229,7 @@
 	submit(owner, createAccepted('a', [{count: 4}]));
 	planAndStart(owner, 0);
 	const runs = listRuns(owner, 'x');
-	look(owner, 'x', {
+	pollExecutor(owner, 'x', {
 		at: 50,
 		running: runs.map((run, index) => ({...run, percent: 90 - 20 * index})),
 	});
@@ -243,7 +243,7 @@
 		]),
 	);
 	t.same(
-		describeOrders(planAndStart(owner, 60)),
+		describeCommands(planAndStart(owner, 60)),
 		['stop a.0.0.3 on x: preempted', 'stop a.0.0.2 on x: preempted'],
 		'those with the least work done',
 	);
@@ -258,7 +258,7 @@
 	for (const epochNow of [0, 999, 1000, 1400, 1600, 5000]) {
 		scheduler.advanceSchedules(owner, epochNow);
 		started.push(
-			...describeOrders(scheduler.planOrders(owner, 0, epochNow)).map(
+			...describeCommands(scheduler.planCommands(owner, 0, epochNow)).map(
 				(order) => `${epochNow}: ${order}`,
 			),
 		);
@@ -278,11 +278,11 @@
 		submit(owner, createAccepted('a', [{estimateMs: 500}]));
 		planAndStart(owner, 0);
 		const [run] = listRuns(owner, 'x');
-		look(owner, 'x', {at: 100, running: [{...run!, percent: 10}]});
-		look(owner, 'x', {at: 1500, running: [{...run!, percent: 10}]});
+		pollExecutor(owner, 'x', {at: 100, running: [{...run!, percent: 10}]});
+		pollExecutor(owner, 'x', {at: 1500, running: [{...run!, percent: 10}]});
 		t.same(planAndStart(owner, 1500), [], 'not yet');
-		look(owner, 'x', {at: 1700, running: [{...run!, percent: 10}]});
-		t.same(describeOrders(planAndStart(owner, 1700)), [
+		pollExecutor(owner, 'x', {at: 1700, running: [{...run!, percent: 10}]});
+		t.same(describeCommands(planAndStart(owner, 1700)), [
 			'stop a.0.0.0 on x: hung',
 		]);
 	},
--- a/packages/core/src/scheduler/plan.ts
+++ b/packages/core/src/scheduler/plan.ts
@@ -1,37 +1,37 @@
 /** What the owner of a service orders next. */
 import {
 	findTicket,
-	listAdvised,
+	listAdvisedExecutors,
 	needsAdvice,
-	planAdvice,
+	prepareAdviceRequest,
 	type AdviceRequest,
-} from './advice.js';
+} from './placement-advice.js';
 import {
 	expireEvacuations,
 	listEvacuationStops,
-	mayStopLasting,
+	mayStopLongRunning,
 } from './evacuation.js';
 import {
 	addRun,
-	dropRun,
+	removeRun,
 	getRack,
 	grantLease,
 	type Executor,
 } from './executor.js';
 import {
-	createFullFor,
-	isFullFor,
-	noteRefused,
-	type FullFor,
-} from './full-for.js';
-import {isPlaceKnown} from './owner.js';
+	createRejectedDemands,
+	isKnownNotToFit,
+	recordRejectedDemand,
+	type RejectedDemands,
+} from './rejected-demands.js';
+import {isLocationKnown} from './owner.js';
 import type {Owner} from './owner-state.js';
-import {findEviction, listUsable, placeTask} from './place.js';
+import {findEviction, listUsable, placeTask} from './placement.js';
 import {rankJobs, type RankedJob} from './rank.js';
-import {countFreeStarts} from './start-window.js';
+import {countAvailableStarts} from './start-window.js';
 import {
 	createRun,
-	isStepOpen,
+	isStepReady,
 	isWaiting,
 	type Run,
 	type Step,
@@ -50,7 +50,7 @@
 	| 'executor-draining';
 
 /** An order to an executor. */
-export type Order =
+export type Command =
 	| {
 			readonly kind: 'start';
 			readonly executor: Executor;
@@ -67,7 +67,7 @@
 	  }
 	| ({readonly kind: 'advise'} & AdviceRequest);
 
-type StartOrder = Extract<Order, {readonly kind: 'start'}>;
+type StartOrder = Extract<Command, {readonly kind: 'start'}>;
 
 /** Room for so many runs of one task under one owner. */
 const runsPerToken = 10_000;
@@ -80,12 +80,12 @@
 	executor: Executor,
 	run: Run,
 	reason: StopReason,
-): Order | undefined => {
-	if (run.isStopUnderWay) {
+): Command | undefined => {
+	if (run.isStopPending) {
 		return undefined;
 	}
 
-	run.isStopUnderWay = true;
+	run.isStopPending = true;
 	run.state = run.confirmedAt === undefined ? 'barring' : 'stopping';
 	return {kind: 'stop', executor, run, reason};
 };
@@ -143,11 +143,11 @@
 const leavesSoon = ({listed}: Executor, run: Run): boolean =>
 	listed.isDraining &&
 	run.task.step.spec.isLongRunning &&
-	mayStopLasting(run.task);
+	mayStopLongRunning(run.task);
 
-const planStops = (owner: Owner, now: number): readonly Order[] => {
-	const orders: Order[] = [];
-	const add = (order: Order | undefined) => {
+const planStops = (owner: Owner, now: number): readonly Command[] => {
+	const orders: Command[] = [];
+	const add = (order: Command | undefined) => {
 		if (order) {
 			orders.push(order);
 		}
@@ -155,7 +155,7 @@
 
 	for (const executor of owner.executors.values()) {
 		// A silent executor is asked again once it has answered a look.
-		if (executor.silentSince !== undefined) {
+		if (executor.unresponsiveSince !== undefined) {
 			continue;
 		}
 
@@ -184,9 +184,9 @@
 	readonly owner: Owner;
 	readonly now: number;
 	readonly usable: readonly Executor[];
-	readonly orders: Order[];
+	readonly orders: Command[];
 	/** What no usable executor has room for any more. */
-	readonly full: FullFor;
+	readonly full: RejectedDemands;
 	/** Starts that may still be ordered, by the owner's window. */
 	startsLeft: number;
 };
@@ -232,19 +232,19 @@
 		return usable;
 	}
 
-	const request = planAdvice(owner, step, usable, now);
+	const request = prepareAdviceRequest(owner, step, usable, now);
 	if (request) {
 		orders.push({kind: 'advise', ...request});
 	}
 
-	return listAdvised(owner, step, usable, now);
+	return listAdvisedExecutors(owner, step, usable, now);
 };
 
 /** Starts what it can of a step, until the executors are full for it. */
 const planStep = (planning: Planning, step: Step): void => {
 	const {owner, orders, full} = planning;
 	const isLasting = step.spec.isLongRunning;
-	if (!isLasting && isFullFor(full, step)) {
+	if (!isLasting && isKnownNotToFit(full, step)) {
 		return;
 	}
 
@@ -254,7 +254,7 @@
 			return;
 		}
 
-		if (!isWaiting(task) || !isPlaceKnown(owner, task)) {
+		if (!isWaiting(task) || !isLocationKnown(owner, task)) {
 			continue;
 		}
 
@@ -264,7 +264,7 @@
 				evictFor(planning, task);
 			}
 
-			noteRefused(full, planning.usable, step);
+			recordRejectedDemand(full, planning.usable, step);
 			return;
 		}
 
@@ -277,7 +277,7 @@
 };
 
 const isGangReady = (owner: Owner, step: Step): boolean =>
-	step.tasks.every((task) => isWaiting(task) && isPlaceKnown(owner, task));
+	step.tasks.every((task) => isWaiting(task) && isLocationKnown(owner, task));
 
 const groupByRack = (
 	executors: readonly Executor[],
@@ -295,7 +295,7 @@
 /** Starts all tasks of a gang with one run number, or none. */
 const planGang = (planning: Planning, step: Step): void => {
 	const {owner, orders, full} = planning;
-	if (isFullFor(full, step) || !isGangReady(owner, step)) {
+	if (isKnownNotToFit(full, step) || !isGangReady(owner, step)) {
 		return;
 	}
 
@@ -324,7 +324,7 @@
 		}
 
 		for (const {executor, run} of started) {
-			dropRun(executor, run);
+			removeRun(executor, run);
 		}
 
 		planning.startsLeft += started.length;
@@ -334,7 +334,7 @@
 const planJob = (planning: Planning, {job}: RankedJob): void => {
 	for (const {steps} of job.occurrences.values()) {
 		for (const step of steps) {
-			if (step.doneCount === step.spec.count || !isStepOpen(step)) {
+			if (step.doneCount === step.spec.count || !isStepReady(step)) {
 				continue;
 			}
 
@@ -360,22 +360,22 @@
 };
 
 /** Plans the orders of this moment; runs are noted as asked for. */
-export const planOrders = (
+export const planCommands = (
 	owner: Owner,
 	now: number,
 	epochNow: number,
-): readonly Order[] => {
+): readonly Command[] => {
 	expireEvacuations(owner, now);
 	const stops = planStops(owner, now);
 	const usable = listUsable(owner, now);
-	const full = createFullFor();
+	const full = createRejectedDemands();
 	const planning: Planning = {
 		owner,
 		now,
 		usable,
 		orders: [...stops],
 		full,
-		startsLeft: countFreeStarts(owner.startWindow, countAsked(owner)),
+		startsLeft: countAvailableStarts(owner.startWindow, countAsked(owner)),
 	};
 	if (usable.length === 0 || planning.startsLeft === 0) {
 		return planning.orders;
--- a/packages/core/src/scheduler/progress.ts
+++ b/packages/core/src/scheduler/progress.ts
@@ -7,7 +7,7 @@
 	countOccurrences,
 	listTasks,
 	markDone,
-	takeCheckpoint,
+	applyCheckpoint,
 	type Job,
 	type JobEnd,
 	type Step,
@@ -86,7 +86,7 @@
 		.filter(({checkpoint}) => checkpoint)
 		.toSorted((one, two) => two.checkpointRun - one.checkpointRun);
 	if (latest) {
-		takeCheckpoint(latest, latest.checkpointRun, latest.checkpoint ?? '');
+		applyCheckpoint(latest, latest.checkpointRun, latest.checkpoint ?? '');
 	}
 
 	const failures = Math.max(...tasks.map((task) => task.failures));
--- a/packages/core/src/scheduler/rank.ts
+++ b/packages/core/src/scheduler/rank.ts
@@ -4,7 +4,7 @@
  * work that is left. Source: docs/design/platform-programs.md.
  */
 import type {Owner} from './owner-state.js';
-import {isLasting, type Job, type Step, type Task} from './task.js';
+import {isLongRunningJob, type Job, type Step, type Task} from './task.js';
 import type {AcceptedJob} from './types.js';
 
 /** Times the objective up to which a late answer is still worth something. */
@@ -14,9 +14,9 @@
 const fixedValueShare = 0.3;
 
 /** Where a job stands against its objective. */
-type Standing = 'lasting' | 'in-time' | 'late' | 'worthless';
+type Timeliness = 'lasting' | 'in-time' | 'late' | 'worthless';
 
-const standingOrder: Readonly<Record<Standing, number>> = {
+const standingOrder: Readonly<Record<Timeliness, number>> = {
 	lasting: 0,
 	'in-time': 1,
 	late: 2,
@@ -49,7 +49,7 @@
 };
 
 /** Estimated time that the occurrence in hand still takes, in milliseconds. */
-export const getRemainingChainMs = (job: Job): number => {
+export const getRemainingCriticalPathMs = (job: Job): number => {
 	const [occurrence] = job.occurrences.values();
 	const steps = occurrence?.steps ?? [];
 	return getChainMs(steps, (number) => {
@@ -59,14 +59,14 @@
 };
 
 /** Estimated time of the longest chain of steps, in milliseconds. */
-export const getWholeChainMs = ({spec: {steps}}: AcceptedJob): number =>
+export const getCriticalPathMs = ({spec: {steps}}: AcceptedJob): number =>
 	getChainMs(
 		steps.map((each) => ({spec: each})),
 		(number) => steps[number]?.estimateMs ?? 0,
 	);
 
 const computeObjectiveMs = (accepted: AcceptedJob): number =>
-	accepted.policy.stretch * getWholeChainMs(accepted) +
+	accepted.policy.stretch * getCriticalPathMs(accepted) +
 	accepted.policy.targetLatencyMs;
 
 /** Never changes, and is asked for each open job in each plan. */
@@ -85,8 +85,8 @@
 			number * accepted.spec.schedule.intervalMs
 		: accepted.acceptedAtEpochMs;
 
-const getStanding = (job: Job, epochNow: number): Standing => {
-	if (isLasting(job)) {
+const getStanding = (job: Job, epochNow: number): Timeliness => {
+	if (isLongRunningJob(job)) {
 		return 'lasting';
 	}
 
@@ -95,7 +95,7 @@
 	const expected =
 		epochNow -
 		getStart(job, occurrence?.number ?? 0) +
-		getRemainingChainMs(job);
+		getRemainingCriticalPathMs(job);
 	if (expected <= objective) {
 		return 'in-time';
 	}
@@ -121,7 +121,7 @@
 /** One job in the order of work. */
 export type RankedJob = {
 	readonly job: Job;
-	readonly standing: Standing;
+	readonly timeliness: Timeliness;
 	readonly workPerValue: number;
 };
 
@@ -129,7 +129,7 @@
 	const first = one.job.accepted.policy;
 	const second = two.job.accepted.policy;
 	return (
-		standingOrder[one.standing] - standingOrder[two.standing] ||
+		standingOrder[one.timeliness] - standingOrder[two.timeliness] ||
 		first.priority - second.priority ||
 		one.workPerValue - two.workPerValue ||
 		one.job.accepted.acceptedAtEpochMs - two.job.accepted.acceptedAtEpochMs
@@ -144,7 +144,7 @@
 	[...owner.openJobs]
 		.map((job) => ({
 			job,
-			standing: getStanding(job, epochNow),
+			timeliness: getStanding(job, epochNow),
 			workPerValue: getWorkPerValue(owner, job),
 		}))
 		.toSorted(compare);
--- a/packages/core/src/scheduler/full-for.test.ts
+++ b/packages/core/src/scheduler/rejected-demands.test.ts
@@ -1,6 +1,10 @@
 import * as fc from 'fast-check';
 import * as tap from 'tap';
-import {createFullFor, isFullFor, noteRefused} from './full-for.js';
+import {
+	createRejectedDemands,
+	isKnownNotToFit,
+	recordRejectedDemand,
+} from './rejected-demands.js';
 import {
 	createAccepted,
 	createListed,
@@ -42,10 +46,10 @@
 		`${String(refused)} refused, ${String(asked)} asked`,
 		async (t) => {
 			const owner = createTestOwner([createListed('x')]);
-			const full = createFullFor();
+			const full = createRejectedDemands();
 			const usable = scheduler.listUsable(owner, 1);
-			noteRefused(full, usable, toStep(...refused));
-			t.equal(isFullFor(full, toStep(...asked)), isFull);
+			recordRejectedDemand(full, usable, toStep(...refused));
+			t.equal(isKnownNotToFit(full, toStep(...asked)), isFull);
 		},
 	);
 }
@@ -77,7 +81,7 @@
 				submit(owner, createAccepted(`j${index}`, [spec]));
 			}
 
-			scheduler.planOrders(owner, 1, 1);
+			scheduler.planCommands(owner, 1, 1);
 			const usable = scheduler.listUsable(owner, 1);
 			return [...owner.openJobs]
 				.flatMap((job) => [...scheduler.listTasks(job)])
--- a/packages/core/src/scheduler/full-for.ts
+++ b/packages/core/src/scheduler/rejected-demands.ts
@@ -10,10 +10,10 @@
 import type {Resources} from './types.js';
 
 /** The least demands known to find no room. */
-export type FullFor = {demands: readonly Resources[]};
+export type RejectedDemands = {demands: readonly Resources[]};
 
 /** Nothing is known yet. */
-export const createFullFor = (): FullFor => ({demands: []});
+export const createRejectedDemands = (): RejectedDemands => ({demands: []});
 
 const isAtLeast = (one: Resources, two: Resources): boolean =>
 	one.cpuMillis >= two.cpuMillis &&
@@ -21,7 +21,10 @@
 	one.accelerators >= two.accelerators;
 
 /** Whether a task of a step certainly finds no room in this plan. */
-export const isFullFor = ({demands}: FullFor, step: Step): boolean => {
+export const isKnownNotToFit = (
+	{demands}: RejectedDemands,
+	step: Step,
+): boolean => {
 	const wanted = getDemand(step);
 	return demands.some((each) => isAtLeast(wanted, each));
 };
@@ -30,12 +33,15 @@
  * Notes that a step was refused. Only want of room counts for others: a label,
  * the spread of a step or advice keep other steps from nothing.
  */
-export const noteRefused = (
-	full: FullFor,
+export const recordRejectedDemand = (
+	full: RejectedDemands,
 	usable: readonly Executor[],
 	step: Step,
 ): void => {
-	if (isFullFor(full, step) || usable.some((each) => hasRoom(each, step))) {
+	if (
+		isKnownNotToFit(full, step) ||
+		usable.some((each) => hasRoom(each, step))
+	) {
 		return;
 	}
 
--- a/packages/core/src/scheduler/remote-clock.ts
+++ b/packages/core/src/scheduler/remote-clock.ts
@@ -10,10 +10,10 @@
 };
 
 /** Rate error of an executor's clock; origin: the platform's statement. */
-export const maxSlowdown = 0.02;
+export const maxClockDrift = 0.02;
 
 /** What the clock shows now; ahead of the truth by its slowness at most. */
-export const readRemoteClock = (clock: RemoteClock, now: number): number =>
+export const estimateRemoteTime = (clock: RemoteClock, now: number): number =>
 	clock.reportedMs + (now - clock.receivedAt);
 
 /** Whether the clock has certainly passed a time. */
@@ -22,12 +22,12 @@
 	remoteMs: number,
 	now: number,
 ): boolean => {
-	const elapsed = (now - clock.receivedAt) * (1 - maxSlowdown);
+	const elapsed = (now - clock.receivedAt) * (1 - maxClockDrift);
 	return clock.reportedMs + elapsed > remoteMs;
 };
 
 /** The later of two readings; answers may overtake one another. */
-export const keepLatest = (
+export const pickLatestReading = (
 	known: RemoteClock | undefined,
 	read: RemoteClock,
 ): RemoteClock => (known && known.reportedMs > read.reportedMs ? known : read);
--- a/packages/core/src/scheduler/repeated-ends.test.ts
+++ b/packages/core/src/scheduler/repeated-run-ends.test.ts
@@ -11,9 +11,9 @@
 	createListed,
 	createTestOwner,
 	listRuns,
-	look,
+	pollExecutor,
 	planAndStart,
-	store,
+	flushAll,
 	submit,
 } from './owner.test.fixture.js';
 import * as scheduler from './index.js';
@@ -24,7 +24,7 @@
 	planAndStart(owner, 0);
 	const [run] = listRuns(owner, 'x');
 	const end = {...run!, number: 1, how: 'failed'} as const;
-	look(owner, 'x', {
+	pollExecutor(owner, 'x', {
 		at: 10,
 		ends: [end],
 		running: listRuns(owner, 'x').slice(1),
@@ -47,10 +47,10 @@
 			20,
 		);
 		scheduler.advanceSchedules(owner, 0);
-		t.same(look(owner, 'x', {at: 30, ends: [end]}).jobEnds, []);
+		t.same(pollExecutor(owner, 'x', {at: 30, ends: [end]}).jobEnds, []);
 		t.equal(again.end, undefined, 'one failure of two');
 		const next = {...end, number: 2, run: end.run + 1};
-		t.match(look(owner, 'x', {at: 40, ends: [next]}).jobEnds, [
+		t.match(pollExecutor(owner, 'x', {at: 40, ends: [next]}).jobEnds, [
 			{end: 'failed'},
 		]);
 	},
@@ -64,11 +64,11 @@
 		planAndStart(owner, 0);
 		const [run] = listRuns(owner, 'x');
 		const end = {...run!, number: 1, how: 'failed'} as const;
-		look(owner, 'x', {at: 10, ends: [end]});
-		scheduler.unlistExecutor(owner, 'x');
-		scheduler.listExecutor(owner, createListed('x'));
-		look(owner, 'x', {at: 20, ends: [end]});
-		store(owner);
+		pollExecutor(owner, 'x', {at: 10, ends: [end]});
+		scheduler.recordUnlistedExecutor(owner, 'x');
+		scheduler.recordListedExecutor(owner, createListed('x'));
+		pollExecutor(owner, 'x', {at: 20, ends: [end]});
+		flushAll(owner);
 		t.equal(job.end, undefined, 'one failure of two');
 	},
 );
@@ -100,10 +100,10 @@
 		const ends = listRuns(before, 'x').map(
 			(run, index) => ({...run, number: index + 1, how: 'failed'}) as const,
 		);
-		look(before, 'x', {at: 10, ends});
+		pollExecutor(before, 'x', {at: 10, ends});
 		const {owner} = takeOver(before, spec, ids);
-		look(owner, 'x', {at: 20, ends});
-		t.equal(owner.executors.get('x')!.restsUntil, 0);
+		pollExecutor(owner, 'x', {at: 20, ends});
+		t.equal(owner.executors.get('x')!.quarantinedUntil, 0);
 	},
 );
 
@@ -117,7 +117,7 @@
 	// Run numbers of two digits, so that only what is kept could grow.
 	for (let run = 10; run < 100; run++) {
 		const end = {number: run, run, taskId: 'a.0.0.0', how: 'failed'} as const;
-		look(owner, 'x', {at: run, ends: [end]});
+		pollExecutor(owner, 'x', {at: run, ends: [end]});
 		if (run >= 20) {
 			sizes.add(JSON.stringify(scheduler.encodeProgress(job)).length);
 		}
@@ -126,7 +126,7 @@
 	t.equal(sizes.size, 1, [...sizes].join(', '));
 	const next = takeOver(owner, spec, ['x']);
 	const old = {number: 1, run: 20, taskId: 'a.0.0.0', how: 'failed'} as const;
-	look(next.owner, 'x', {at: 100, ends: [old]});
+	pollExecutor(next.owner, 'x', {at: 100, ends: [old]});
 	const [before] = scheduler.listTasks(job);
 	const [after] = scheduler.listTasks(next.job);
 	t.equal(after!.failures, before!.failures);
@@ -191,13 +191,13 @@
 		);
 		const owner = createTestOwner([createListed('x')]);
 		const job = submit(owner, gangSpec);
-		look(owner, 'x', {at: 10, ends});
+		pollExecutor(owner, 'x', {at: 10, ends});
 		t.equal(job.end, isFailed ? 'failed' : undefined, 'one owner');
 		const first = createTestOwner([createListed('x')]);
 		submit(first, gangSpec);
-		look(first, 'x', {at: 10, ends: ends.slice(0, 1)});
+		pollExecutor(first, 'x', {at: 10, ends: ends.slice(0, 1)});
 		const next = takeOver(first, gangSpec, ['x']);
-		look(next.owner, 'x', {at: 20, ends});
+		pollExecutor(next.owner, 'x', {at: 20, ends});
 		t.equal(next.job.end, isFailed ? 'failed' : undefined, 'two owners');
 	});
 }
@@ -260,13 +260,13 @@
 			);
 		const owner = createTestOwner([createListed('x')]);
 		const job = submit(owner, spec);
-		look(owner, 'x', {at: 10, ends: toEnds(ends)});
+		pollExecutor(owner, 'x', {at: 10, ends: toEnds(ends)});
 		t.equal([...scheduler.listTasks(job)][0]!.checkpoint, expected);
 		const first = createTestOwner([createListed('x')]);
 		submit(first, spec);
-		look(first, 'x', {at: 10, ends: toEnds(ends.slice(0, 1))});
+		pollExecutor(first, 'x', {at: 10, ends: toEnds(ends.slice(0, 1))});
 		const next = takeOver(first, spec, ['x']);
-		look(next.owner, 'x', {at: 20, ends: toEnds(ends.slice(1))});
+		pollExecutor(next.owner, 'x', {at: 20, ends: toEnds(ends.slice(1))});
 		t.equal(
 			[...scheduler.listTasks(next.job)][0]!.checkpoint,
 			expected,
@@ -279,8 +279,14 @@
 	const owner = createTestOwner([createListed('x'), createListed('y')]);
 	const job = submit(owner, createAccepted('a', [{canCheckpoint: true}]));
 	const run = {taskId: 'a.0.0.0'};
-	look(owner, 'x', {at: 1, running: [{...run, run: 2, checkpoint: 'two'}]});
-	look(owner, 'y', {at: 2, running: [{...run, run: 1, checkpoint: 'one'}]});
+	pollExecutor(owner, 'x', {
+		at: 1,
+		running: [{...run, run: 2, checkpoint: 'two'}],
+	});
+	pollExecutor(owner, 'y', {
+		at: 2,
+		running: [{...run, run: 1, checkpoint: 'one'}],
+	});
 	t.equal([...scheduler.listTasks(job)][0]!.checkpoint, 'two');
 });
 
@@ -291,9 +297,9 @@
 		const spec = createAccepted('a', [{canCheckpoint: true}]);
 		submit(owner, spec);
 		const run = {taskId: 'a.0.0.0', run: 1, checkpoint: 'half'};
-		look(owner, 'x', {at: 1, running: [run]});
-		store(owner);
-		look(owner, 'x', {at: 2, ends: [{...run, how: 'lapsed'}]});
+		pollExecutor(owner, 'x', {at: 1, running: [run]});
+		flushAll(owner);
+		pollExecutor(owner, 'x', {at: 2, ends: [{...run, how: 'lapsed'}]});
 		t.ok(
 			scheduler.needsFlush(owner),
 			'else the end is acknowledged and the next owner starts it afresh',
@@ -314,15 +320,15 @@
 		run: run.run,
 		checkpoint: `of ${index}`,
 	}));
-	look(owner, 'x', {at: 10, running: members.slice(0, 2)});
-	look(owner, 'y', {at: 20, running: members.slice(2)});
+	pollExecutor(owner, 'x', {at: 10, running: members.slice(0, 2)});
+	pollExecutor(owner, 'y', {at: 20, running: members.slice(2)});
 	const toEnds = (listed: typeof members) =>
 		listed.map(
 			(member, index) =>
 				({...member, number: index + 1, how: 'broken'}) as const,
 		);
-	look(owner, 'x', {at: 30, ends: toEnds(members.slice(0, 2))});
-	look(owner, 'y', {at: 40, ends: toEnds(members.slice(2))});
+	pollExecutor(owner, 'x', {at: 30, ends: toEnds(members.slice(0, 2))});
+	pollExecutor(owner, 'y', {at: 40, ends: toEnds(members.slice(2))});
 	const started = planAndStart(owner, 50).flatMap((order) =>
 		order.kind === 'start' ? [order.run.task.checkpoint] : [],
 	);
@@ -344,22 +350,22 @@
 	{name: 'its ends are not stored', act: () => undefined, isKept: true},
 	{
 		name: 'they are stored, and the acknowledgement is on its way',
-		act: store,
+		act: flushAll,
 		isKept: true,
 	},
 	{
 		name: 'they are acknowledged',
 		act(owner) {
-			store(owner);
-			look(owner, 'x', {at: 20});
+			flushAll(owner);
+			pollExecutor(owner, 'x', {at: 20});
 		},
 		isKept: false,
 	},
 	{
 		name: 'it is silent and its leases are over',
 		act(owner) {
-			scheduler.unlistExecutor(owner, 'x');
-			scheduler.noteSilence(owner, 'x', 20);
+			scheduler.recordUnlistedExecutor(owner, 'x');
+			scheduler.markUnresponsive(owner, 'x', 20);
 			scheduler.expireLeases(owner, longAfter);
 		},
 		isKept: false,
@@ -367,7 +373,7 @@
 	{
 		name: 'its life is over',
 		act(owner) {
-			scheduler.noteGone(owner, 'x');
+			scheduler.markTerminated(owner, 'x');
 		},
 		isKept: false,
 	},
@@ -381,9 +387,9 @@
 			submit(owner, createAccepted('a'));
 			planAndStart(owner, 0);
 			const [run] = listRuns(owner, 'x');
-			look(owner, 'x', {at: 10, ends: [{...run!, number: 1}]});
+			pollExecutor(owner, 'x', {at: 10, ends: [{...run!, number: 1}]});
 			act(owner);
-			scheduler.unlistExecutor(owner, 'x');
+			scheduler.recordUnlistedExecutor(owner, 'x');
 			t.equal(owner.executors.has('x'), isKept);
 		},
 	);
@@ -396,17 +402,17 @@
 		submit(owner, createAccepted('a'));
 		planAndStart(owner, 0);
 		const [run] = listRuns(owner, 'x');
-		scheduler.unlistExecutor(owner, 'x');
+		scheduler.recordUnlistedExecutor(owner, 'x');
 		const isKept = (now: number): boolean => {
 			scheduler.expireLeases(owner, now);
 			return owner.executors.has('x');
 		};
 
 		t.ok(isKept(5), 'it runs a task');
-		look(owner, 'x', {at: 10, ends: [{...run!, number: 1}]});
-		store(owner);
+		pollExecutor(owner, 'x', {at: 10, ends: [{...run!, number: 1}]});
+		flushAll(owner);
 		t.ok(isKept(15), 'it has not heard that the end is stored');
-		look(owner, 'x', {at: 20});
+		pollExecutor(owner, 'x', {at: 20});
 		t.notOk(isKept(25), 'the next owner would wait for it in vain');
 		t.ok(owner.isRosterDirty);
 	},
@@ -417,11 +423,11 @@
 	async (t) => {
 		const owner = createTestOwner([]);
 		scheduler.inheritExecutor(owner, createListed('x'), 9000);
-		look(owner, 'x', {at: 10});
+		pollExecutor(owner, 'x', {at: 10});
 		scheduler.expireLeases(owner, 20);
 		t.ok(owner.executors.has('x'));
-		scheduler.listExecutor(owner, createListed('x'));
-		scheduler.unlistExecutor(owner, 'x');
+		scheduler.recordListedExecutor(owner, createListed('x'));
+		scheduler.recordUnlistedExecutor(owner, 'x');
 		t.notOk(owner.executors.has('x'));
 	},
 );
@@ -434,12 +440,12 @@
 		createAccepted('a', [{}], {schedule}),
 		true,
 	);
-	look(owner, 'x', {at: 1, ends: [{taskId: 'a.0.0.0', run: 7}]});
+	pollExecutor(owner, 'x', {at: 1, ends: [{taskId: 'a.0.0.0', run: 7}]});
 	t.equal(job.nextOccurrence, 1);
 	t.same(planAndStart(owner, 2), [], 'the others are not due');
-	look(owner, 'x', {at: 3, running: [{taskId: 'a.9.0.0', run: 8}]});
+	pollExecutor(owner, 'x', {at: 3, running: [{taskId: 'a.9.0.0', run: 8}]});
 	t.equal(job.nextOccurrence, 1, 'the job has no such occurrence');
-	look(owner, 'x', {at: 4, running: [{taskId: 'a.2.0.0', run: 8}]});
+	pollExecutor(owner, 'x', {at: 4, running: [{taskId: 'a.2.0.0', run: 8}]});
 	t.equal(job.nextOccurrence, 3, 'those before it were due then');
 });
 
@@ -447,7 +453,10 @@
 	const owner = createTestOwner([createListed('x')]);
 	const job = submit(owner, createAccepted('a', [{count: 2}]));
 	planAndStart(owner, 0);
-	look(owner, 'x', {at: 10, ends: [{...listRuns(owner, 'x')[0]!, number: 1}]});
+	pollExecutor(owner, 'x', {
+		at: 10,
+		ends: [{...listRuns(owner, 'x')[0]!, number: 1}],
+	});
 	const flush = scheduler.beginFlush(owner, 100);
 	scheduler.cancelJob(owner, job, 20);
 	scheduler.completeFlush(owner, flush);
@@ -478,7 +487,7 @@
 		});
 		const before = createTestOwner([createListed('x')]);
 		const job = submit(before, spec);
-		look(before, 'x', {
+		pollExecutor(before, 'x', {
 			at: 10,
 			ends: [{run: 1, taskId: 'a.0.0.0', how, checkpoint}],
 		});
--- a/packages/core/src/scheduler/ends.test.ts
+++ b/packages/core/src/scheduler/run-ends.test.ts
@@ -4,12 +4,12 @@
 	createAccepted,
 	createListed,
 	createTestOwner,
-	describeOrders,
+	describeCommands,
 	listRuns,
-	look,
+	pollExecutor,
 	planAndStart,
-	runOf,
-	store,
+	getCommandRun,
+	flushAll,
 	submit,
 } from './owner.test.fixture.js';
 import * as scheduler from './index.js';
@@ -21,7 +21,10 @@
 	at: number,
 ) => {
 	const [run] = listRuns(owner, id);
-	return look(owner, id, {at, ends: [{...run!, number, how: 'failed'}]});
+	return pollExecutor(owner, id, {
+		at,
+		ends: [{...run!, number, how: 'failed'}],
+	});
 };
 
 tap.t.test('a task has as many attempts as its queue allows', async (t) => {
@@ -36,7 +39,7 @@
 	t.match(fail(owner, 'x', 2, 30).jobEnds, [{job: 'a', end: 'failed'}]);
 	t.same(planAndStart(owner, 40), []);
 	t.equal(scheduler.getJobState(job), 'running', 'shown once it is stored');
-	store(owner);
+	flushAll(owner);
 	t.equal(scheduler.getJobState(job), 'failed');
 });
 
@@ -49,7 +52,10 @@
 		for (let number = 1; number < 4; number++) {
 			planAndStart(owner, number * 10);
 			const [run] = listRuns(owner, 'x');
-			look(owner, 'x', {at: number * 10 + 5, ends: [{...run!, number, how}]});
+			pollExecutor(owner, 'x', {
+				at: number * 10 + 5,
+				ends: [{...run!, number, how}],
+			});
 		}
 
 		t.equal(planAndStart(owner, 90).length, 1);
@@ -75,7 +81,7 @@
 		submit(owner, createAccepted('a'));
 		planAndStart(owner, 0);
 		fail(owner, 'x', 1, 10);
-		t.same(describeOrders(planAndStart(owner, 20)), ['start a.0.0.0 on yy']);
+		t.same(describeCommands(planAndStart(owner, 20)), ['start a.0.0.0 on yy']);
 	},
 );
 
@@ -85,19 +91,19 @@
 		const owner = createTestOwner(
 			['x', 'y', 'z'].map((id) => createListed(id)),
 		);
-		const {failuresUntilRest} = owner.cfg;
+		const {failuresUntilQuarantine} = owner.cfg;
 		for (const [turn, id] of ['x', 'y'].entries()) {
-			for (let index = 1; index <= failuresUntilRest; index++) {
+			for (let index = 1; index <= failuresUntilQuarantine; index++) {
 				const job = `${id}${index}`;
 				submit(owner, createAccepted(job));
-				look(owner, id, {
+				pollExecutor(owner, id, {
 					at: 10,
 					ends: [{number: index, taskId: `${job}.0.0.0`, how: 'failed'}],
 				});
 			}
 
 			t.equal(
-				owner.executors.get(id)!.restsUntil > 10,
+				owner.executors.get(id)!.quarantinedUntil > 10,
 				turn === 0,
 				'a third at most',
 			);
@@ -110,12 +116,12 @@
 	submit(owner, createAccepted('a', [{canCheckpoint: true}]));
 	planAndStart(owner, 0);
 	const [run] = listRuns(owner, 'x');
-	look(owner, 'x', {
+	pollExecutor(owner, 'x', {
 		at: 10,
 		ends: [{...run!, how: 'stopped', checkpoint: 'half'}],
 	});
 	const [order] = planAndStart(owner, 20);
-	t.equal(runOf(order)!.task.checkpoint, 'half');
+	t.equal(getCommandRun(order)!.task.checkpoint, 'half');
 });
 
 tap.t.test('one done stands for a whole gang', async (t) => {
@@ -123,7 +129,7 @@
 	const job = submit(owner, createAccepted('a', [{count: 3, isGang: true}]));
 	planAndStart(owner, 0);
 	const [run] = listRuns(owner, 'x');
-	look(owner, 'x', {at: 10, ends: [{...run!, how: 'done'}]});
+	pollExecutor(owner, 'x', {at: 10, ends: [{...run!, how: 'done'}]});
 	t.equal(job.end, 'completed');
 });
 
@@ -134,18 +140,18 @@
 		submit(owner, createAccepted('a', [{count: 2}]));
 		planAndStart(owner, 0);
 		const [one, two] = listRuns(owner, 'x');
-		look(owner, 'x', {at: 10, ends: [{...one!, number: 1}]});
+		pollExecutor(owner, 'x', {at: 10, ends: [{...one!, number: 1}]});
 		const executor = owner.executors.get('x')!;
 		t.equal(executor.acknowledgedUpto, 0);
 		const flush = scheduler.beginFlush(owner, 100);
-		look(owner, 'x', {at: 20, ends: [{...two!, number: 2}]});
+		pollExecutor(owner, 'x', {at: 20, ends: [{...two!, number: 2}]});
 		scheduler.completeFlush(owner, flush);
 		t.equal(
 			executor.acknowledgedUpto,
 			1,
 			'the second came after the flush began',
 		);
-		store(owner);
+		flushAll(owner);
 		t.equal(executor.acknowledgedUpto, 2);
 	},
 );
@@ -155,12 +161,12 @@
 	const job = submit(owner, createAccepted('a'));
 	planAndStart(owner, 0);
 	const [run] = listRuns(owner, 'x');
-	look(owner, 'x', {at: 10, ends: [{...run!, number: 1}]});
+	pollExecutor(owner, 'x', {at: 10, ends: [{...run!, number: 1}]});
 	scheduler.abandonFlush(owner, scheduler.beginFlush(owner, 100));
 	t.equal(owner.executors.get('x')!.acknowledgedUpto, 0);
 	t.ok(scheduler.needsFlush(owner), 'it is stored again');
 	t.equal(scheduler.getJobState(job), 'running');
-	store(owner);
+	flushAll(owner);
 	t.equal(owner.executors.get('x')!.acknowledgedUpto, 1);
 	t.equal(scheduler.getJobState(job), 'completed');
 });
@@ -173,13 +179,13 @@
 
 	planAndStart(owner, 0);
 	const runs = listRuns(owner, 'x');
-	look(owner, 'x', {
+	pollExecutor(owner, 'x', {
 		at: 10,
 		ends: runs.map((run, index) => ({...run, number: index + 1})),
 	});
 	scheduler.completeFlush(owner, scheduler.beginFlush(owner, 1));
 	t.equal(owner.executors.get('x')!.acknowledgedUpto, 0);
-	store(owner);
+	flushAll(owner);
 	t.equal(owner.executors.get('x')!.acknowledgedUpto, runs.length);
 });
 
@@ -187,9 +193,12 @@
 	'ends that change nothing are acknowledged without a flush',
 	async (t) => {
 		const owner = createTestOwner([createListed('x')]);
-		look(owner, 'x', {at: 1, ends: [{number: 1, taskId: 'gone.0.0.0'}]});
+		pollExecutor(owner, 'x', {
+			at: 1,
+			ends: [{number: 1, taskId: 'gone.0.0.0'}],
+		});
 		t.notOk(scheduler.needsFlush(owner));
-		scheduler.acknowledgeIdle(owner);
+		scheduler.acknowledgeAll(owner);
 		t.equal(owner.executors.get('x')!.acknowledgedUpto, 1);
 	},
 );
@@ -208,7 +217,7 @@
 			const accepted = createAccepted('a', steps, {policy: {maxAttempts: 20}});
 			const job = submit(owner, accepted);
 			for (const [index, [step, task, isDone]] of ends.entries()) {
-				look(owner, 'x', {
+				pollExecutor(owner, 'x', {
 					at: index + 1,
 					ends: [
 						{
@@ -241,12 +250,12 @@
 		const owner = createTestOwner([createListed('x')]);
 		scheduler.inheritExecutor(owner, createListed('old'), 9000);
 		submit(owner, createAccepted('a'), true);
-		look(owner, 'x', {at: 10, ends: [{number: 1, taskId: 'a.0.0.0'}]});
-		store(owner);
-		scheduler.acknowledgeIdle(owner);
+		pollExecutor(owner, 'x', {at: 10, ends: [{number: 1, taskId: 'a.0.0.0'}]});
+		flushAll(owner);
+		scheduler.acknowledgeAll(owner);
 		t.equal(owner.executors.get('x')!.acknowledgedUpto, 0);
-		look(owner, 'old', {at: 20});
-		scheduler.acknowledgeIdle(owner);
+		pollExecutor(owner, 'old', {at: 20});
+		scheduler.acknowledgeAll(owner);
 		t.equal(owner.executors.get('x')!.acknowledgedUpto, 1);
 	},
 );
--- a/packages/core/src/scheduler/load.ts
+++ b/packages/core/src/scheduler/service-load.ts
@@ -1,9 +1,9 @@
 /** How much the queues of a service ask for, for the sizes of its pool. */
 import {getDemand, type Executor} from './executor.js';
 import type {Arrivals, Owner} from './owner-state.js';
-import {listUsable} from './place.js';
+import {listUsable} from './placement.js';
 import {isLate} from './rank.js';
-import {isStepOpen, isWaiting, type Job} from './task.js';
+import {isStepReady, isWaiting, type Job} from './task.js';
 
 /** Load of one executor. */
 export type ExecutorLoad = {
@@ -56,7 +56,7 @@
 	work * Math.exp(-Math.max(0, now - at) / arrivalWindowMs);
 
 /** Notes work that came in. */
-export const noteArrival = (
+export const recordArrival = (
 	arrivals: Arrivals,
 	work: number,
 	now: number,
@@ -79,7 +79,7 @@
 	for (const {steps} of job.occurrences.values()) {
 		for (const step of steps) {
 			const {resources, fillsIdleCapacity} = step.spec;
-			if (!fillsIdleCapacity && isStepOpen(step)) {
+			if (!fillsIdleCapacity && isStepReady(step)) {
 				const tasks = step.tasks.filter((task) => isWaiting(task));
 				waiting += tasks.length * resources.cpuMillis;
 			}
@@ -150,10 +150,19 @@
 			all.map((each) => [each.id, describeExecutor(each)]),
 		),
 		silent: Object.fromEntries(
-			all.flatMap(({id, silentSince, darkSince}) =>
-				silentSince === undefined
+			all.flatMap(({id, unresponsiveSince, suspectedSince}) =>
+				unresponsiveSince === undefined
 					? []
-					: [[id, now - Math.min(silentSince, darkSince ?? silentSince)]],
+					: [
+							[
+								id,
+								now -
+									Math.min(
+										unresponsiveSince,
+										suspectedSince ?? unresponsiveSince,
+									),
+							],
+						],
 			),
 		),
 	};
--- a/packages/core/src/scheduler/slow-link.test.ts
+++ b/packages/core/src/scheduler/slow-link.test.ts
@@ -110,7 +110,7 @@
 		remote.wake?.();
 	};
 
-	const sendStart = (order: scheduler.Order & {kind: 'start'}) => {
+	const sendStart = (order: scheduler.Command & {kind: 'start'}) => {
 		const {run, executor} = order;
 		const remote = remotes.get(executor.id)!;
 		const key = scheduler.getRunKey(run.task.id, run.number);
@@ -135,7 +135,7 @@
 			orderTimeoutMs,
 			(isAnswered) => {
 				counts.unanswered += isAnswered ? 0 : 1;
-				scheduler.takeStartAnswer(
+				scheduler.applyStartAnswer(
 					owner,
 					run,
 					isAnswered ? {kind: 'started', clockMs: now()} : {kind: 'no-answer'},
@@ -145,7 +145,7 @@
 		);
 	};
 
-	const sendStop = (order: scheduler.Order & {kind: 'stop'}) => {
+	const sendStop = (order: scheduler.Command & {kind: 'stop'}) => {
 		const {run, executor} = order;
 		const remote = remotes.get(executor.id)!;
 		const key = scheduler.getRunKey(run.task.id, run.number);
@@ -157,7 +157,7 @@
 			},
 			orderTimeoutMs,
 			(isAnswered) => {
-				scheduler.takeStopAnswer(
+				scheduler.applyStopAnswer(
 					owner,
 					run,
 					isAnswered ? {kind: 'done', clockMs: now()} : {kind: 'no-answer'},
@@ -171,9 +171,10 @@
 		const remote = remotes.get(executor.id)!;
 		const sentAt = now();
 		const acknowledged = executor.acknowledgedUpto;
-		const mayWait = executor.silentSince === undefined && executor.isAdopted;
+		const mayWait =
+			executor.unresponsiveSince === undefined && executor.isAdopted;
 		const waitMs = mayWait ? lookWaitMs : 0;
-		let seen: Omit<scheduler.Look, 'receivedAt' | 'sentAt'> | undefined;
+		let seen: Omit<scheduler.ExecutorPoll, 'receivedAt' | 'sentAt'> | undefined;
 		call(
 			(answer) => {
 				remote.ends = remote.ends.filter(({number}) => number > acknowledged);
@@ -199,13 +200,13 @@
 			waitMs + orderTimeoutMs,
 			(isAnswered) => {
 				if (isAnswered && seen) {
-					scheduler.takeLook(owner, executor, {
+					scheduler.applyPoll(owner, executor, {
 						...seen,
 						sentAt,
 						receivedAt: now(),
 					});
 				} else {
-					scheduler.noteSilence(owner, executor.id, now());
+					scheduler.markUnresponsive(owner, executor.id, now());
 				}
 
 				at(now() + planMs, () => {
@@ -217,7 +218,7 @@
 
 	const plan = () => {
 		scheduler.completeFlush(owner, scheduler.beginFlush(owner, 1000));
-		for (const order of scheduler.planOrders(owner, now(), now())) {
+		for (const order of scheduler.planCommands(owner, now(), now())) {
 			if (order.kind === 'start') {
 				sendStart(order);
 			} else if (order.kind === 'stop') {
@@ -232,7 +233,7 @@
 		const listed = createListed(`x${index}`, {
 			capacity: {cpuMillis: 16_000, memoryMb: 65_000, accelerators: 0},
 		});
-		scheduler.listExecutor(owner, listed);
+		scheduler.recordListedExecutor(owner, listed);
 		remotes.set(listed.id, {
 			running: new Map(),
 			barred: new Set(),
--- a/packages/core/src/scheduler/start-window-far.test.ts
+++ b/packages/core/src/scheduler/start-window-slow-answers.test.ts
@@ -23,14 +23,14 @@
 		const answered = underWay.filter((askedAt) => askedAt + answerMs <= now);
 		underWay = underWay.filter((askedAt) => askedAt + answerMs > now);
 		for (const askedAt of answered) {
-			current = window.noteStartOutcome(
+			current = window.recordStartOutcome(
 				current,
 				{askedAt, isAnswered: true},
 				now,
 			);
 		}
 
-		const free = window.countFreeStarts(current, underWay.length);
+		const free = window.countAvailableStarts(current, underWay.length);
 		starts += free;
 		underWay.push(...Array.from({length: free}, () => now));
 	}
--- a/packages/core/src/scheduler/start-window.test.ts
+++ b/packages/core/src/scheduler/start-window.test.ts
@@ -1,9 +1,9 @@
 import * as tap from 'tap';
 import {
-	countFreeStarts,
-	getLookGapMs,
+	countAvailableStarts,
+	getMinPollIntervalMs,
 	initialStartWindow,
-	noteStartOutcome,
+	recordStartOutcome,
 	type StartWindow,
 } from './start-window.js';
 
@@ -19,7 +19,7 @@
 ): StartWindow => {
 	let noted = window;
 	for (const {askedAt, at, isAnswered = true} of outcomes) {
-		noted = noteStartOutcome(noted, {askedAt, isAnswered}, at);
+		noted = recordStartOutcome(noted, {askedAt, isAnswered}, at);
 	}
 
 	return noted;
@@ -98,9 +98,9 @@
 }
 
 tap.t.test('starts under way take their part of it', async (t) => {
-	t.equal(countFreeStarts(initialStartWindow, 0), 32);
-	t.equal(countFreeStarts(initialStartWindow, 30), 2);
-	t.equal(countFreeStarts(initialStartWindow, 40), 0);
+	t.equal(countAvailableStarts(initialStartWindow, 0), 32);
+	t.equal(countAvailableStarts(initialStartWindow, 30), 2);
+	t.equal(countAvailableStarts(initialStartWindow, 40), 0);
 });
 
 type Gap = {
@@ -150,7 +150,7 @@
 			...tookMs.map((at) => ({askedAt: 0, at})),
 			...unansweredMs.map((at) => ({askedAt: 0, at, isAnswered: false})),
 		];
-		const gapMs = getLookGapMs(note(initialStartWindow, outcomes));
+		const gapMs = getMinPollIntervalMs(note(initialStartWindow, outcomes));
 		t.ok(gapMs >= least && gapMs <= most, `${gapMs}`);
 	});
 }
--- a/packages/core/src/scheduler/start-window.ts
+++ b/packages/core/src/scheduler/start-window.ts
@@ -13,11 +13,11 @@
 	/** Share of late answers, later ones weighing more. */
 	readonly lateShare: number;
 	/** Answers to starts that were sent earlier tell nothing new. */
-	readonly cutAt: number;
+	readonly reducedAt: number;
 	/** How long answers take of late, in milliseconds. */
-	readonly answerMs: number;
+	readonly meanAnswerMs: number;
 	/** How long they took while the window was at its least, so without a queue. */
-	readonly unqueuedMs: number;
+	readonly unqueuedAnswerMs: number;
 };
 
 /** The end of a start: an answer, or the time-out. */
@@ -64,23 +64,25 @@
 export const initialStartWindow: StartWindow = {
 	size: 32,
 	lateShare: 0,
-	cutAt: Number.NEGATIVE_INFINITY,
-	answerMs: 0,
-	unqueuedMs: 0,
+	reducedAt: Number.NEGATIVE_INFINITY,
+	meanAnswerMs: 0,
+	unqueuedAnswerMs: 0,
 };
 
 const blend = (before: number, next: number): number =>
 	before + weight * (next - before);
 
 const getUnqueuedMs = (
-	{size, unqueuedMs}: StartWindow,
+	{size, unqueuedAnswerMs}: StartWindow,
 	tookMs: number,
 ): number => {
 	if (size <= leastSize) {
-		return unqueuedMs === 0 ? tookMs : blend(unqueuedMs, tookMs);
+		return unqueuedAnswerMs === 0 ? tookMs : blend(unqueuedAnswerMs, tookMs);
 	}
 
-	return tookMs < unqueuedMs ? blend(unqueuedMs, tookMs) : unqueuedMs;
+	return tookMs < unqueuedAnswerMs
+		? blend(unqueuedAnswerMs, tookMs)
+		: unqueuedAnswerMs;
 };
 
 const getLimitMs = (unqueuedMs: number): number =>
@@ -90,7 +92,7 @@
 	Math.min(mostSize, size + Math.min(1, growth / size));
 
 /** Takes in the end of a start. */
-export const noteStartOutcome = (
+export const recordStartOutcome = (
 	window: StartWindow,
 	{askedAt, isAnswered}: StartOutcome,
 	now: number,
@@ -99,19 +101,22 @@
 	// A dark executor says nothing of how long answers take.
 	const times = isAnswered
 		? {
-				answerMs: blend(window.answerMs, tookMs),
-				unqueuedMs: getUnqueuedMs(window, tookMs),
+				meanAnswerMs: blend(window.meanAnswerMs, tookMs),
+				unqueuedAnswerMs: getUnqueuedMs(window, tookMs),
 			}
-		: {answerMs: window.answerMs, unqueuedMs: window.unqueuedMs};
-	if (askedAt < window.cutAt) {
+		: {
+				meanAnswerMs: window.meanAnswerMs,
+				unqueuedAnswerMs: window.unqueuedAnswerMs,
+			};
+	if (askedAt < window.reducedAt) {
 		return {...window, ...times};
 	}
 
-	const isLate = !isAnswered || tookMs > getLimitMs(times.unqueuedMs);
+	const isLate = !isAnswered || tookMs > getLimitMs(times.unqueuedAnswerMs);
 	const lateShare = blend(window.lateShare, isLate ? 1 : 0);
 	if (lateShare > cutShare) {
 		const size = Math.max(leastSize, Math.floor(window.size / 2));
-		return {size, lateShare: 0, cutAt: now, ...times};
+		return {size, lateShare: 0, reducedAt: now, ...times};
 	}
 
 	const size = isLate ? window.size : grow(window.size);
@@ -119,7 +124,7 @@
 };
 
 /** How many starts may be ordered now, with so many under way. */
-export const countFreeStarts = (
+export const countAvailableStarts = (
 	{size}: StartWindow,
 	underWay: number,
 ): number => Math.max(0, Math.floor(size) - underWay);
@@ -132,5 +137,5 @@
  * listed together, so that an owner whose answers are slow makes fewer calls
  * for each task; one that is not waits for nothing.
  */
-export const getLookGapMs = ({answerMs}: StartWindow): number =>
-	Math.min(mostLookGapMs, answerMs);
+export const getMinPollIntervalMs = ({meanAnswerMs}: StartWindow): number =>
+	Math.min(mostLookGapMs, meanAnswerMs);
--- a/packages/core/src/scheduler/dark.test.ts
+++ b/packages/core/src/scheduler/suspected-executors.test.ts
@@ -4,22 +4,22 @@
 	createAccepted,
 	createListed,
 	createTestOwner,
-	describeOrders,
-	look,
-	store,
+	describeCommands,
+	pollExecutor,
+	flushAll,
 	submit,
 	testConfig,
 } from './owner.test.fixture.js';
 import * as scheduler from './index.js';
 
-const {darkAfterMs} = scheduler;
-const grantedMs = scheduler.getGrantedMs(testConfig);
+const {suspectAfterMs} = scheduler;
+const grantedMs = scheduler.getMaxLeaseDurationMs(testConfig);
 
 /** The mark of an executor in the roster that is stored next. */
 const flushMark = (owner: scheduler.Owner, id: string): number | undefined => {
 	const flush = scheduler.beginFlush(owner, 100);
 	scheduler.completeFlush(owner, flush);
-	return flush.roster?.find(({listed}) => listed.id === id)?.darkSince;
+	return flush.roster?.find(({listed}) => listed.id === id)?.suspectedSince;
 };
 
 type Case = {
@@ -39,27 +39,27 @@
 	{
 		name: 'a look that was lost is no reason',
 		prepare(owner) {
-			scheduler.noteSilence(owner, 'x', 100);
+			scheduler.markUnresponsive(owner, 'x', 100);
 		},
-		now: 100 + darkAfterMs - 1,
+		now: 100 + suspectAfterMs - 1,
 		darkSince: undefined,
 	},
 	{
 		name: 'one that stays silent is dark since the first call in vain',
 		prepare(owner) {
-			scheduler.noteSilence(owner, 'x', 100);
-			scheduler.noteSilence(owner, 'x', 900);
+			scheduler.markUnresponsive(owner, 'x', 100);
+			scheduler.markUnresponsive(owner, 'x', 900);
 		},
-		now: 100 + darkAfterMs,
+		now: 100 + suspectAfterMs,
 		darkSince: 100,
 	},
 	{
 		name: 'one that never answered is dark since the owner before let go',
 		prepare(owner) {
 			scheduler.inheritExecutor(owner, createListed('x'), 500 + grantedMs);
-			scheduler.noteSilence(owner, 'x', 1100);
+			scheduler.markUnresponsive(owner, 'x', 1100);
 		},
-		now: 1100 + darkAfterMs,
+		now: 1100 + suspectAfterMs,
 		darkSince: 500,
 	},
 	{
@@ -71,20 +71,20 @@
 				grantedMs - 2000,
 				-2000,
 			);
-			scheduler.noteSilence(owner, 'x', 600);
-			scheduler.listExecutor(owner, createListed('new'));
+			scheduler.markUnresponsive(owner, 'x', 600);
+			scheduler.recordListedExecutor(owner, createListed('new'));
 		},
-		now: 600 + darkAfterMs,
+		now: 600 + suspectAfterMs,
 		darkSince: -2000,
 	},
 	{
 		name: 'it stays when its leases are over, too',
 		prepare(owner) {
 			scheduler.inheritExecutor(owner, createListed('x'), 10, -grantedMs);
-			scheduler.listExecutor(owner, createListed('x'));
-			scheduler.noteSilence(owner, 'x', 600);
+			scheduler.recordListedExecutor(owner, createListed('x'));
+			scheduler.markUnresponsive(owner, 'x', 600);
 			scheduler.expireLeases(owner, 700);
-			scheduler.listExecutor(owner, createListed('new'));
+			scheduler.recordListedExecutor(owner, createListed('new'));
 		},
 		now: 9000,
 		darkSince: -grantedMs,
@@ -95,7 +95,7 @@
 	tap.t.test(name, async (t) => {
 		const owner = createTestOwner([createListed('x'), createListed('yy')]);
 		prepare(owner);
-		scheduler.markDark(owner, darkAfterMs, now);
+		scheduler.markSuspected(owner, suspectAfterMs, now);
 		t.equal(flushMark(owner, 'x'), darkSince);
 		t.equal(owner.isRosterDirty, false);
 	});
@@ -105,10 +105,10 @@
 const createMarked = () => {
 	const owner = createTestOwner([createListed('x')]);
 	submit(owner, createAccepted('a'));
-	scheduler.noteSilence(owner, 'x', 100);
-	scheduler.markDark(owner, darkAfterMs, 100 + darkAfterMs);
+	scheduler.markUnresponsive(owner, 'x', 100);
+	scheduler.markSuspected(owner, suspectAfterMs, 100 + suspectAfterMs);
 	const plan = (now: number) =>
-		describeOrders(scheduler.planOrders(owner, now, now));
+		describeCommands(scheduler.planCommands(owner, now, now));
 	return {owner, executor: owner.executors.get('x')!, plan};
 };
 
@@ -116,8 +116,8 @@
 	'one that answers gets nothing while its mark is stored',
 	async (t) => {
 		const {owner, executor, plan} = createMarked();
-		store(owner);
-		look(owner, 'x', {at: 2000});
+		flushAll(owner);
+		pollExecutor(owner, 'x', {at: 2000});
 		t.notOk(scheduler.mayGrantLease(executor));
 		t.same(plan(2001), []);
 		t.equal(flushMark(owner, 'x'), undefined);
@@ -131,7 +131,7 @@
 	async (t) => {
 		const {owner, executor, plan} = createMarked();
 		const marked = scheduler.beginFlush(owner, 100);
-		look(owner, 'x', {at: 2000});
+		pollExecutor(owner, 'x', {at: 2000});
 		scheduler.completeFlush(owner, marked);
 		t.notOk(scheduler.mayGrantLease(executor));
 		t.same(plan(2001), []);
@@ -141,7 +141,7 @@
 
 tap.t.test('a mark that was never sent costs nothing', async (t) => {
 	const {owner, executor, plan} = createMarked();
-	look(owner, 'x', {at: 2000});
+	pollExecutor(owner, 'x', {at: 2000});
 	t.ok(scheduler.mayGrantLease(executor));
 	t.same(plan(2001), ['start a.0.0.0 on x']);
 });
@@ -154,6 +154,6 @@
 		{},
 		'it may answer yet',
 	);
-	scheduler.noteSilence(owner, 'x', 600);
+	scheduler.markUnresponsive(owner, 'x', 600);
 	t.same(scheduler.describeLoad(owner, 700, 700).silent, {x: 4700});
 });
--- a/packages/core/src/scheduler/dark.ts
+++ b/packages/core/src/scheduler/suspected-executors.ts
@@ -10,40 +10,42 @@
 import type {SchedulerConfig} from './config.js';
 import type {Executor} from './executor.js';
 import type {Owner} from './owner-state.js';
-import {maxSlowdown} from './remote-clock.js';
+import {maxClockDrift} from './remote-clock.js';
 import type {ListedExecutor} from './types.js';
 
 /** Silence from which an executor is marked: single looks do get lost. */
-export const darkAfterMs = 1000;
+export const suspectAfterMs = 1000;
 
 /** An executor that may run tasks, as it is kept for the next owner. */
 export type RosterEntry = {
 	readonly listed: ListedExecutor;
 	/** Since when nothing is granted there; absent while something may be. */
-	readonly darkSince: number | undefined;
+	readonly suspectedSince: number | undefined;
 };
 
 /** How long what was granted on an executor lasts at most, in milliseconds. */
-export const getGrantedMs = ({
+export const getMaxLeaseDurationMs = ({
 	taskLeaseMs,
 	maxTransitMs,
 }: SchedulerConfig): number =>
-	taskLeaseMs * (1 + 2 * maxSlowdown) + maxTransitMs;
+	taskLeaseMs * (1 + 2 * maxClockDrift) + maxTransitMs;
 
 /** Since when nothing is granted on an executor that does not answer. */
 const getUngrantedSince = (
-	{cfg, unresolved}: Owner,
-	{id, silentSince}: Executor,
+	{cfg, unresolvedExecutors}: Owner,
+	{id, unresponsiveSince}: Executor,
 ): number | undefined => {
-	const overAt = unresolved.get(id);
-	return overAt === undefined ? silentSince : overAt - getGrantedMs(cfg);
+	const overAt = unresolvedExecutors.get(id);
+	return overAt === undefined
+		? unresponsiveSince
+		: overAt - getMaxLeaseDurationMs(cfg);
 };
 
-const getSilentMs = ({silentSince}: Executor, now: number): number =>
-	silentSince === undefined ? 0 : now - silentSince;
+const getSilentMs = ({unresponsiveSince}: Executor, now: number): number =>
+	unresponsiveSince === undefined ? 0 : now - unresponsiveSince;
 
 /** Marks executors that have been silent so long; the roster then says so. */
-export const markDark = (
+export const markSuspected = (
 	owner: Owner,
 	leastSilentMs: number,
 	now: number,
@@ -51,10 +53,10 @@
 	for (const executor of owner.executors.values()) {
 		const since = getUngrantedSince(owner, executor);
 		const isNews =
-			since !== undefined && since < (executor.darkSince ?? Infinity);
+			since !== undefined && since < (executor.suspectedSince ?? Infinity);
 		const isDark = getSilentMs(executor, now) >= leastSilentMs;
 		if (isNews && isDark && executor.isRostered) {
-			executor.darkSince = since;
+			executor.suspectedSince = since;
 			owner.isRosterDirty = true;
 		}
 	}
@@ -66,24 +68,24 @@
  */
 export const mayGrantLease = ({
 	isRostered,
-	silentSince,
-}: Pick<Executor, 'isRostered' | 'silentSince'>): boolean =>
-	isRostered && silentSince === undefined;
+	unresponsiveSince,
+}: Pick<Executor, 'isRostered' | 'unresponsiveSince'>): boolean =>
+	isRostered && unresponsiveSince === undefined;
 
 /** Takes back the mark of an executor that answers. */
-export const clearDark = (owner: Owner, executor: Executor): void => {
-	executor.darkSince = undefined;
-	if (executor.isMarkSent) {
-		executor.isMarkSent = false;
+export const clearSuspicion = (owner: Owner, executor: Executor): void => {
+	executor.suspectedSince = undefined;
+	if (executor.isSuspicionSent) {
+		executor.isSuspicionSent = false;
 		executor.isRostered = false;
 		owner.isRosterDirty = true;
 	}
 };
 
 /** All executors that may run tasks; their marks count as sent from now on. */
-export const takeRoster = (owner: Owner): readonly RosterEntry[] =>
+export const prepareRoster = (owner: Owner): readonly RosterEntry[] =>
 	[...owner.executors.values()].map((executor) => {
-		const {listed, darkSince} = executor;
-		executor.isMarkSent ||= darkSince !== undefined;
-		return {listed, darkSince};
+		const {listed, suspectedSince} = executor;
+		executor.isSuspicionSent ||= suspectedSince !== undefined;
+		return {listed, suspectedSince};
 	});
--- a/packages/core/src/scheduler/task.ts
+++ b/packages/core/src/scheduler/task.ts
@@ -28,11 +28,11 @@
 	/** Tail in milliseconds for a task with a target, else cpu in use. */
 	load: number;
 	/** Share at which it may work, 0 to 100. */
-	pacePercent: number;
+	speedLimitPercent: number;
 	/** A stop has been ordered and its answer has not come. */
-	isStopUnderWay: boolean;
+	isStopPending: boolean;
 	/** A stop had no answer, and no look has listed the run since. */
-	mayBeStopped: boolean;
+	mayHaveStopped: boolean;
 };
 
 /** One task of one occurrence. */
@@ -198,7 +198,7 @@
  * A task of an occurrence that is no longer at hand, since it is done or its
  * job has ended. It stands for what may still run of it.
  */
-export const createPastTask = (
+export const createDetachedTask = (
 	job: Job,
 	occurrence: number,
 	step: number,
@@ -235,7 +235,7 @@
 });
 
 /** Whether a job runs until it is cancelled. */
-export const isLasting = ({accepted}: Job): boolean =>
+export const isLongRunningJob = ({accepted}: Job): boolean =>
 	accepted.spec.steps.some(({isLongRunning}) => isLongRunning);
 
 /** Adds the occurrences whose time has come. */
@@ -262,7 +262,7 @@
 };
 
 /** Whether the steps before this one are done. */
-export const isStepOpen = (step: Step): boolean =>
+export const isStepReady = (step: Step): boolean =>
 	step.spec.after.every((number) => {
 		const earlier = step.occurrence.steps[number];
 		return earlier !== undefined && earlier.doneCount === earlier.spec.count;
@@ -284,9 +284,9 @@
 	percent: 0,
 	progressedAt: now,
 	load: 0,
-	pacePercent: 100,
-	isStopUnderWay: false,
-	mayBeStopped: false,
+	speedLimitPercent: 100,
+	isStopPending: false,
+	mayHaveStopped: false,
 });
 
 /** Whether a task is neither done nor under way. */
@@ -294,14 +294,14 @@
 	!task.isDone && task.runs.length === 0;
 
 /** Tasks that run and end together: all members of a gang, else the task. */
-export const listTogether = (task: Task): readonly Task[] =>
+export const listCoscheduledTasks = (task: Task): readonly Task[] =>
 	task.step.spec.isGang ? task.step.tasks : [task];
 
 /**
  * Takes in the checkpoint of a run; false if there is none or a later run's is
  * known. A gang has one: its members start together only with the same.
  */
-export const takeCheckpoint = (
+export const applyCheckpoint = (
 	task: Task,
 	run: number,
 	checkpoint: string,
@@ -310,7 +310,7 @@
 		return false;
 	}
 
-	for (const each of listTogether(task)) {
+	for (const each of listCoscheduledTasks(task)) {
 		each.checkpoint = checkpoint;
 		each.checkpointRun = run;
 	}
@@ -339,7 +339,7 @@
 };
 
 /** Whether all that a job asks for is done. */
-export const isWhollyDone = (job: Job): boolean =>
+export const isJobComplete = (job: Job): boolean =>
 	job.doneOccurrences >= countOccurrences(job);
 
 /** Tasks of the occurrences at hand. */
--- a/packages/core/src/scheduler/pace.test.ts
+++ b/packages/core/src/scheduler/throttle.test.ts
@@ -4,7 +4,7 @@
 	createListed,
 	createTestOwner,
 	listRuns,
-	look,
+	pollExecutor,
 	planAndStart,
 	submit,
 } from './owner.test.fixture.js';
@@ -40,7 +40,7 @@
 		);
 		planAndStart(owner, 0);
 		const [serving, filling] = listRuns(owner, 'x');
-		look(owner, 'x', {
+		pollExecutor(owner, 'x', {
 			at: 10,
 			running: [
 				{...serving!, percent: 100, load: tail},
@@ -49,10 +49,10 @@
 		});
 		const executor = owner.executors.get('x')!;
 		for (const run of executor.runs.values()) {
-			run.pacePercent = pace;
+			run.speedLimitPercent = pace;
 		}
 
-		const orders = scheduler.planPaces(executor);
+		const orders = scheduler.planThrottling(executor);
 		t.same(
 			orders.map(({run, percent}) => [run.task.id, percent]),
 			next === undefined ? [] : [['s.0.1.0', next]],
--- a/packages/core/src/scheduler/pace.ts
+++ b/packages/core/src/scheduler/throttle.ts
@@ -7,7 +7,7 @@
 import type {Run} from './task.js';
 
 /** Settings of the control loop. */
-export const paceConfig = {
+export const throttleConfig = {
 	/** Above this share of its target a tail is brought down at once ... */
 	cutAbove: 0.95,
 	/** ... to this share of the pace. */
@@ -28,7 +28,7 @@
 } as const;
 
 /** A change of pace to be ordered. */
-export type PaceOrder = {
+export type ThrottleCommand = {
 	readonly run: Run;
 	readonly percent: number;
 	/** Worst tail on the executor as a share of its target. */
@@ -41,7 +41,8 @@
 };
 
 const getNextPercent = (percent: number, tailShare: number): number => {
-	const {cutAbove, cutTo, easeAbove, easeTo, raiseBelow, raiseBy} = paceConfig;
+	const {cutAbove, cutTo, easeAbove, easeTo, raiseBelow, raiseBy} =
+		throttleConfig;
 	if (tailShare > cutAbove) {
 		return Math.floor(percent * cutTo);
 	}
@@ -54,7 +55,9 @@
 };
 
 /** Changes of pace on one executor, by the tails last reported. */
-export const planPaces = (executor: Executor): readonly PaceOrder[] => {
+export const planThrottling = (
+	executor: Executor,
+): readonly ThrottleCommand[] => {
 	const runs = [...executor.runs.values()].filter(
 		({state}) => state === 'running',
 	);
@@ -63,8 +66,8 @@
 		.filter(({task}) => task.step.spec.fillsIdleCapacity)
 		.map((run) => ({
 			run,
-			percent: getNextPercent(run.pacePercent, tailShare),
+			percent: getNextPercent(run.speedLimitPercent, tailShare),
 			tailShare,
 		}))
-		.filter(({run, percent}) => percent !== run.pacePercent);
+		.filter(({run, percent}) => percent !== run.speedLimitPercent);
 };
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -284,7 +284,7 @@
 			logger,
 			pools: settings.pools,
 			turnoverMs: settings.machineTurnoverMs,
-			beliefMs: settings.scheduler.ownerBeliefMs,
+			beliefMs: settings.scheduler.ownershipTimeoutMs,
 			getConfirmed: leaseFollower.getConfirmed,
 			listWaves: () => [...waves.values()],
 			hasOwner,
--- a/packages/daemon/src/jobs/owner/executor-link.test.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.test.ts
@@ -47,7 +47,7 @@
 	tap.t.test(name, async (t) => {
 		const cfg = scheduler.defaultSchedulerConfig;
 		const owner = scheduler.createOwner('s', 1, cfg, 0);
-		scheduler.listExecutor(owner, createListed('x'));
+		scheduler.recordListedExecutor(owner, createListed('x'));
 		const waits: Waits = [];
 		const link = openExecutorLink({
 			owner,
--- a/packages/daemon/src/jobs/owner/executor-link.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.ts
@@ -21,7 +21,7 @@
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	/** Something changed that may allow or call for orders. */
 	readonly onChange: () => void;
-	readonly onLook: (changes: scheduler.LookChanges) => void;
+	readonly onLook: (changes: scheduler.PollChanges) => void;
 	readonly onFenced: () => void;
 	readonly onOtherLife: () => void;
 	/** The answer to a start, for the metrics. */
@@ -32,7 +32,7 @@
 };
 
 /** An order about one run. */
-type RunOrder = Exclude<scheduler.Order, {readonly kind: 'advise'}>;
+type RunOrder = Exclude<scheduler.Command, {readonly kind: 'advise'}>;
 
 /** A link at work. */
 export type ExecutorLink = {
@@ -42,7 +42,7 @@
 	readonly noteAckable: () => void;
 	readonly close: () => void;
 	readonly send: (order: RunOrder) => void;
-	readonly sendPace: (order: scheduler.PaceOrder) => void;
+	readonly sendPace: (order: scheduler.ThrottleCommand) => void;
 };
 
 type State = {
@@ -76,14 +76,14 @@
 	const needsLook = (): boolean =>
 		!executor.isAdopted ||
 		executor.runs.size > 0 ||
-		executor.strays > 0 ||
+		executor.orphanedRunCount > 0 ||
 		executor.acknowledgedUpto > state.ackSent ||
-		executor.silentSince !== undefined ||
+		executor.unresponsiveSince !== undefined ||
 		state.isPoked;
 
 	/** Ends that the executor lists again until they are acknowledged. */
 	const hasUnacked = (): boolean =>
-		executor.lastEnd > executor.acknowledgedUpto;
+		executor.lastEndNumber > executor.acknowledgedUpto;
 
 	const pauseForAck = async () => {
 		if (hasUnacked() && !state.isPoked) {
@@ -93,7 +93,7 @@
 
 	/** Ends that come meanwhile are listed together by the next look. */
 	const pauseForGap = async (seenAt: number) => {
-		const gapMs = scheduler.getLookGapMs(owner.startWindow);
+		const gapMs = scheduler.getMinPollIntervalMs(owner.startWindow);
 		const restMs = gapMs - (now() - seenAt);
 		if (restMs >= periods.leastLookGapMs && !state.isPoked) {
 			await lookGap.wait(restMs);
@@ -104,8 +104,8 @@
 		state.retryMs = periods.lookRetryMs;
 		const {clockMs, running, ends} = answer;
 		const look = {sentAt, receivedAt: now(), clockMs, running, ends};
-		const wasSilentFrom = executor.silentSince;
-		const changes = scheduler.takeLook(owner, executor, look);
+		const wasSilentFrom = executor.unresponsiveSince;
+		const changes = scheduler.applyPoll(owner, executor, look);
 		if (changes.isFirst || wasSilentFrom !== undefined) {
 			logger.info('executor answers', {
 				executor: executor.id,
@@ -119,7 +119,7 @@
 			});
 		}
 
-		for (const {taskId, run} of changes.strays) {
+		for (const {taskId, run} of changes.orphanedRuns) {
 			void stopStray(taskId, run);
 		}
 
@@ -138,7 +138,7 @@
 	};
 
 	const noteNoAnswer = async () => {
-		if (executor.silentSince === undefined) {
+		if (executor.unresponsiveSince === undefined) {
 			logger.warn('executor does not answer', {
 				executor: executor.id,
 				address: target.address,
@@ -146,16 +146,17 @@
 			});
 		}
 
-		scheduler.noteSilence(owner, executor.id, now());
+		scheduler.markUnresponsive(owner, executor.id, now());
 		deps.onChange();
 		await delay(state.retryMs);
 		state.retryMs = Math.min(2 * state.retryMs, periods.lookRetryMaxMs);
 	};
 
 	const lookOnce = async () => {
-		const isQuiet = executor.isAdopted && executor.silentSince === undefined;
+		const isQuiet =
+			executor.isAdopted && executor.unresponsiveSince === undefined;
 		const {acknowledgedUpto} = executor;
-		const isBusy = executor.runs.size > 0 || executor.strays > 0;
+		const isBusy = executor.runs.size > 0 || executor.orphanedRunCount > 0;
 		const mayWait = isQuiet && !state.isPoked && isBusy;
 		const waitMs = mayWait ? periods.lookWaitMs : 0;
 		state.isPoked = false;
@@ -220,7 +221,7 @@
 		deps.onChange();
 	};
 
-	const sendStart = async (order: scheduler.Order & {kind: 'start'}) => {
+	const sendStart = async (order: scheduler.Command & {kind: 'start'}) => {
 		const {run: started, leaseEndMs} = order;
 		const {task, number} = started;
 		const answer = await executors.start(
@@ -251,10 +252,10 @@
 			tookMs: Math.round(now() - started.askedAt),
 		});
 		deps.onStarted(started, answer.kind);
-		follow(scheduler.takeStartAnswer(owner, started, answer, now()));
+		follow(scheduler.applyStartAnswer(owner, started, answer, now()));
 	};
 
-	const sendStop = async (order: scheduler.Order & {kind: 'stop'}) => {
+	const sendStop = async (order: scheduler.Command & {kind: 'stop'}) => {
 		const {run: stopped, reason} = order;
 		const {task, number} = stopped;
 		const answer = await executors.stop(
@@ -274,17 +275,17 @@
 			outcome: answer.kind,
 			percent: stopped.percent,
 		});
-		follow(scheduler.takeStopAnswer(owner, stopped, answer, now()));
+		follow(scheduler.applyStopAnswer(owner, stopped, answer, now()));
 	};
 
 	const sendPace = async ({
 		run: paced,
 		percent,
 		tailShare,
-	}: scheduler.PaceOrder) => {
+	}: scheduler.ThrottleCommand) => {
 		const {task, number} = paced;
-		const before = paced.pacePercent;
-		paced.pacePercent = percent;
+		const before = paced.speedLimitPercent;
+		paced.speedLimitPercent = percent;
 		const answer = await executors.pace(
 			target,
 			{taskId: task.id, run: number, fencingToken: owner.token, percent},
@@ -300,7 +301,7 @@
 			outcome: answer.kind,
 		});
 		if (answer.kind !== 'done') {
-			paced.pacePercent = before;
+			paced.speedLimitPercent = before;
 		}
 	};
 
--- a/packages/daemon/src/jobs/owner/flusher.test.ts
+++ b/packages/daemon/src/jobs/owner/flusher.test.ts
@@ -131,7 +131,7 @@
 			false,
 		);
 		scheduler.addOccurrence(job);
-		owner.dirty.add(job);
+		owner.dirtyJobs.add(job);
 	}
 
 	const inner = ports.createMemoryRowStore();
--- a/packages/daemon/src/jobs/owner/flusher.ts
+++ b/packages/daemon/src/jobs/owner/flusher.ts
@@ -46,8 +46,8 @@
 	readonly drain: () => Promise<void>;
 };
 
-const isUrgent = ({dirty, isRosterDirty}: scheduler.Owner): boolean =>
-	isRosterDirty || [...dirty].some(({end}) => end !== undefined);
+const isUrgent = ({dirtyJobs, isRosterDirty}: scheduler.Owner): boolean =>
+	isRosterDirty || [...dirtyJobs].some(({end}) => end !== undefined);
 
 /** Creates a flusher. */
 export const createFlusher = (deps: FlusherDeps): Flusher => {
@@ -61,13 +61,13 @@
 
 	const toRosterRow = ({
 		listed,
-		darkSince,
+		suspectedSince,
 	}: scheduler.RosterEntry): RosterRow =>
-		darkSince === undefined
+		suspectedSince === undefined
 			? listed
 			: {
 					...listed,
-					darkSinceMs: getLatestStoreMs(clock, storeTime, darkSince),
+					darkSinceMs: getLatestStoreMs(clock, storeTime, suspectedSince),
 					markedBy: owner.token,
 				};
 
@@ -176,7 +176,7 @@
 		}
 
 		if (!scheduler.needsFlush(owner)) {
-			deps.onAckable(scheduler.acknowledgeIdle(owner));
+			deps.onAckable(scheduler.acknowledgeAll(owner));
 			return;
 		}
 
@@ -202,7 +202,7 @@
 			clearTimeout(timer);
 			await running;
 			// The next owner need not wait anew for those that have not answered.
-			scheduler.markDark(owner, 0, clock.now());
+			scheduler.markSuspected(owner, 0, clock.now());
 			while (!state.isStopped && scheduler.needsFlush(owner)) {
 				if (!(await flushOnce())) {
 					return;
--- a/packages/daemon/src/jobs/owner/job-remover.ts
+++ b/packages/daemon/src/jobs/owner/job-remover.ts
@@ -66,7 +66,7 @@
 			}
 
 			ranAt = now();
-			const ids = scheduler.forgetEndedJobs(owner, now(), removalBatch);
+			const ids = scheduler.listExpiredJobs(owner, now(), removalBatch);
 			periodMs = ids.length < removalBatch ? removalPeriodMs : backlogPeriodMs;
 			if (ids.length > 0 && (await removeRows(ids))) {
 				for (const id of ids) {
--- a/packages/daemon/src/jobs/owner/load-owner.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.ts
@@ -92,8 +92,8 @@
 	{previous}: Pick<HeldShard, 'previous'>,
 	cfg: scheduler.SchedulerConfig,
 ): number => {
-	const granted = scheduler.getGrantedMs(cfg);
-	return previous === 'silent' ? granted + cfg.ownerBeliefMs : granted;
+	const granted = scheduler.getMaxLeaseDurationMs(cfg);
+	return previous === 'silent' ? granted + cfg.ownershipTimeoutMs : granted;
 };
 
 const addJobs = (
@@ -161,7 +161,10 @@
 			const restMs =
 				darkMs === undefined
 					? inheritedMs
-					: Math.min(inheritedMs, scheduler.getGrantedMs(cfg) - darkMs);
+					: Math.min(
+							inheritedMs,
+							scheduler.getMaxLeaseDurationMs(cfg) - darkMs,
+						);
 			const darkSince = darkMs === undefined ? undefined : now - darkMs;
 			scheduler.inheritExecutor(owner, listed, now + restMs, darkSince);
 		}
--- a/packages/daemon/src/jobs/owner/load-report.test.ts
+++ b/packages/daemon/src/jobs/owner/load-report.test.ts
@@ -11,7 +11,7 @@
 		scheduler.defaultSchedulerConfig,
 		0,
 	);
-	scheduler.listExecutor(owner, createListed('x'));
+	scheduler.recordListedExecutor(owner, createListed('x'));
 	scheduler.addJob(owner, createAccepted('a'), false);
 	return owner;
 };
--- a/packages/daemon/src/jobs/owner/owner-log.ts
+++ b/packages/daemon/src/jobs/owner/owner-log.ts
@@ -9,7 +9,7 @@
 	readonly noteJobEnd: (job: string, end: string, reason: string) => void;
 	readonly noteLook: (
 		executor: scheduler.Executor,
-		changes: scheduler.LookChanges,
+		changes: scheduler.PollChanges,
 	) => void;
 	/** Runs that are certainly over without an end. */
 	readonly noteFreed: (runs: readonly scheduler.Run[], reason: string) => void;
@@ -49,7 +49,7 @@
 				});
 			}
 
-			for (const key of changes.lost) {
+			for (const key of changes.vanished) {
 				logger.warn('run vanished', {run: key, executor: executor.id});
 			}
 
--- a/packages/daemon/src/jobs/owner/owner-runner.ts
+++ b/packages/daemon/src/jobs/owner/owner-runner.ts
@@ -103,7 +103,8 @@
 	const pacedAt = new Map<string, number>();
 
 	const isBelieved = (): boolean =>
-		!state.isStopped && isWithin(clock, deps.getConfirmed(), cfg.ownerBeliefMs);
+		!state.isStopped &&
+		isWithin(clock, deps.getConfirmed(), cfg.ownershipTimeoutMs);
 
 	const lose = (reason: string, rows: readonly StoredRow[] = []) => {
 		if (!state.isStopped) {
@@ -122,7 +123,7 @@
 
 	const takeLookChanges = (
 		executor: scheduler.Executor,
-		changes: scheduler.LookChanges,
+		changes: scheduler.PollChanges,
 	) => {
 		log.noteLook(executor, changes);
 		planPaces(executor);
@@ -131,11 +132,11 @@
 
 	const planPaces = (executor: scheduler.Executor) => {
 		const last = pacedAt.get(executor.id) ?? 0;
-		if (clock.now() - last < scheduler.paceConfig.intervalMs) {
+		if (clock.now() - last < scheduler.throttleConfig.intervalMs) {
 			return;
 		}
 
-		const orders = scheduler.planPaces(executor);
+		const orders = scheduler.planThrottling(executor);
 		for (const order of orders) {
 			links?.get(executor.id)?.sendPace(order);
 		}
@@ -147,7 +148,7 @@
 
 	const noteGone = (id: string, reason: string) => {
 		if (owner) {
-			log.noteFreed(scheduler.noteGone(owner, id), reason);
+			log.noteFreed(scheduler.markTerminated(owner, id), reason);
 			onChange();
 		}
 	};
@@ -197,7 +198,7 @@
 			tookMs: Math.round(clock.now() - askedAt),
 		});
 		// Tickets are valid from the answer on, which was made before it came.
-		scheduler.takeAdvice(current, request, advice, clock.now());
+		scheduler.applyAdvice(current, request, advice, clock.now());
 		onChange();
 	};
 
@@ -210,11 +211,11 @@
 
 		const now = clock.now();
 		log.noteFreed(scheduler.expireLeases(owner, now), 'its lease is over');
-		scheduler.markDark(owner, scheduler.darkAfterMs, now);
+		scheduler.markSuspected(owner, scheduler.suspectAfterMs, now);
 		matchLinks(owner);
 		if (isBelieved() && !state.isLettingGo) {
 			scheduler.advanceSchedules(owner, clock.epochNow());
-			const orders = scheduler.planOrders(owner, now, clock.epochNow());
+			const orders = scheduler.planCommands(owner, now, clock.epochNow());
 			for (const order of orders) {
 				if (order.kind === 'advise') {
 					void ask(owner, order);
@@ -258,14 +259,14 @@
 			.listExecutors()
 			.filter((each) => each.service === service);
 		for (const each of listed) {
-			scheduler.listExecutor(owner, each);
+			scheduler.recordListedExecutor(owner, each);
 		}
 
 		const ids = new Set(listed.map(({id}) => id));
 		for (const {id, isListed} of owner.executors.values()) {
 			if (isListed && !ids.has(id)) {
 				logger.info('executor no longer listed', {executor: id, isWhole});
-				scheduler.unlistExecutor(owner, id);
+				scheduler.recordUnlistedExecutor(owner, id);
 			}
 		}
 
@@ -311,10 +312,10 @@
 			return;
 		}
 
-		while (!state.isStopped && current.unresolved.size > 0) {
+		while (!state.isStopped && current.unresolvedExecutors.size > 0) {
 			if (await deps.hasLetGo(previousHolder)) {
 				const grantedMs = getInheritedMs({previous: 'released'}, cfg);
-				scheduler.shortenInheritance(current, clock.now() + grantedMs);
+				scheduler.limitInheritedLeases(current, clock.now() + grantedMs);
 				logger.info('the owner before has let go', {
 					holder: previousHolder.holder?.entry,
 				});
@@ -363,7 +364,7 @@
 			previous: held.previous,
 			jobs: owner.jobs.size,
 			open: owner.openJobs.size,
-			unresolvedExecutors: owner.unresolved.size,
+			unresolvedExecutors: owner.unresolvedExecutors.size,
 		});
 		noteExecutors(true);
 		follower.start(deps.reportFailure);
--- a/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
+++ b/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
@@ -83,7 +83,7 @@
 		const {owner, flushVersion, storeTime} = loaded.value;
 		prepare(owner);
 		// An owner that finds another executor stores its roster.
-		scheduler.listExecutor(owner, createListed(`new-${held.token}`));
+		scheduler.recordListedExecutor(owner, createListed(`new-${held.token}`));
 		const flusher = createFlusher({
 			store,
 			owner,
@@ -110,9 +110,9 @@
 	for (const intervalMs of intervals) {
 		const {state, own} = createWorld();
 		await own((owner) => {
-			scheduler.listExecutor(owner, createListed('dark'));
+			scheduler.recordListedExecutor(owner, createListed('dark'));
 			const job = scheduler.addJob(owner, createAccepted(createId(1)), false);
-			owner.dirty.add(job);
+			owner.dirtyJobs.add(job);
 		});
 		// Nobody reaches it any more; what it was granted is over by then, with a
 		// second to spare.
@@ -124,7 +124,7 @@
 				t.ok(executors.has('dark'));
 			});
 			scheduler.expireLeases(owner, state.now);
-			isWaitedFor = owner.unresolved.has('dark');
+			isWaitedFor = owner.unresolvedExecutors.has('dark');
 		}
 
 		t.notOk(isWaitedFor, `an owner each ${intervalMs} ms`);
@@ -135,7 +135,7 @@
 	for (const strangers of [0, 1]) {
 		const {state, own, takeOver} = createWorld();
 		await own((owner) => {
-			scheduler.listExecutor(owner, createListed('dark'));
+			scheduler.recordListedExecutor(owner, createListed('dark'));
 		});
 		await own(() => undefined);
 		state.now += getInheritedMs({previous: 'released'}, cfg) + 1;
@@ -146,6 +146,6 @@
 
 		const owner = await own(() => undefined);
 		scheduler.expireLeases(owner, state.now);
-		t.equal(owner.unresolved.has('dark'), strangers > 0);
+		t.equal(owner.unresolvedExecutors.has('dark'), strangers > 0);
 	}
 });
--- a/packages/daemon/src/jobs/owner/row-intake.ts
+++ b/packages/daemon/src/jobs/owner/row-intake.ts
@@ -37,11 +37,11 @@
 		version: row.version,
 		ageMs: Math.round(clock.epochNow() - accepted.acceptedAtEpochMs),
 		steps: accepted.spec.steps.length,
-		chainMs: Math.round(scheduler.getWholeChainMs(accepted)),
+		chainMs: Math.round(scheduler.getCriticalPathMs(accepted)),
 		stretch: accepted.policy.stretch,
 		targetLatencyMs: accepted.policy.targetLatencyMs,
 		work: Math.round(job.totalWork),
-		isLasting: scheduler.isLasting(job),
+		isLasting: scheduler.isLongRunningJob(job),
 	});
 };
 
--- a/packages/daemon/src/jobs/rows/store-time.ts
+++ b/packages/daemon/src/jobs/rows/store-time.ts
@@ -16,5 +16,5 @@
 	at: number,
 ): number => {
 	const elapsedMs = getMostElapsedMs(clock, sent);
-	return nowMs + elapsedMs * (1 + scheduler.maxSlowdown) - (clock.now() - at);
+	return nowMs + elapsedMs * (1 + scheduler.maxClockDrift) - (clock.now() - at);
 };
--- a/packages/ports/src/memory/task-executors.ts
+++ b/packages/ports/src/memory/task-executors.ts
@@ -161,7 +161,7 @@
 		return {kind: 'started', clockMs};
 	};
 
-	const stop = (life: Life, order: RunOrder): scheduler.OrderAnswer => {
+	const stop = (life: Life, order: RunOrder): scheduler.CommandAnswer => {
 		if (isFenced(life, order.fencingToken)) {
 			return {kind: 'fenced'};
 		}
@@ -222,7 +222,7 @@
 		stop: async (target, order, timeoutMs) =>
 			answer(target, timeoutMs, (life) => stop(life, order)),
 		pace: async (target, order, timeoutMs) =>
-			answer(target, timeoutMs, (life): scheduler.OrderAnswer => {
+			answer(target, timeoutMs, (life): scheduler.CommandAnswer => {
 				const run = life.running.get(order.taskId);
 				if (run) {
 					run.pacePercent = order.percent;
--- a/packages/ports/src/ports/executors.ts
+++ b/packages/ports/src/ports/executors.ts
@@ -60,12 +60,12 @@
 		target: ExecutorTarget,
 		order: RunOrder,
 		timeoutMs: number,
-	) => Promise<scheduler.OrderAnswer>;
+	) => Promise<scheduler.CommandAnswer>;
 	readonly pace: (
 		target: ExecutorTarget,
 		order: RunOrder & {readonly percent: number},
 		timeoutMs: number,
-	) => Promise<scheduler.OrderAnswer>;
+	) => Promise<scheduler.CommandAnswer>;
 	readonly look: (
 		target: ExecutorTarget,
 		order: LookOrder,
