--- a/packages/core/src/scheduler/evacuation.ts
+++ b/packages/core/src/scheduler/evacuation.ts
@@ -5,7 +5,7 @@
  */
 import type {Evacuation, Executor} from './executor.js';
 import type {Owner} from './owner-state.js';
-import {listUsable, placeTask} from './placement.js';
+import {listUsable, placeTask} from './place-task.js';
 import type {Run, Step, Task} from './task.js';
 
 /** Percent at which a lasting task is at work. */
--- a/packages/core/src/scheduler/explain.ts
+++ b/packages/core/src/scheduler/explain.ts
@@ -1,7 +1,7 @@
 /** Why the tasks of a job do not run, in words for an operator. */
 import {isLocationKnown} from './owner.js';
 import type {Owner} from './owner-state.js';
-import {listUsable, placementRefusals, placeTask} from './placement.js';
+import {listUsable, placementRefusals, placeTask} from './place-task.js';
 import {isStepReady, isWaiting, type Job, type Task} from './task.js';
 
 /** Where one task stands. */
--- a/packages/core/src/scheduler/index.ts
+++ b/packages/core/src/scheduler/index.ts
@@ -16,7 +16,7 @@
 export * from './service-load.js';
 export * from './flush.js';
 export * from './rank.js';
-export * from './placement.js';
+export * from './place-task.js';
 export * from './evacuation.js';
 export * from './explain.js';
 export * from './owner-overview.js';
--- a/packages/core/src/scheduler/plan.ts
+++ b/packages/core/src/scheduler/plan.ts
@@ -26,7 +26,7 @@
 } from './rejected-demands.js';
 import {isLocationKnown} from './owner.js';
 import type {Owner} from './owner-state.js';
-import {findEviction, listUsable, placeTask} from './placement.js';
+import {findEviction, listUsable, placeTask} from './place-task.js';
 import {rankJobs, type RankedJob} from './rank.js';
 import {countAvailableStarts} from './start-window.js';
 import {
--- a/packages/core/src/scheduler/service-load.ts
+++ b/packages/core/src/scheduler/service-load.ts
@@ -1,7 +1,7 @@
 /** How much the queues of a service ask for, for the sizes of its pool. */
 import {getDemand, type Executor} from './executor.js';
 import type {Arrivals, Owner} from './owner-state.js';
-import {listUsable} from './placement.js';
+import {listUsable} from './place-task.js';
 import {isLate} from './rank.js';
 import {isStepReady, isWaiting, type Job} from './task.js';
 
