--- a/packages/core/src/scheduler/attempts.ts
+++ b/packages/core/src/scheduler/attempts.ts
@@ -1,26 +1,30 @@
 /**
- * Attempts of a task. An executor lists an end until it is acknowledged, so
- * the same end may be taken in more than once, also by the next owner: a
- * failure is counted by its run.
+ * Counts the failed attempts of a task. An executor lists a run end until it is
+ * acknowledged, so the same end may be applied more than once, also by the next
+ * owner. Failures are therefore counted by run number.
  */
 import {listCoscheduledTasks, type Task} from './task.js';
 
 /**
- * Runs of lasting tasks have no bound, so that only the latest are kept: runs
- * before those are taken for counted.
+ * Only the latest failed runs are kept, since long-running tasks have no limit
+ * on runs. Runs older than those count as counted.
  */
-const wasCounted = ({failedRuns}: Task, run: number, most: number): boolean => {
+const wasCounted = (
+	{failedRuns}: Task,
+	run: number,
+	maxKept: number,
+): boolean => {
 	const [oldest] = failedRuns;
 	return (
 		failedRuns.includes(run) ||
-		(oldest !== undefined && failedRuns.length >= most && run < oldest)
+		(oldest !== undefined && failedRuns.length >= maxKept && run < oldest)
 	);
 };
 
 /**
- * Counts a run that ended as failed; false if it was counted before. Members
- * of a gang have the run's number in common: however many of them fail in one
- * run, that is one attempt of each.
+ * Counts a failed run; returns false if it was counted before. The members of a
+ * gang share a run number: one run is one attempt of each member, however many
+ * of them fail.
  */
 export const countFailure = (task: Task, run: number): boolean => {
 	const {maxAttempts} = task.step.occurrence.job.accepted.policy;
--- a/packages/core/src/scheduler/check-job.ts
+++ b/packages/core/src/scheduler/check-job.ts
@@ -1,8 +1,8 @@
-/** Checks of a submitted job that go beyond the form of its fields. */
+/** Validation of a submitted job beyond its schema. */
 import {fail, succeed, type Result} from '../types/result.js';
 import type {JobSpec, StepSpec} from './types.js';
 
-/** Bounds of one job; origin: what one owner plans within a few milliseconds. */
+/** Limits of one job, so that an owner plans it within a few milliseconds. */
 export const jobLimits = {
 	maxPayloadBytes: 4000,
 	maxSteps: 64,
@@ -11,12 +11,12 @@
 	maxOccurrences: 100_000,
 } as const;
 
-/** What is wrong with a job, as the caller is told. */
+/** A validation error, as reported to the caller. */
 export type JobFault = {readonly field: string; readonly problem: string};
 
 const idPattern = /^[\da-f]{16}$/v;
 
-/** Whether a text is a job id: 16 hexadecimal digits. */
+/** Whether a string is a job id: 16 lower-case hexadecimal digits. */
 export const isJobId = (id: string): boolean => idPattern.test(id);
 
 const checkStep = (step: StepSpec, number: number): JobFault | undefined => {
@@ -26,17 +26,17 @@
 		return {field: `${field}.count`, problem};
 	}
 
-	// Only earlier steps may be named, so no cycle can be written.
-	const wrong = step.after.find((each) => each < 0 || each >= number);
-	return wrong === undefined
+	// Steps may only depend on earlier ones, which rules out cycles.
+	const invalid = step.after.find((each) => each < 0 || each >= number);
+	return invalid === undefined
 		? undefined
-		: {field: `${field}.after`, problem: `${wrong} is not an earlier step`};
+		: {field: `${field}.after`, problem: `${invalid} is not an earlier step`};
 };
 
 const countTasks = (spec: JobSpec): number =>
 	spec.steps.reduce((sum, {count}) => sum + count, 0);
 
-const checkWhole = (spec: JobSpec): JobFault | undefined => {
+const checkTotals = (spec: JobSpec): JobFault | undefined => {
 	if (spec.steps.length === 0 || spec.steps.length > jobLimits.maxSteps) {
 		const problem = `must hold 1 to ${jobLimits.maxSteps} steps`;
 		return {field: 'steps', problem};
@@ -60,10 +60,10 @@
 		: undefined;
 };
 
-/** Accepts a job or names the first field at fault. */
+/** Returns the job if it is valid, else the first invalid field. */
 export const checkJob = (spec: JobSpec): Result<JobSpec, JobFault> => {
 	const fault =
-		checkWhole(spec) ??
+		checkTotals(spec) ??
 		spec.steps
 			.map((step, number) => checkStep(step, number))
 			.find((each) => each !== undefined);
--- a/packages/core/src/scheduler/command-answers.ts
+++ b/packages/core/src/scheduler/command-answers.ts
@@ -1,4 +1,4 @@
-/** What the answers to orders change. */
+/** Applies the answers of executors to commands. */
 import {match} from 'ts-pattern';
 import {dropTicket} from './placement-advice.js';
 import {removeRun, recordClockReading, type Executor} from './executor.js';
@@ -10,24 +10,24 @@
 /** Answer to a start. */
 export type StartAnswer =
 	| {readonly kind: 'started'; readonly clockMs: number}
-	/** Certainly not started, and nothing changed. */
+	/** The run was certainly not started. */
 	| {
 			readonly kind: 'refused';
 			readonly reason: StartRefusal;
 			readonly clockMs: number | undefined;
 	  }
-	/** A higher fencing token was seen there. */
+	/** The executor has seen a higher fencing token. */
 	| {readonly kind: 'fenced'}
-	/** Another life answers at the address. */
+	/** Another incarnation answers at the address. */
 	| {readonly kind: 'other-life'}
-	/** It may have been carried out, or may be yet. */
+	/** The command may have been executed, or may still be. */
 	| {readonly kind: 'no-answer'};
 
 /** Why a start was refused. */
 export type StartRefusal =
 	'outdated-run' | 'too-late' | 'no-room' | 'ticket' | 'unhealthy' | 'invalid';
 
-/** Answer to any other order. */
+/** Answer to a command other than a start. */
 export type CommandAnswer =
 	| {readonly kind: 'done'; readonly clockMs: number}
 	| {readonly kind: 'refused'}
@@ -35,20 +35,20 @@
 	| {readonly kind: 'other-life'}
 	| {readonly kind: 'no-answer'};
 
-/** How long an executor that refused a start is left alone, milliseconds. */
-const refusalRestMs = 200;
+/** How long an executor gets no work after it refused a start, in milliseconds. */
+const refusalBackoffMs = 200;
 
-type Answered = {
+type AnsweredCommand = {
 	readonly owner: Owner;
 	readonly executor: Executor;
 	readonly run: Run;
 	readonly now: number;
 };
 
-/** What follows from an answer beyond the state. */
+/** What the caller must do after an answer has been applied. */
 export type AnswerEffect = 'none' | 'fenced' | 'other-life' | 'look-again';
 
-/** Takes in the answer to a start. */
+/** Applies the answer to a start. */
 export const applyStartAnswer = (
 	owner: Owner,
 	run: Run,
@@ -67,7 +67,7 @@
 };
 
 const applyStartOutcome = (
-	{owner, executor, run, now}: Answered,
+	{owner, executor, run, now}: AnsweredCommand,
 	answer: StartAnswer,
 ): AnswerEffect =>
 	match(answer)
@@ -89,7 +89,7 @@
 
 			executor.quarantinedUntil = Math.max(
 				executor.quarantinedUntil,
-				now + refusalRestMs,
+				now + refusalBackoffMs,
 			);
 			return 'none';
 		})
@@ -106,8 +106,8 @@
 		.exhaustive();
 
 /**
- * Takes in the answer to a stop. Once it is answered, a start of that run can
- * no longer be carried out: the next look tells whether it is there.
+ * Applies the answer to a stop. After a positive answer the executor no longer
+ * accepts a start of that run, and the next poll shows whether it exists.
  */
 export const applyStopAnswer = (
 	owner: Owner,
@@ -122,7 +122,7 @@
 };
 
 const applyStopOutcome = (
-	{owner, executor, run, now}: Answered,
+	{owner, executor, run, now}: AnsweredCommand,
 	answer: CommandAnswer,
 ): AnswerEffect =>
 	match(answer)
@@ -133,7 +133,7 @@
 			return 'look-again';
 		})
 		.with({kind: 'refused'}, {kind: 'no-answer'}, ({kind}) => {
-			// The order is given again after the next look.
+			// The stop is planned again after the next poll.
 			run.isStopPending = false;
 			run.state = run.confirmedAt === undefined ? 'unsettled' : 'running';
 			if (kind === 'no-answer') {
--- a/packages/core/src/scheduler/config.ts
+++ b/packages/core/src/scheduler/config.ts
@@ -1,41 +1,41 @@
-/** Settings of the owner of a service; times in milliseconds. */
+/** Scheduler settings. */
 
-/** Settings of an owner. */
+/** Settings of the owner of a service; times are in milliseconds. */
 export type SchedulerConfig = {
 	/**
-	 * Lease granted to what runs on an executor. Longer than a takeover takes,
-	 * so that tasks outlive their owner; shorter means that work on a silent
-	 * executor can start elsewhere sooner.
+	 * Lease of the runs on an executor. It must outlast a takeover, so that
+	 * tasks survive a change of owner. A shorter lease lets the tasks of an
+	 * unresponsive executor restart elsewhere sooner.
 	 */
 	readonly taskLeaseMs: number;
 	/**
-	 * How long an owner acts without having confirmed that it is the owner:
-	 * outages of the store last up to six seconds, and what runs outlives them.
+	 * How long an owner keeps acting after its ownership was last confirmed.
+	 * Longer than a store outage of six seconds.
 	 */
 	readonly ownershipTimeoutMs: number;
-	/** Time in which an order that was sent may still be under way. */
+	/** Time after which a command that was sent can no longer arrive. */
 	readonly maxTransitMs: number;
-	/** A lasting task that is not at work after this is started elsewhere. */
+	/** A long-running task that has not started up by then is restarted. */
 	readonly startupLimitMs: number;
-	/** Run time, in multiples of the estimate, after which a task is hung ... */
+	/** A task is hung if it runs for this multiple of its estimate ... */
 	readonly hangFactor: number;
-	/** ... if its progress has stood still for this long. */
+	/** ... and its progress has not changed for this long. */
 	readonly hangMs: number;
-	/** Failed runs in a row on one executor after which it rests ... */
+	/** Consecutive failed runs after which an executor is quarantined ... */
 	readonly failuresUntilQuarantine: number;
-	/** ... for so long. */
+	/** ... for this long. */
 	readonly quarantineMs: number;
-	/** Largest share of a service's executors that may rest at once. */
+	/** Maximum share of a service's executors in quarantine at once. */
 	readonly maxQuarantinedShare: number;
-	/** Ended jobs are kept, and shown, for this long. */
+	/** How long ended jobs are kept for queries. */
 	readonly keepEndedMs: number;
-	/** An evacuation ends unless it is asked for again within this time. */
+	/** An evacuation expires unless it is requested again within this time. */
 	readonly evacuationTtlMs: number;
-	/** A run with at most this much left is waited for in an evacuation. */
+	/** During an evacuation, runs with at most this much left may finish. */
 	readonly evacuationPatienceMs: number;
 };
 
-/** Settings in force where the deployment gives none. */
+/** Default settings. */
 export const defaultSchedulerConfig: SchedulerConfig = {
 	taskLeaseMs: 4500,
 	ownershipTimeoutMs: 7000,
--- a/packages/core/src/scheduler/executor-poll.ts
+++ b/packages/core/src/scheduler/executor-poll.ts
@@ -1,4 +1,4 @@
-/** What an executor's list of its runs and ends says, taken in by the owner. */
+/** Applies the runs and run ends that an executor lists when it is polled. */
 import {match} from 'ts-pattern';
 import {countFailure} from './attempts.js';
 import {clearSuspicion} from './suspected-executors.js';
@@ -23,20 +23,20 @@
 	type Task,
 } from './task.js';
 
-/** How a run ended. */
+/** Ways in which a run ends. */
 export const runEnds = {
 	done: 'done',
 	failed: 'failed',
 	stopped: 'stopped',
-	/** Its lease was over. */
+	/** Its lease expired. */
 	lapsed: 'lapsed',
 	/** Another member of its gang ended. */
 	broken: 'broken',
-	/** It waited in vain for the other members of its gang. */
+	/** The other members of its gang did not start in time. */
 	alone: 'alone',
 } as const;
 
-/** How a run ended. */
+/** One of `runEnds`. */
 export type RunEnd = (typeof runEnds)[keyof typeof runEnds];
 
 /** A run that an executor lists as running. */
@@ -45,13 +45,13 @@
 	readonly run: number;
 	readonly checkpoint: string;
 	readonly percent: number;
-	/** Tail in milliseconds for a task with a target, else cpu in use. */
+	/** Tail latency in milliseconds if the task has a target, else cpu used. */
 	readonly load: number;
 };
 
-/** An end that an executor lists until it is acknowledged. */
+/** A run end that an executor lists until it is acknowledged. */
 export type ListedEnd = {
-	/** Grows with each end of one life, from 1. */
+	/** Counts the ends of one incarnation, from 1. */
 	readonly number: number;
 	readonly taskId: string;
 	readonly run: number;
@@ -59,22 +59,26 @@
 	readonly checkpoint: string;
 };
 
-/** One look at an executor. */
+/** The answer of an executor to one poll. */
 export type ExecutorPoll = {
 	readonly sentAt: number;
 	readonly receivedAt: number;
+	/** Reading of the executor's clock. */
 	readonly clockMs: number;
 	readonly running: readonly ListedRun[];
 	readonly ends: readonly ListedEnd[];
 };
 
-/** What a look changed, for the log. */
+/** Changes that a poll led to, for the log. */
 export type PollChanges = {
+	/** Whether it is the first poll that this executor answered. */
 	readonly isFirst: boolean;
 	readonly ends: ReadonlyArray<ListedEnd & {readonly failures: number}>;
+	/** Keys of listed runs that were not known before. */
 	readonly adopted: readonly string[];
+	/** Keys of known runs that are no longer listed. */
 	readonly vanished: readonly string[];
-	/** Runs of no task at hand, to be stopped. */
+	/** Runs of unknown tasks, to be stopped. */
 	readonly orphanedRuns: readonly ListedRun[];
 	readonly jobEnds: readonly EndedJob[];
 };
@@ -87,7 +91,7 @@
 	jobEnds: EndedJob[];
 };
 
-/** The task of that id, if its job and occurrence are at hand. */
+/** Returns the task with that id if its job and occurrence are loaded. */
 export const findTask = (owner: Owner, taskId: string): Task | undefined => {
 	const parts = parseTaskId(taskId);
 	const job = parts && owner.jobs.get(parts.jobId);
@@ -101,7 +105,7 @@
 	];
 };
 
-/** The task of a run that an executor lists, also one that is over. */
+/** Returns the task of a listed run, also if its occurrence is not loaded. */
 const findRunTask = (owner: Owner, taskId: string): Task | undefined => {
 	const task = findTask(owner, taskId);
 	if (task) {
@@ -115,9 +119,9 @@
 		: undefined;
 };
 
-const noteDone = (owner: Owner, task: Task, now: number): void => {
+const recordDone = (owner: Owner, task: Task, now: number): void => {
 	const {job} = task.step.occurrence;
-	// One `done` stands for all members of a gang.
+	// A gang is done as a whole when one member is.
 	for (const each of listCoscheduledTasks(task)) {
 		markDone(each);
 	}
@@ -125,21 +129,28 @@
 	completeIfDone(owner, job, now);
 };
 
-const restIfFailing = (owner: Owner, executor: Executor, now: number): void => {
+const quarantineIfFailing = (
+	owner: Owner,
+	executor: Executor,
+	now: number,
+): void => {
 	const {failuresUntilQuarantine, quarantineMs, maxQuarantinedShare} =
 		owner.cfg;
 	const all = [...owner.executors.values()];
-	const resting = all.filter(
+	const quarantined = all.filter(
 		({quarantinedUntil}) => quarantinedUntil > now,
 	).length;
-	const mayRest = (resting + 1) / all.length <= maxQuarantinedShare;
-	if (executor.consecutiveFailures >= failuresUntilQuarantine && mayRest) {
+	const isWithinShare = (quarantined + 1) / all.length <= maxQuarantinedShare;
+	if (
+		executor.consecutiveFailures >= failuresUntilQuarantine &&
+		isWithinShare
+	) {
 		executor.quarantinedUntil = now + quarantineMs;
 		executor.consecutiveFailures = 0;
 	}
 };
 
-const noteFailed = (
+const recordFailure = (
 	owner: Owner,
 	task: Task,
 	{executor, run}: {readonly executor: Executor; readonly run: number},
@@ -153,7 +164,7 @@
 	const {job} = step.occurrence;
 	task.failedOn = executor.id;
 	executor.consecutiveFailures += 1;
-	restIfFailing(owner, executor, now);
+	quarantineIfFailing(owner, executor, now);
 	owner.dirtyJobs.add(job);
 	const {maxAttempts} = job.accepted.policy;
 	if (step.spec.isLongRunning || task.failures < maxAttempts || job.end) {
@@ -165,7 +176,7 @@
 	return {job: job.accepted.id, end: 'failed', reason};
 };
 
-const settleEnd = (
+const applyEnd = (
 	owner: Owner,
 	executor: Executor,
 	end: ListedEnd,
@@ -183,7 +194,7 @@
 
 	task.step.occurrence.job.hasStarted = true;
 	if (applyCheckpoint(task, end.run, end.checkpoint)) {
-		// It may be known from the run itself and is not stored for all that.
+		// Checkpoints of running tasks are not stored, so this one may not be.
 		owner.dirtyJobs.add(task.step.occurrence.job);
 	}
 
@@ -191,32 +202,32 @@
 		.returnType<EndedJob | undefined>()
 		.with('done', () => {
 			executor.consecutiveFailures = 0;
-			noteDone(owner, task, now);
+			recordDone(owner, task, now);
 			return undefined;
 		})
 		.with('failed', () =>
-			noteFailed(owner, task, {executor, run: end.run}, now),
+			recordFailure(owner, task, {executor, run: end.run}, now),
 		)
 		.with('stopped', 'lapsed', 'broken', 'alone', () => undefined)
 		.exhaustive();
 };
 
-const takeEnds = (
+const applyEnds = (
 	owner: Owner,
 	executor: Executor,
-	look: ExecutorPoll,
+	poll: ExecutorPoll,
 	changes: Changes,
 ): void => {
-	const fresh = look.ends
+	const fresh = poll.ends
 		.filter(({number}) => number > executor.lastEndNumber)
 		.toSorted((one, two) => one.number - two.number);
 	for (const end of fresh) {
 		executor.lastEndNumber = end.number;
-		const change = settleEnd(owner, executor, end, look.receivedAt);
+		const endedJob = applyEnd(owner, executor, end, poll.receivedAt);
 		const failures = findTask(owner, end.taskId)?.failures ?? 0;
 		changes.ends.push({...end, failures});
-		if (change) {
-			changes.jobEnds.push(change);
+		if (endedJob) {
+			changes.jobEnds.push(endedJob);
 		}
 
 		executor.unackedEnds.push({
@@ -226,7 +237,7 @@
 	}
 };
 
-const noteProgress = (run: Run, listed: ListedRun, now: number): void => {
+const recordProgress = (run: Run, listed: ListedRun, now: number): void => {
 	if (listed.percent > run.percent || run.confirmedAt === undefined) {
 		run.progressedAt = now;
 	}
@@ -262,16 +273,16 @@
 	return run;
 };
 
-const takeRunning = (
+const applyRunning = (
 	owner: Owner,
 	executor: Executor,
-	look: ExecutorPoll,
+	poll: ExecutorPoll,
 	changes: Changes,
 ): void => {
-	for (const listed of look.running) {
+	for (const listed of poll.running) {
 		const key = getRunKey(listed.taskId, listed.run);
 		const known = executor.runs.get(key);
-		const run = known ?? adoptRun(owner, executor, listed, look.receivedAt);
+		const run = known ?? adoptRun(owner, executor, listed, poll.receivedAt);
 		if (!run) {
 			changes.orphanedRuns.push(listed);
 			continue;
@@ -281,25 +292,25 @@
 			changes.adopted.push(key);
 		}
 
-		noteProgress(run, listed, look.receivedAt);
-		// Not stored while it runs: a lost one costs work, never a promise.
+		recordProgress(run, listed, poll.receivedAt);
+		// Not stored while the task runs: losing it only repeats work.
 		applyCheckpoint(run.task, run.number, listed.checkpoint);
 	}
 };
 
-/** Runs that were proved before the look was sent and are not listed. */
-const dropVanished = (
+/** Removes runs that were confirmed before the poll was sent and are not listed. */
+const removeVanished = (
 	executor: Executor,
-	look: ExecutorPoll,
+	poll: ExecutorPoll,
 	changes: Changes,
 ): void => {
 	const listed = new Set(
-		look.running.map(({taskId, run}) => getRunKey(taskId, run)),
+		poll.running.map(({taskId, run}) => getRunKey(taskId, run)),
 	);
 	for (const [key, run] of executor.runs) {
-		const wasThere =
-			run.confirmedAt !== undefined && run.confirmedAt < look.sentAt;
-		if (wasThere && !listed.has(key)) {
+		const wasConfirmed =
+			run.confirmedAt !== undefined && run.confirmedAt < poll.sentAt;
+		if (wasConfirmed && !listed.has(key)) {
 			removeRun(executor, run);
 			changes.vanished.push(key);
 		}
@@ -307,13 +318,13 @@
 };
 
 /**
- * Takes in a look at an executor. Looks of one executor are made one after
- * another, so that none is overtaken by an earlier one.
+ * Applies the answer to a poll. An executor has one poll in flight at a time,
+ * so answers arrive in order.
  */
 export const applyPoll = (
 	owner: Owner,
 	executor: Executor,
-	look: ExecutorPoll,
+	poll: ExecutorPoll,
 ): PollChanges => {
 	const isFirst = !executor.isAdopted;
 	const changes: Changes = {
@@ -323,22 +334,22 @@
 		orphanedRuns: [],
 		jobEnds: [],
 	};
-	recordClockReading(executor, look.clockMs, look.receivedAt);
+	recordClockReading(executor, poll.clockMs, poll.receivedAt);
 	executor.unresponsiveSince = undefined;
 	clearSuspicion(owner, executor);
-	executor.hasListedEnds = look.ends.length > 0;
-	takeEnds(owner, executor, look, changes);
-	takeRunning(owner, executor, look, changes);
+	executor.hasListedEnds = poll.ends.length > 0;
+	applyEnds(owner, executor, poll, changes);
+	applyRunning(owner, executor, poll, changes);
 	executor.orphanedRunCount = changes.orphanedRuns.length;
 	executor.isAdopted = true;
 	owner.unresolvedExecutors.delete(executor.id);
-	// A full page of ends may hide the end of a run that is not listed.
-	if (look.ends.length < maxEndsPerPoll) {
-		dropVanished(executor, look, changes);
+	// With a full page of ends, the end of an unlisted run may be on the next.
+	if (poll.ends.length < maxEndsPerPoll) {
+		removeVanished(executor, poll, changes);
 	}
 
 	return {isFirst, ...changes};
 };
 
-/** Most ends that one look lists; origin: the executors' interface. */
+/** Maximum number of ends in one poll, by the executors' interface. */
 export const maxEndsPerPoll = 500;
--- a/packages/core/src/scheduler/executor.ts
+++ b/packages/core/src/scheduler/executor.ts
@@ -1,4 +1,4 @@
-/** Executors of a service as the owner of the service holds them. */
+/** Executors of a service as its owner tracks them. */
 import {
 	isCertainlyPast,
 	pickLatestReading,
@@ -8,61 +8,60 @@
 import type {Run, Step} from './task.js';
 import type {ListedExecutor, Resources} from './types.js';
 
-/** An end whose acknowledgement waits for the store. */
+/** A run end that can be acknowledged once a flush has stored it. */
 export type UnackedEnd = {
 	readonly number: number;
-	/** The flush that must be stored before it may be acknowledged. */
+	/** Number of the flush that stores it. */
 	readonly flushNumber: number;
 };
 
-/** Why an executor is being emptied. */
+/** An evacuation in progress. */
 export type Evacuation = {
-	/** It is over unless it is asked for again before. */
+	/** When it expires unless it is requested again. */
 	readonly validUntil: number;
-	/** From then on, runs are stopped rather than waited for. */
+	/** From then on, runs are stopped instead of being waited for. */
 	readonly stopFrom: number;
 };
 
-/** One life of an executor. */
+/** One incarnation of an executor. */
 export type Executor = {
 	readonly id: string;
 	listed: ListedExecutor;
-	/** False once the registry has dropped it. */
+	/** Whether the registry lists it, as far as this owner has read. */
 	isListed: boolean;
-	/** The registry has dropped it; one that was inherited may not be read yet. */
+	/** The registry listed it before and does so no longer. */
 	wasUnlisted: boolean;
-	/** It has answered a look that carried this owner's fencing token. */
+	/** It has answered a poll that carried this owner's fencing token. */
 	isAdopted: boolean;
-	/** The store says that runs may be here. */
+	/** The stored roster has it as an executor that may run tasks. */
 	isRostered: boolean;
-	/** Since when it has left calls unanswered; absent while it answers. */
+	/** When it began to leave calls unanswered; absent while it answers. */
 	unresponsiveSince: number | undefined;
-	/** Its mark in the roster: since when nothing is granted there. */
+	/** Since when no leases are granted there, as marked in the roster. */
 	suspectedSince: number | undefined;
-	/** The store has the mark, or may have it. */
+	/** A roster with the mark is stored or was sent to the store. */
 	isSuspicionSent: boolean;
 	clock: RemoteClock | undefined;
 	/** Latest lease end sent, by the executor's clock, answered or not. */
 	grantedUntil: number;
 	readonly runs: Map<string, Run>;
 	used: Resources;
-	/** Runs of no known job; what room they take is not known. */
+	/** Runs of unknown jobs, whose resources are unknown too. */
 	orphanedRunCount: number;
-	/** Number of the last end that was taken in. */
+	/** Number of the last run end that was applied. */
 	lastEndNumber: number;
 	unackedEnds: UnackedEnd[];
 	acknowledgedUpto: number;
-	/** Its last look listed ends: it waits for their acknowledgement. */
+	/** Its last poll listed ends that still need to be acknowledged. */
 	hasListedEnds: boolean;
 	evacuation: Evacuation | undefined;
-	/** Failed runs in a row. */
 	consecutiveFailures: number;
 	quarantinedUntil: number;
 };
 
-const nothingUsed: Resources = {cpuMillis: 0, memoryMb: 0, accelerators: 0};
+const noResources: Resources = {cpuMillis: 0, memoryMb: 0, accelerators: 0};
 
-/** An executor that was just listed. */
+/** Creates the state of an executor that has just been listed. */
 export const createExecutor = (listed: ListedExecutor): Executor => ({
 	id: listed.id,
 	listed,
@@ -76,7 +75,7 @@
 	clock: undefined,
 	grantedUntil: 0,
 	runs: new Map(),
-	used: nothingUsed,
+	used: noResources,
 	orphanedRunCount: 0,
 	lastEndNumber: 0,
 	unackedEnds: [],
@@ -87,11 +86,11 @@
 	quarantinedUntil: 0,
 });
 
-/** Key of a run among those of one executor. */
+/** Returns the key of a run in `Executor.runs`. */
 export const getRunKey = (taskId: string, run: number): string =>
 	`${taskId}/${run}`;
 
-/** What a run takes; cpu of one that fills is not counted. */
+/** Resources of one run; cpu of a step that uses idle capacity is not counted. */
 export const getDemand = ({spec}: Step): Resources =>
 	spec.fillsIdleCapacity ? {...spec.resources, cpuMillis: 0} : spec.resources;
 
@@ -105,14 +104,14 @@
 	accelerators: used.accelerators + sign * added.accelerators,
 });
 
-/** Notes a run, which takes room from now on. */
+/** Adds a run and reserves its resources. */
 export const addRun = (executor: Executor, run: Run): void => {
 	executor.runs.set(getRunKey(run.task.id, run.number), run);
 	executor.used = addResources(executor.used, getDemand(run.task.step), 1);
 	run.task.runs.push(run);
 };
 
-/** Drops a run that is certainly not there any more. */
+/** Removes a run that has certainly ended and frees its resources. */
 export const removeRun = (executor: Executor, run: Run): void => {
 	if (!executor.runs.delete(getRunKey(run.task.id, run.number))) {
 		return;
@@ -122,11 +121,11 @@
 	run.task.runs = run.task.runs.filter((each) => each !== run);
 };
 
-/** Room that is left. */
+/** Returns the resources that are free. */
 export const getFree = ({listed, used}: Executor): Resources =>
 	addResources(listed.capacity, used, -1);
 
-/** Whether one more task of a step fits. */
+/** Whether another task of a step fits into the free resources. */
 export const hasRoom = (executor: Executor, step: Step): boolean => {
 	const free = getFree(executor);
 	const wanted = getDemand(step);
@@ -137,7 +136,7 @@
 	);
 };
 
-/** Whether an executor of this size, empty, could hold a task of a step. */
+/** Whether a task of a step would fit if the executor were empty. */
 export const couldHold = ({listed}: Executor, {spec}: Step): boolean => {
 	const {capacity, labels} = listed;
 	const {resources, requiredLabel} = spec;
@@ -151,11 +150,11 @@
 
 const rackPattern = /^r\d/v;
 
-/** The rack label, such as `r1-2`, if there is one. */
+/** Returns the rack label, such as `r1-2`, if there is one. */
 export const getRack = ({listed}: Executor): string | undefined =>
 	listed.labels.find((label) => rackPattern.test(label));
 
-/** Why an executor is given no new work, or that it may be. */
+/** Whether an executor may be given new work, or the reason why not. */
 export type Readiness =
 	| 'usable'
 	| 'unlisted'
@@ -167,7 +166,7 @@
 	| 'evacuating'
 	| 'resting';
 
-/** The first reason that holds; asked of each executor in each plan. */
+/** Returns the first reason that applies, or `usable`. */
 export const getReadiness = (executor: Executor, now: number): Readiness => {
 	if (!executor.isListed) {
 		return 'unlisted';
@@ -200,11 +199,11 @@
 	return executor.quarantinedUntil > now ? 'resting' : 'usable';
 };
 
-/** Whether an executor may be given new work at all. */
+/** Whether an executor may be given new work. */
 export const isUsable = (executor: Executor, now: number): boolean =>
 	getReadiness(executor, now) === 'usable';
 
-/** Notes a reading of the executor's clock. */
+/** Records a reading of the executor's clock. */
 export const recordClockReading = (
 	executor: Executor,
 	reportedMs: number,
@@ -213,7 +212,10 @@
 	executor.clock = pickLatestReading(executor.clock, {reportedMs, receivedAt});
 };
 
-/** The lease end to grant now, in whole milliseconds of its clock. */
+/**
+ * Records a lease of `leaseMs` from now and returns its end in whole
+ * milliseconds of the executor's clock; `undefined` while that is unknown.
+ */
 export const grantLease = (
 	executor: Executor,
 	leaseMs: number,
@@ -228,7 +230,7 @@
 	return until;
 };
 
-/** Whether all that this owner started there has certainly lapsed. */
+/** Whether all leases that this owner has granted there have expired. */
 export const haveLeasesExpired = (executor: Executor, now: number): boolean =>
 	executor.clock !== undefined &&
 	isCertainlyPast(executor.clock, executor.grantedUntil, now);
--- a/packages/core/src/scheduler/flush.ts
+++ b/packages/core/src/scheduler/flush.ts
@@ -1,6 +1,6 @@
 /**
- * What may be acknowledged to executors: ends are forgotten there once they
- * are acknowledged, so only those that the store has are.
+ * Flushes of job progress and the roster to the store. Executors discard run
+ * ends that are acknowledged, so only stored ends are acknowledged.
  */
 import {prepareRoster, type RosterEntry} from './suspected-executors.js';
 import type {Executor} from './executor.js';
@@ -8,50 +8,50 @@
 import {encodeProgress, type JobProgress} from './progress.js';
 import type {Job, JobEnd} from './task.js';
 
-/** A job's progress that is on its way to the store. */
+/** Progress of a job as one flush stores it. */
 export type FlushedJob = {
 	readonly job: Job;
 	readonly end: JobEnd | undefined;
 	readonly progress: JobProgress;
 };
 
-/** What one flush stores. */
+/** Changes that one flush stores. */
 export type Flush = {
 	readonly number: number;
 	readonly jobs: readonly FlushedJob[];
-	/** All executors that may run tasks; absent if unchanged. */
+	/** The whole roster; absent if unchanged. */
 	readonly roster: readonly RosterEntry[] | undefined;
 };
 
-/** Below the number of any flush: a part of the changes proves no end stored. */
-const noFlush = 0;
+/** Number of a partial flush, which allows no acknowledgement. */
+const partialFlushNumber = 0;
 
-/** Whether there is anything to store. */
+/** Whether there are changes to store. */
 export const needsFlush = (owner: Owner): boolean =>
 	owner.dirtyJobs.size > 0 || owner.isRosterDirty;
 
-/** Takes what is to be stored next, at most so many jobs. */
+/** Collects the changes to store next, with at most `maxJobs` jobs. */
 export const beginFlush = (owner: Owner, maxJobs: number): Flush => {
-	const taken = [...owner.dirtyJobs].slice(0, maxJobs);
-	const isWhole = taken.length === owner.dirtyJobs.size;
-	const jobs = taken.map((job) => ({
+	const selected = [...owner.dirtyJobs].slice(0, maxJobs);
+	const isComplete = selected.length === owner.dirtyJobs.size;
+	const jobs = selected.map((job) => ({
 		job,
 		end: job.end,
 		progress: encodeProgress(job),
 	}));
-	for (const job of taken) {
+	for (const job of selected) {
 		owner.dirtyJobs.delete(job);
 	}
 
 	const roster = owner.isRosterDirty ? prepareRoster(owner) : undefined;
 	owner.isRosterDirty = false;
 	const number = owner.flushNumber;
-	// Ends taken in from now on wait for a later flush.
-	owner.flushNumber += isWhole ? 1 : 0;
-	return {number: isWhole ? number : noFlush, jobs, roster};
+	// Ends applied from now on are acknowledged after a later flush.
+	owner.flushNumber += isComplete ? 1 : 0;
+	return {number: isComplete ? number : partialFlushNumber, jobs, roster};
 };
 
-/** The flush failed or its outcome is unknown: all of it is stored again. */
+/** Marks the changes of a flush that failed or timed out as dirty again. */
 export const abandonFlush = (owner: Owner, flush: Flush): void => {
 	for (const {job} of flush.jobs) {
 		owner.dirtyJobs.add(job);
@@ -61,9 +61,9 @@
 };
 
 /**
- * Nothing is acknowledged while the owner before may start tasks on an
- * executor that has not answered this one: it knows of no end that this owner
- * has seen, and the executor that listed it would have forgotten it.
+ * Nothing is acknowledged while the previous owner may still start tasks on an
+ * executor that has not answered: it could start a task again whose end only
+ * this owner has seen, and the acknowledged end would be lost to it.
  */
 const acknowledge = (owner: Owner, stored: number): readonly Executor[] =>
 	owner.unresolvedExecutors.size > 0
@@ -85,15 +85,15 @@
 };
 
 /**
- * The flush is stored. Answers the executors that have new ends to be
- * acknowledged to them.
+ * Applies the success of a flush. Returns the executors that have new run ends
+ * to acknowledge.
  */
 export const completeFlush = (
 	owner: Owner,
 	flush: Flush,
 ): readonly Executor[] => {
 	for (const {job, end} of flush.jobs) {
-		// A cancellation may have been stored while this was on its way.
+		// A cancellation may have been stored while the flush was in flight.
 		job.storedEnd = end ?? job.storedEnd;
 	}
 
@@ -111,8 +111,8 @@
 };
 
 /**
- * Nothing is unsaved and no flush is under way, so that all ends taken in may
- * be acknowledged: those that changed nothing need no flush of their own.
+ * Acknowledges all run ends. The caller ensures that nothing is dirty and that
+ * no flush is in flight, so ends that changed nothing need no flush.
  */
 export const acknowledgeAll = (owner: Owner): readonly Executor[] =>
 	acknowledge(owner, Number.POSITIVE_INFINITY);
--- a/packages/core/src/scheduler/index.ts
+++ b/packages/core/src/scheduler/index.ts
@@ -1,4 +1,4 @@
-/** Running the jobs of a service: state, order, placement and orders. */
+/** Scheduling of the jobs of a service: state, ranking, placement, commands. */
 export type * from './types.js';
 export {jobStates} from './types.js';
 export * from './config.js';
--- a/packages/core/src/scheduler/owner-state.ts
+++ b/packages/core/src/scheduler/owner-state.ts
@@ -1,58 +1,59 @@
-/** The state of the owner of one service. */
+/** State that the owner of a service keeps. */
 import type {SchedulerConfig} from './config.js';
 import type {Executor} from './executor.js';
 import type {StartWindow} from './start-window.js';
 import type {Job} from './task.js';
 
-/** What is known of one step. */
+/** Placement advice received for one step. */
 export type StepAdvice = {
+	/** Tickets by executor id. */
 	readonly tickets: Map<string, string>;
-	/** Executors that were asked about and are not named. */
+	/** Executors that the advice service was asked about and did not name. */
 	readonly rejectedExecutors: Set<string>;
-	/** When the tickets expire, by the own clock. */
+	/** When the tickets expire, by the local clock. */
 	validUntil: number;
 	isRequestPending: boolean;
-	/** Not asked again before. */
+	/** Earliest time of the next request after one without an answer. */
 	retryAt: number;
 };
 
-/** Work that came in, weighted so that older work counts less. */
+/** Work submitted recently, with exponential decay. */
 export type Arrivals = {
-	/** Weighted sum, in cpu-milliseconds. */
+	/** Decayed sum, in cpu-milliseconds. */
 	readonly work: number;
 	readonly at: number;
 };
 
-/** State of one ownership: from a takeover to the loss of the service. */
+/** State of one ownership, from the takeover to the loss of the service. */
 export type Owner = {
 	readonly cfg: SchedulerConfig;
 	readonly service: string;
-	/** Fencing token; every order to an executor carries it. */
+	/** Fencing token that every command to an executor carries. */
 	readonly token: number;
 	readonly takenOverAt: number;
 	readonly jobs: Map<string, Job>;
-	/** Jobs without an end, in order of acceptance. */
+	/** Jobs that have not ended, in order of acceptance. */
 	readonly openJobs: Set<Job>;
 	readonly executors: Map<string, Executor>;
 	/**
-	 * Executors that may run what an earlier owner started, with the time at
-	 * which its leases there are certainly over.
+	 * Executors that may still run tasks of an earlier owner, with the time by
+	 * which the leases of those have certainly expired.
 	 */
 	readonly unresolvedExecutors: Map<string, number>;
-	/** Jobs whose progress differs from the store. */
+	/** Jobs whose progress differs from the stored one. */
 	readonly dirtyJobs: Set<Job>;
-	/** The set of executors in the store is out of date. */
+	/** Whether the stored roster is out of date. */
 	isRosterDirty: boolean;
-	/** Number of the flush that takes in what changes now. */
+	/** Number of the flush that will store the current changes. */
 	flushNumber: number;
-	/** What the advice service has said, by step. */
+	/** Placement advice by step id. */
 	readonly advice: Map<string, StepAdvice>;
-	/** Lives of executors that are over; the registry may still list them. */
+	/** Terminated executors; the registry may list them for a while longer. */
 	readonly terminatedExecutors: Set<string>;
-	/** Work handed in lately. */
+	/** Work submitted recently. */
 	arrivals: Arrivals;
-	/** Bounds the starts under way. */
+	/** Limits the number of concurrent start commands. */
 	startWindow: StartWindow;
-	/** Mean work of a job by queue, for the order of work. */
+	/** Mean work of a job by queue, for ranking. */
 	readonly meanWork: Map<string, {count: number; sum: number}>;
 };
--- a/packages/core/src/scheduler/owner.ts
+++ b/packages/core/src/scheduler/owner.ts
@@ -1,7 +1,7 @@
 /**
- * The owner of one service: its jobs, its executors and what may be started.
- * All of it can be rebuilt from the store and the executors by the next
- * owner; see docs/design/platform-programs.md.
+ * Jobs and executors of a service as its owner tracks them. The next owner
+ * rebuilds this state from the store and the executors; see
+ * docs/design/platform-programs.md.
  */
 import type {SchedulerConfig} from './config.js';
 import {noArrivals, recordArrival} from './service-load.js';
@@ -26,14 +26,14 @@
 } from './task.js';
 import type {AcceptedJob, JobState, ListedExecutor} from './types.js';
 
-/** A job that changed and why, for the log. */
+/** A job that ended and the reason, for the log. */
 export type EndedJob = {
 	readonly job: string;
 	readonly end: JobEnd;
 	readonly reason: string;
 };
 
-/** Creates the state of a service just taken over. */
+/** Creates the state of an owner that has just taken over a service. */
 export const createOwner = (
 	service: string,
 	token: number,
@@ -58,7 +58,7 @@
 	meanWork: new Map(),
 });
 
-const noteWork = (owner: Owner, job: Job): void => {
+const recordWork = (owner: Owner, job: Job): void => {
 	const {queue} = job.accepted.policy;
 	const mean = owner.meanWork.get(queue) ?? {count: 0, sum: 0};
 	mean.count += 1;
@@ -66,7 +66,7 @@
 	owner.meanWork.set(queue, mean);
 };
 
-/** Takes in a job; a second time it changes nothing. */
+/** Adds a job. Adding a known job has no effect. */
 export const addJob = (
 	owner: Owner,
 	accepted: AcceptedJob,
@@ -81,7 +81,7 @@
 	const job = createJob(accepted, isInherited);
 	owner.jobs.set(accepted.id, job);
 	owner.openJobs.add(job);
-	noteWork(owner, job);
+	recordWork(owner, job);
 	if (!isInherited && !isLongRunningJob(job)) {
 		owner.arrivals = recordArrival(owner.arrivals, job.totalWork, now);
 	}
@@ -89,7 +89,7 @@
 	return job;
 };
 
-/** Ends a job; what still runs of it is stopped by the next plan. */
+/** Ends a job. The next plan stops its remaining runs. */
 export const endJob = (
 	owner: Owner,
 	job: Job,
@@ -113,8 +113,8 @@
 };
 
 /**
- * Cancels a job. The cancellation is a row of its own and lasting already, so
- * it may be shown at once.
+ * Cancels a job. The cancellation is already stored in a row of its own, so
+ * callers may see it at once.
  */
 export const cancelJob = (owner: Owner, job: Job, now: number): void => {
 	if (job.end) {
@@ -125,7 +125,7 @@
 	job.storedEnd = 'cancelled';
 };
 
-/** The state that a caller is shown; an end only once it is stored. */
+/** Returns the job state that callers see; an end only once it is stored. */
 export const getJobState = (job: Job): JobState => {
 	if (job.storedEnd) {
 		return job.storedEnd;
@@ -134,13 +134,13 @@
 	return job.hasStarted ? 'running' : 'queued';
 };
 
-/** Jobs of a queue for which no task has started. */
+/** Counts the jobs of a queue that have not started a task. */
 export const countPending = (owner: Owner, queue: string): number =>
 	[...owner.openJobs].filter(
 		(job) => job.accepted.policy.queue === queue && !job.hasStarted,
 	).length;
 
-/** Notes a done task's job: it may be wholly done. */
+/** Completes a job if all of its tasks are done. */
 export const completeIfDone = (owner: Owner, job: Job, now: number): void => {
 	owner.dirtyJobs.add(job);
 	if (!job.end && isJobComplete(job)) {
@@ -148,7 +148,7 @@
 	}
 };
 
-/** Adds the occurrences whose time of day has come. */
+/** Adds the occurrences that are due by the wall clock. */
 export const advanceSchedules = (owner: Owner, epochNow: number): void => {
 	for (const job of owner.openJobs) {
 		const before = job.nextOccurrence;
@@ -160,20 +160,20 @@
 };
 
 /**
- * One that waits for acknowledgements is kept, and stays in the roster: what
- * it lists may not be stored yet, and the next owner would not look at it.
+ * An executor that waits for acknowledgements stays in the roster: its ends
+ * may not be stored yet, and the next owner only polls executors of the roster.
  */
-const canForget = (executor: Executor): boolean =>
+const canRemove = (executor: Executor): boolean =>
 	!executor.isListed && executor.runs.size === 0 && !executor.hasListedEnds;
 
-const forgetIfGone = (owner: Owner, executor: Executor): void => {
-	if (canForget(executor) && !owner.unresolvedExecutors.has(executor.id)) {
+const removeIfUnused = (owner: Owner, executor: Executor): void => {
+	if (canRemove(executor) && !owner.unresolvedExecutors.has(executor.id)) {
 		owner.executors.delete(executor.id);
 		owner.isRosterDirty ||= executor.isRostered;
 	}
 };
 
-/** Notes that an executor is listed as this. */
+/** Records an executor as the registry lists it. */
 export const recordListedExecutor = (
 	owner: Owner,
 	listed: ListedExecutor,
@@ -195,30 +195,33 @@
 };
 
 /**
- * Notes that the registry has dropped an executor. That says nothing of what
- * runs there: only its answer, its next life or the end of its leases does.
+ * Records that the registry no longer lists an executor. Its runs are assumed
+ * to continue until it answers, a new incarnation appears or its leases expire.
  */
 export const recordUnlistedExecutor = (owner: Owner, id: string): void => {
 	const executor = owner.executors.get(id);
 	if (executor) {
 		executor.isListed = false;
 		executor.wasUnlisted = true;
-		forgetIfGone(owner, executor);
+		removeIfUnused(owner, executor);
 	}
 };
 
-/** All runs of an executor are certainly over; answers those freed. */
-const releaseAll = (owner: Owner, executor: Executor): readonly Run[] => {
+/** Removes all runs of an executor and returns them. */
+const removeAllRuns = (owner: Owner, executor: Executor): readonly Run[] => {
 	const runs = [...executor.runs.values()];
 	for (const run of runs) {
 		removeRun(executor, run);
 	}
 
-	forgetIfGone(owner, executor);
+	removeIfUnused(owner, executor);
 	return runs;
 };
 
-/** This life of an executor is certainly gone, with all that it ran. */
+/**
+ * Records that an executor has terminated, and its runs with it. Returns the
+ * runs that were removed.
+ */
 export const markTerminated = (owner: Owner, id: string): readonly Run[] => {
 	owner.unresolvedExecutors.delete(id);
 	owner.terminatedExecutors.add(id);
@@ -230,10 +233,10 @@
 	executor.isListed = false;
 	executor.unackedEnds = [];
 	executor.hasListedEnds = false;
-	return releaseAll(owner, executor);
+	return removeAllRuns(owner, executor);
 };
 
-/** A call to an executor had no answer. */
+/** Records that a call to an executor had no answer. */
 export const markUnresponsive = (
 	owner: Owner,
 	id: string,
@@ -246,104 +249,109 @@
 };
 
 /**
- * An executor on which an earlier owner may have started tasks. Until it
- * answers, is replaced or `overAt` has passed, those may run there. One that
- * was dark for an earlier owner is so since `darkSince`.
+ * Adds an executor on which an earlier owner may have started tasks. They may
+ * run there until it answers, is replaced or its leases expire at
+ * `leasesEndAt`. `suspectedSince` is set if the stored roster marks it so.
  */
 export const inheritExecutor = (
 	owner: Owner,
 	listed: ListedExecutor,
-	overAt: number,
-	darkSince?: number,
+	leasesEndAt: number,
+	suspectedSince?: number,
 ): void => {
 	const executor = createExecutor(listed);
-	executor.suspectedSince = darkSince;
-	executor.isSuspicionSent = darkSince !== undefined;
-	// The next owner goes by the word of this one only.
-	owner.isRosterDirty ||= darkSince !== undefined;
-	// The roster that names it is the one in the store.
+	executor.suspectedSince = suspectedSince;
+	executor.isSuspicionSent = suspectedSince !== undefined;
+	// The next owner only trusts marks that this owner has stored itself.
+	owner.isRosterDirty ||= suspectedSince !== undefined;
+	// The stored roster contains it already.
 	executor.isRostered = true;
 	executor.isListed = false;
 	owner.executors.set(listed.id, executor);
-	owner.unresolvedExecutors.set(listed.id, overAt);
+	owner.unresolvedExecutors.set(listed.id, leasesEndAt);
 };
 
 /**
- * The owner before has let go: what it granted ends at `overAt` at the latest.
+ * Shortens the inherited leases once the previous owner has released the
+ * service: they expire at `leasesEndAt` at the latest.
  */
-export const limitInheritedLeases = (owner: Owner, overAt: number): void => {
+export const limitInheritedLeases = (
+	owner: Owner,
+	leasesEndAt: number,
+): void => {
 	for (const [id, known] of owner.unresolvedExecutors) {
-		owner.unresolvedExecutors.set(id, Math.min(known, overAt));
+		owner.unresolvedExecutors.set(id, Math.min(known, leasesEndAt));
 	}
 };
 
 /**
- * A task accepted under an earlier owner may run on an executor that has not
- * answered yet; one that this owner has seen is where it was seen.
+ * Whether it is known where a task runs, if at all. A task of an inherited job
+ * may run on an executor that has not answered yet, unless this owner has
+ * already seen a run of it.
  */
 export const isLocationKnown = (owner: Owner, task: Task): boolean =>
 	!task.step.occurrence.job.isInherited ||
 	owner.unresolvedExecutors.size === 0 ||
 	task.lastRun > 0;
 
-const unlistIfUnknown = (owner: Owner, id: string): void => {
+const removeByIdIfUnused = (owner: Owner, id: string): void => {
 	const executor = owner.executors.get(id);
 	if (executor) {
-		forgetIfGone(owner, executor);
+		removeIfUnused(owner, executor);
 	}
 };
 
 /**
- * Frees what lapsed on silent executors, and forgets those that are off the
- * list and empty. Answers the runs freed.
+ * Removes the runs of unresponsive executors whose leases have expired, and
+ * executors that are unlisted and unused. Returns the runs that were removed.
  */
 export const expireLeases = (owner: Owner, now: number): readonly Run[] => {
-	for (const [id, overAt] of owner.unresolvedExecutors) {
-		if (now >= overAt) {
+	for (const [id, leasesEndAt] of owner.unresolvedExecutors) {
+		if (now >= leasesEndAt) {
 			owner.unresolvedExecutors.delete(id);
-			unlistIfUnknown(owner, id);
+			removeByIdIfUnused(owner, id);
 		}
 	}
 
-	const freed: Run[] = [];
+	const removed: Run[] = [];
 	for (const executor of owner.executors.values()) {
 		if (
 			executor.unresponsiveSince !== undefined &&
 			haveLeasesExpired(executor, now)
 		) {
-			// Nothing is assumed of it until it has answered a look again.
+			// Its state is unknown until it answers a poll again.
 			executor.isAdopted = false;
 			executor.hasListedEnds = false;
-			freed.push(...releaseAll(owner, executor));
+			removed.push(...removeAllRuns(owner, executor));
 		} else if (executor.wasUnlisted) {
-			// Kept for what it ran: in the roster, the next owner would wait for it.
-			forgetIfGone(owner, executor);
+			// If it stayed in the roster, the next owner would wait for it.
+			removeIfUnused(owner, executor);
 		}
 	}
 
-	return freed;
+	return removed;
 };
 
-/** Removes jobs that ended so long ago that nobody may ask for them. */
+/** Lists ended jobs past their retention time, at most `most`. */
 export const listExpiredJobs = (
 	owner: Owner,
 	now: number,
 	most: number,
 ): readonly string[] => {
-	const old: string[] = [];
+	const expired: string[] = [];
 	for (const [id, job] of owner.jobs) {
-		if (old.length >= most) {
+		if (expired.length >= most) {
 			break;
 		}
 
-		const isOld =
+		const isExpired =
 			job.storedEnd !== undefined &&
 			job.endedAt !== undefined &&
 			now - job.endedAt > owner.cfg.keepEndedMs;
-		if (isOld && ![...listTasks(job)].some(({runs}) => runs.length > 0)) {
-			old.push(id);
+		if (isExpired && ![...listTasks(job)].some(({runs}) => runs.length > 0)) {
+			expired.push(id);
 		}
 	}
 
-	return old;
+	return expired;
 };
--- a/packages/core/src/scheduler/placement-advice.ts
+++ b/packages/core/src/scheduler/placement-advice.ts
@@ -1,18 +1,19 @@
 /**
- * Advice: on some queues only executors that an advice service names may run a
- * step, each with a ticket. Whom it names does not change; tickets expire.
+ * Placement advice. Steps of some queues may only run on executors that the
+ * advice service names, each with a ticket. The set of named executors does
+ * not change, but tickets expire.
  */
 import type {Executor} from './executor.js';
 import type {Owner, StepAdvice} from './owner-state.js';
 import type {Step} from './task.js';
 
-/** A question to the advice service. */
+/** A request to the advice service. */
 export type AdviceRequest = {
 	readonly stepId: string;
 	readonly executorIds: readonly string[];
 };
 
-/** Its answer: the executors named, with their tickets. */
+/** Answer of the advice service: the named executors with their tickets. */
 export type Advice = {
 	readonly tickets: ReadonlyArray<
 		readonly [executorId: string, ticket: string]
@@ -20,27 +21,24 @@
 	readonly validMs: number;
 };
 
-/**
- * Executors asked about at once: the service takes time for each, and what the
- * users count as usual is thirty.
- */
-const maxAsked = 30;
+/** Limit per request, since the service takes time for each executor. */
+const maxExecutorsPerRequest = 30;
 
-/** Time left at which a ticket is no longer used, in milliseconds. */
+/** A ticket with less time left than this is not used, in milliseconds. */
 const ticketMarginMs = 200;
 
-/** Pause after a question without an answer, in milliseconds. */
+/** Delay after a request without an answer, in milliseconds. */
 const retryMs = 300;
 
-/** Id of a step, unique over all queues. */
+/** Returns the id of a step, unique across queues. */
 export const getStepId = ({occurrence, number}: Step): string =>
 	`${occurrence.job.accepted.id}.${occurrence.number}.${number}`;
 
-/** Whether the queue of a step needs advice. */
+/** Whether the queue of a step requires placement advice. */
 export const needsAdvice = ({occurrence}: Step): boolean =>
 	occurrence.job.accepted.policy.needsAdvice;
 
-const getAdvice = (owner: Owner, step: Step): StepAdvice => {
+const getOrCreateAdvice = (owner: Owner, step: Step): StepAdvice => {
 	const stepId = getStepId(step);
 	const known = owner.advice.get(stepId) ?? {
 		tickets: new Map<string, string>(),
@@ -56,7 +54,7 @@
 const isValid = ({validUntil}: StepAdvice, now: number): boolean =>
 	now + ticketMarginMs < validUntil;
 
-/** The ticket for a step on an executor, if one is valid. */
+/** Returns the valid ticket of a step for an executor, if any. */
 export const findTicket = (
 	owner: Owner,
 	step: Step,
@@ -69,7 +67,7 @@
 		: undefined;
 };
 
-/** Those of the executors that may run a step now. */
+/** Lists those of the given executors that may run a step now. */
 export const listAdvisedExecutors = (
 	owner: Owner,
 	step: Step,
@@ -80,33 +78,38 @@
 		? executors.filter(({id}) => findTicket(owner, step, id, now) !== undefined)
 		: executors;
 
-/** The question that a step needs answered, if any. */
+/**
+ * Returns the next request for a step and marks it as pending; `undefined` if
+ * none is needed now.
+ */
 export const prepareAdviceRequest = (
 	owner: Owner,
 	step: Step,
 	executors: readonly Executor[],
 	now: number,
 ): AdviceRequest | undefined => {
-	const advice = getAdvice(owner, step);
+	const advice = getOrCreateAdvice(owner, step);
 	if (advice.isRequestPending || now < advice.retryAt) {
 		return undefined;
 	}
 
 	const isFresh = isValid(advice, now);
-	const open = executors.filter(
+	const unknown = executors.filter(
 		({id}) =>
 			!advice.rejectedExecutors.has(id) && !(isFresh && advice.tickets.has(id)),
 	);
-	if (open.length === 0) {
+	if (unknown.length === 0) {
 		return undefined;
 	}
 
 	advice.isRequestPending = true;
-	const executorIds = open.slice(0, maxAsked).map(({id}) => id);
+	const executorIds = unknown
+		.slice(0, maxExecutorsPerRequest)
+		.map(({id}) => id);
 	return {stepId: getStepId(step), executorIds};
 };
 
-/** Takes in an answer, or that none came. */
+/** Applies the answer to a request; `undefined` means that there was none. */
 export const applyAdvice = (
 	owner: Owner,
 	request: AdviceRequest,
@@ -138,14 +141,14 @@
 		}
 	}
 
-	// One time for all: the earliest end of any ticket held.
+	// All tickets share the earliest expiry.
 	const validUntil = now + answer.validMs;
 	advice.validUntil = isValid(advice, now)
 		? Math.min(advice.validUntil, validUntil)
 		: validUntil;
 };
 
-/** An executor refused a ticket: it is asked about anew. */
+/** Drops a ticket that an executor refused, so that a new one is requested. */
 export const dropTicket = (
 	owner: Owner,
 	step: Step,
--- a/packages/core/src/scheduler/types.ts
+++ b/packages/core/src/scheduler/types.ts
@@ -1,10 +1,10 @@
 /**
- * What callers ask for and what executors offer, as the scheduler sees it.
- * Times are milliseconds; `now` is the owner's steady clock, times of day are
- * named so.
+ * Types of jobs and executors that the scheduler works on. Times are in
+ * milliseconds: `now` is the owner's monotonic clock, names with `epoch` are
+ * wall-clock times.
  */
 
-/** Room that a task takes or an executor has. */
+/** Resources that a task requires or an executor provides. */
 export type Resources = {
 	/** Thousandths of a processor core. */
 	readonly cpuMillis: number;
@@ -12,78 +12,79 @@
 	readonly accelerators: number;
 };
 
-/** One step of a job: tasks that are alike and may run side by side. */
+/** One step of a job: identical tasks that may run in parallel. */
 export type StepSpec = {
 	readonly count: number;
 	readonly resources: Resources;
-	/** The caller's rough estimate of one task's run time. */
+	/** The caller's estimate of the run time of one task. */
 	readonly estimateMs: number;
-	/** Numbers of earlier steps that must be done first. */
+	/** Numbers of the earlier steps that this step depends on. */
 	readonly after: readonly number[];
 	readonly canCheckpoint: boolean;
-	/** The tasks work only while all of them run, and end together. */
+	/** The tasks start together, make progress only together and end together. */
 	readonly isGang: boolean;
 	readonly needsSameRack: boolean;
-	/** Label that an executor must have. */
+	/** Label that an executor must have to run the tasks. */
 	readonly requiredLabel: string | undefined;
-	/** Rack where the data is; elsewhere a task takes longer. */
+	/** Rack that holds the input data; a task on another rack takes longer. */
 	readonly preferredRack: string | undefined;
-	/** Most tasks of one occurrence on one executor. */
+	/** Maximum number of tasks of one occurrence on one executor. */
 	readonly maxPerExecutor: number | undefined;
 	readonly allowsCopies: boolean;
-	/** Runs until the job is cancelled and is restarted however it ends. */
+	/** The tasks run until the job is cancelled; any that end are restarted. */
 	readonly isLongRunning: boolean;
-	/** Tasks of one image behave alike. */
+	/** Container image; tasks with the same image behave alike. */
 	readonly image: string | undefined;
-	/** Bound on the tail of the task's own response times. */
+	/** Target for the tail latency of the requests that the task serves. */
 	readonly targetTailMs: number | undefined;
-	/** Runs in what other tasks leave unused; its cpu is not counted. */
+	/** The tasks use idle cpu only, so their cpu demand is not counted. */
 	readonly fillsIdleCapacity: boolean;
-	/** Tasks of the step that may be away at once by our doing. */
+	/** Disruption budget: tasks that the owner may have stopped at once. */
 	readonly mayMiss: number | undefined;
 };
 
-/** When the steps of a job run again and again. */
+/** When the occurrences of a recurring job start. */
 export type Schedule = {
+	/** Number of occurrences. */
 	readonly times: number;
-	/** Time of day of the first occurrence, since 1970. */
+	/** Start of the first occurrence, in milliseconds since the Unix epoch. */
 	readonly startAtEpochMs: number;
 	readonly intervalMs: number;
 };
 
 /** A job as submitted. */
 export type JobSpec = {
-	/** Passed to the executor unread. */
+	/** Opaque to the scheduler; passed to the executor unchanged. */
 	readonly payload: string;
 	readonly steps: readonly StepSpec[];
 	readonly schedule: Schedule | undefined;
 };
 
-/** How the jobs of one queue are treated. */
+/** Scheduling policy of a queue. */
 export type QueuePolicy = {
 	readonly queue: string;
-	/** 0 comes first and may preempt others. */
+	/** Lower values go first. */
 	readonly priority: number;
-	/** Failed runs of one task after which its job has failed. */
+	/** Number of failed runs of one task after which its job fails. */
 	readonly maxAttempts: number;
-	/** The objective is this many times the longest chain of work ... */
+	/** The latency objective is `stretch` times the critical path ... */
 	readonly stretch: number;
-	/** ... and so much more, in milliseconds. */
+	/** ... plus this time in milliseconds. */
 	readonly targetLatencyMs: number;
-	/** Only executors that the advice service names may run its tasks. */
+	/** Tasks may only run on executors that the advice service names. */
 	readonly needsAdvice: boolean;
 };
 
-/** A job as it lies in the store. */
+/** A job as stored once it is accepted. */
 export type AcceptedJob = {
 	readonly id: string;
 	readonly policy: QueuePolicy;
 	readonly spec: JobSpec;
-	/** Time of day of the acceptance. */
+	/** Time of acceptance, in milliseconds since the Unix epoch. */
 	readonly acceptedAtEpochMs: number;
 };
 
-/** States that a caller is shown. */
+/** Job states that callers see. */
 export const jobStates = {
 	queued: 'queued',
 	running: 'running',
@@ -92,10 +93,10 @@
 	cancelled: 'cancelled',
 } as const;
 
-/** A state that a caller is shown. */
+/** A job state that callers see. */
 export type JobState = (typeof jobStates)[keyof typeof jobStates];
 
-/** An executor as the registry lists it. One id is one life. */
+/** An executor as the registry lists it. Each incarnation has its own id. */
 export type ListedExecutor = {
 	readonly id: string;
 	readonly service: string;
@@ -104,6 +105,6 @@
 	readonly capacity: Resources;
 	readonly labels: readonly string[];
 	readonly isDraining: boolean;
-	/** Least time left while it drains. */
+	/** Minimum time until a draining executor stops. */
 	readonly remainingMs: number | undefined;
 };
