--- a/packages/core/src/scheduler/evacuation.ts
+++ b/packages/core/src/scheduler/evacuation.ts
@@ -1,42 +1,42 @@
 /**
- * Emptying an executor before its machine is moved or maintained. Short work
- * is waited for, long work that can save itself is stopped, and a lasting task
- * goes only while its step's budget allows it and there is room elsewhere.
+ * Evacuation of an executor before its machine is moved or maintained. Short
+ * runs may finish, long ones that can checkpoint are stopped, and long-running
+ * tasks are stopped only within the disruption budget of their step and if
+ * another executor has room.
  */
 import type {Evacuation, Executor} from './executor.js';
 import type {Owner} from './owner-state.js';
 import {listUsable, placeTask} from './place-task.js';
 import type {Run, Step, Task} from './task.js';
 
-/** Percent at which a lasting task is at work. */
-const atWorkPercent = 100;
+/** Progress at which a long-running task has started up. */
+const readyPercent = 100;
 
-const isAtWork = ({runs}: Task): boolean =>
+const isReady = ({runs}: Task): boolean =>
 	runs.some(
 		({state, percent, mayHaveStopped}) =>
-			state === 'running' && percent >= atWorkPercent && !mayHaveStopped,
+			state === 'running' && percent >= readyPercent && !mayHaveStopped,
 	);
 
-/** Tasks of a step that are away, leaving out one of them. */
-const countOthersAway = (step: Step, task: Task): number =>
-	step.tasks.filter((each) => each !== task && !isAtWork(each)).length;
+/** Counts the tasks of a step that are not ready, apart from `task`. */
+const countOthersNotReady = (step: Step, task: Task): number =>
+	step.tasks.filter((each) => each !== task && !isReady(each)).length;
 
 /**
- * Whether a lasting task may be stopped without overspending its step's
- * budget. A step that names no budget is stopped one task at a time. One that
- * was still starting counts too: what is known of it is up to a second old,
- * and it may be at work by now.
+ * Whether a long-running task may be stopped within the disruption budget of
+ * its step, which defaults to one task. This holds also for a task that was
+ * starting up when last polled, since it may be ready by now.
  */
 export const mayStopLongRunning = (task: Task): boolean =>
-	countOthersAway(task.step, task) < (task.step.spec.mayMiss ?? 1);
+	countOthersNotReady(task.step, task) < (task.step.spec.mayMiss ?? 1);
 
-/** What an executor that is to be emptied still holds. */
+/** Progress of the evacuation of an executor. */
 export type EvacuationState =
 	| {readonly kind: 'clear'}
 	| {readonly kind: 'waiting'; readonly runs: number}
 	| {readonly kind: 'unknown-executor'};
 
-/** Asks for an executor to be emptied, or asks again. */
+/** Requests the evacuation of an executor, or renews the request. */
 export const requestEvacuation = (
 	owner: Owner,
 	executorId: string,
@@ -58,7 +58,7 @@
 		: {kind: 'waiting', runs: executor.runs.size};
 };
 
-/** Ends evacuations that nobody asks for any more. */
+/** Ends evacuations whose request was not renewed. */
 export const expireEvacuations = (owner: Owner, now: number): void => {
 	for (const executor of owner.executors.values()) {
 		if (executor.evacuation && executor.evacuation.validUntil < now) {
@@ -101,9 +101,9 @@
 };
 
 /**
- * Runs of an executor that may be stopped now to empty it, one by one: each
- * must be noted as stopping before the next is asked for, since it spends
- * its step's budget.
+ * Yields the runs to stop now to evacuate an executor. The caller must mark
+ * each run as stopping before it takes the next one, since every stop uses up
+ * disruption budget.
  */
 export function* listEvacuationStops(
 	owner: Owner,
--- a/packages/core/src/scheduler/explain.ts
+++ b/packages/core/src/scheduler/explain.ts
@@ -1,14 +1,14 @@
-/** Why the tasks of a job do not run, in words for an operator. */
+/** Explains to operators why the tasks of a job do or do not run. */
 import {isLocationKnown} from './owner.js';
 import type {Owner} from './owner-state.js';
 import {listUsable, placementRefusals, placeTask} from './place-task.js';
 import {isStepReady, isWaiting, type Job, type Task} from './task.js';
 
-/** Where one task stands. */
+/** State of one task and the reason for it. */
 export type TaskExplanation = {
 	readonly task: string;
 	readonly state: 'done' | 'running' | 'waiting';
-	/** Executor on which it runs, or why it does not. */
+	/** Describes the run, or the reason why there is none. */
 	readonly because: string;
 };
 
@@ -59,7 +59,7 @@
 		: {task: task.id, state: 'running', because: describeRun(task)};
 };
 
-/** Explains each task of the occurrences at hand. */
+/** Explains each task of the loaded occurrences. */
 export const explainJob = (
 	owner: Owner,
 	job: Job,
--- a/packages/core/src/scheduler/owner-overview.ts
+++ b/packages/core/src/scheduler/owner-overview.ts
@@ -1,15 +1,15 @@
-/** Where the work and the executors of a service stand, for its owner's log. */
+/** Summary of the jobs and executors of a service, for the log of its owner. */
 import {getReadiness, type Readiness} from './executor.js';
 import {isLocationKnown} from './owner.js';
 import type {Owner} from './owner-state.js';
 import {isStepReady, isWaiting, listTasks} from './task.js';
 
-/** Counts of one moment. */
+/** Current counts. */
 export type OwnerOverview = {
 	readonly openJobs: number;
-	/** Tasks that may start by their step and do not run. */
+	/** Tasks of ready steps that do not run. */
 	readonly waitingTasks: number;
-	/** Of those, tasks that an earlier owner may have started somewhere. */
+	/** Those of them that an earlier owner may have started somewhere. */
 	readonly tasksOfUnknownPlace: number;
 	readonly runs: number;
 	readonly unresolvedExecutors: number;
@@ -29,7 +29,7 @@
 	return counts;
 };
 
-/** Counts what an owner has at hand. */
+/** Counts the loaded jobs, runs and executors of an owner. */
 export const describeOwner = (owner: Owner, now: number): OwnerOverview => {
 	let waitingTasks = 0;
 	let tasksOfUnknownPlace = 0;
--- a/packages/core/src/scheduler/place-task.ts
+++ b/packages/core/src/scheduler/place-task.ts
@@ -1,4 +1,4 @@
-/** Which executor a task is started on, or why none takes it. */
+/** Selects the executor for a task, or the runs to preempt for it. */
 import {
 	couldHold,
 	getFree,
@@ -10,7 +10,7 @@
 import type {Owner} from './owner-state.js';
 import type {Run, Step, Task} from './task.js';
 
-/** Why a task is not placed, for `explain`. */
+/** Reasons why a task is not placed, as texts for operators. */
 export const placementRefusals = {
 	noExecutor: 'no executor of the service may take work now',
 	tooLarge: 'no executor is large enough or has the label',
@@ -18,10 +18,10 @@
 	noRoom: 'all executors that fit are full',
 } as const;
 
-/** Why a task is not placed. */
+/** Reason why a task is not placed. */
 export type PlacementRefusal = keyof typeof placementRefusals;
 
-/** Where a task goes, or why nowhere. */
+/** The executor selected for a task, or the reason why there is none. */
 export type Placement =
 	| {readonly kind: 'placed'; readonly executor: Executor}
 	| {readonly kind: 'refused'; readonly reason: PlacementRefusal};
@@ -35,7 +35,7 @@
 	return count;
 };
 
-/** Whether the step may have one more task there. */
+/** Whether `maxPerExecutor` of a step allows another task on an executor. */
 export const maySpreadTo = (step: Step, executor: Executor): boolean => {
 	const {maxPerExecutor} = step.spec;
 	return (
@@ -45,15 +45,15 @@
 };
 
 /**
- * Weights of the wishes that a placement may have; larger goes first. Work is
- * packed, so that executors fall idle and their machines can leave the pool.
+ * Weights of the placement preferences. Tasks are packed onto busy executors,
+ * so that others become idle and their machines can leave the pool.
  */
 const weights = {
-	/** A task that failed there may fail there again. */
+	/** The task has not failed there before. */
 	notWhereItFailed: 4,
-	/** Elsewhere the task takes longer by the platform's penalty. */
+	/** The executor is on the rack that holds the task's data. */
 	preferredRack: 2,
-	/** Used share of the executor's processors, from 0 to 1. */
+	/** Used share of the executor's cpu, from 0 to 1. */
 	usedShare: 1,
 } as const;
 
@@ -62,12 +62,12 @@
 	const free = getFree(executor);
 	const usedShare =
 		1 - free.cpuMillis / Math.max(1, executor.listed.capacity.cpuMillis);
-	const isNear =
+	const isOnPreferredRack =
 		spec.preferredRack !== undefined &&
 		getRack(executor) === spec.preferredRack;
 	return (
 		(task.failedOn === executor.id ? 0 : weights.notWhereItFailed) +
-		(isNear ? weights.preferredRack : 0) +
+		(isOnPreferredRack ? weights.preferredRack : 0) +
 		usedShare * weights.usedShare
 	);
 };
@@ -87,7 +87,7 @@
 	return best?.executor;
 };
 
-/** Chooses an executor for a task among those given. */
+/** Selects one of the given executors for a task. */
 export const placeTask = (
 	executors: readonly Executor[],
 	task: Task,
@@ -97,18 +97,18 @@
 		return {kind: 'refused', reason: 'noExecutor'};
 	}
 
-	const large = executors.filter((each) => couldHold(each, step));
-	if (large.length === 0) {
+	const capable = executors.filter((each) => couldHold(each, step));
+	if (capable.length === 0) {
 		return {kind: 'refused', reason: 'tooLarge'};
 	}
 
-	const spread = large.filter((each) => maySpreadTo(step, each));
-	if (spread.length === 0) {
+	const allowed = capable.filter((each) => maySpreadTo(step, each));
+	if (allowed.length === 0) {
 		return {kind: 'refused', reason: 'spread'};
 	}
 
 	const best = pickBest(
-		spread.filter((each) => hasRoom(each, step)),
+		allowed.filter((each) => hasRoom(each, step)),
 		task,
 	);
 	return best
@@ -116,15 +116,15 @@
 		: {kind: 'refused', reason: 'noRoom'};
 };
 
-/** Executors that may be given work now. */
+/** Lists the executors that may be given work now. */
 export const listUsable = (owner: Owner, now: number): readonly Executor[] =>
 	[...owner.executors.values()].filter((each) => isUsable(each, now));
 
 const isPreemptible = ({task, state}: Run): boolean =>
 	state === 'running' && !task.step.spec.isLongRunning;
 
-/** Runs to stop so that a task fits, with the work that is lost. */
-type Eviction = {readonly runs: readonly Run[]; readonly lost: number};
+/** Runs to stop so that a task fits, and the work lost with them. */
+type Eviction = {readonly runs: readonly Run[]; readonly lostWork: number};
 
 const findEvictionOn = (
 	executor: Executor,
@@ -133,30 +133,30 @@
 	const free = getFree(executor);
 	let {cpuMillis} = free;
 	let {memoryMb} = free;
-	let lost = 0;
+	let lostWork = 0;
 	const runs: Run[] = [];
-	const wanted = step.spec.resources;
+	const demand = step.spec.resources;
 	const candidates = [...executor.runs.values()]
 		.filter((each) => isPreemptible(each))
 		.toSorted((one, two) => one.percent - two.percent);
 	for (const run of candidates) {
-		if (cpuMillis >= wanted.cpuMillis && memoryMb >= wanted.memoryMb) {
+		if (cpuMillis >= demand.cpuMillis && memoryMb >= demand.memoryMb) {
 			break;
 		}
 
 		const {resources} = run.task.step.spec;
 		cpuMillis += resources.cpuMillis;
 		memoryMb += resources.memoryMb;
-		lost += resources.cpuMillis * run.percent;
+		lostWork += resources.cpuMillis * run.percent;
 		runs.push(run);
 	}
 
-	return cpuMillis >= wanted.cpuMillis && memoryMb >= wanted.memoryMb
-		? {runs, lost}
+	return cpuMillis >= demand.cpuMillis && memoryMb >= demand.memoryMb
+		? {runs, lostWork}
 		: undefined;
 };
 
-/** The runs whose stop makes room for a task at the least loss of work. */
+/** Lists the runs to stop to make room for a task with the least lost work. */
 export const findEviction = (
 	executors: readonly Executor[],
 	{step}: Task,
@@ -167,13 +167,13 @@
 			continue;
 		}
 
-		// Room is on its way where something is being stopped already.
+		// A run that is already being stopped will free resources.
 		if ([...executor.runs.values()].some(({state}) => state === 'stopping')) {
 			return [];
 		}
 
 		const eviction = findEvictionOn(executor, step);
-		if (eviction && (!best || eviction.lost < best.lost)) {
+		if (eviction && (!best || eviction.lostWork < best.lostWork)) {
 			best = eviction;
 		}
 	}
--- a/packages/core/src/scheduler/plan.ts
+++ b/packages/core/src/scheduler/plan.ts
@@ -1,4 +1,4 @@
-/** What the owner of a service orders next. */
+/** Plans the next commands of the owner of a service. */
 import {
 	findTicket,
 	listAdvisedExecutors,
@@ -38,7 +38,7 @@
 	type Task,
 } from './task.js';
 
-/** Why a run is stopped. */
+/** Reason for which a run is stopped. */
 export type StopReason =
 	| 'job-ended'
 	| 'task-done'
@@ -49,7 +49,7 @@
 	| 'preempted'
 	| 'executor-draining';
 
-/** An order to an executor. */
+/** A command to an executor, or a request for placement advice. */
 export type Command =
 	| {
 			readonly kind: 'start';
@@ -67,12 +67,12 @@
 	  }
 	| ({readonly kind: 'advise'} & AdviceRequest);
 
-type StartOrder = Extract<Command, {readonly kind: 'start'}>;
+type StartCommand = Extract<Command, {readonly kind: 'start'}>;
 
-/** Room for so many runs of one task under one owner. */
+/** Range of run numbers of one owner, by its fencing token. */
 const runsPerToken = 10_000;
 
-/** Numbers rise over all owners of a task, since fencing tokens do. */
+/** Run numbers grow across owners, since fencing tokens do. */
 const nextRunNumber = (owner: Owner, task: Task): number =>
 	Math.max(task.lastRun, owner.token * runsPerToken) + 1;
 
@@ -140,21 +140,21 @@
 const isStoppable = ({state}: Run): boolean =>
 	state === 'running' || state === 'unsettled';
 
-const leavesSoon = ({listed}: Executor, run: Run): boolean =>
+const mayLeaveDraining = ({listed}: Executor, run: Run): boolean =>
 	listed.isDraining &&
 	run.task.step.spec.isLongRunning &&
 	mayStopLongRunning(run.task);
 
 const planStops = (owner: Owner, now: number): readonly Command[] => {
-	const orders: Command[] = [];
-	const add = (order: Command | undefined) => {
-		if (order) {
-			orders.push(order);
+	const commands: Command[] = [];
+	const add = (command: Command | undefined) => {
+		if (command) {
+			commands.push(command);
 		}
 	};
 
 	for (const executor of owner.executors.values()) {
-		// A silent executor is asked again once it has answered a look.
+		// Stops for an unresponsive executor wait until it answers a poll.
 		if (executor.unresponsiveSince !== undefined) {
 			continue;
 		}
@@ -171,23 +171,23 @@
 		}
 
 		for (const run of executor.runs.values()) {
-			if (isStoppable(run) && leavesSoon(executor, run)) {
+			if (isStoppable(run) && mayLeaveDraining(executor, run)) {
 				add(stopRun(executor, run, 'executor-draining'));
 			}
 		}
 	}
 
-	return orders;
+	return commands;
 };
 
 type Planning = {
 	readonly owner: Owner;
 	readonly now: number;
 	readonly usable: readonly Executor[];
-	readonly orders: Command[];
-	/** What no usable executor has room for any more. */
-	readonly full: RejectedDemands;
-	/** Starts that may still be ordered, by the owner's window. */
+	readonly commands: Command[];
+	/** Demands that fit on none of the usable executors. */
+	readonly rejected: RejectedDemands;
+	/** Number of starts that the start window still allows. */
 	startsLeft: number;
 };
 
@@ -196,7 +196,7 @@
 	executor: Executor,
 	task: Task,
 	number: number,
-): StartOrder | undefined => {
+): StartCommand | undefined => {
 	const {owner, now} = planning;
 	const leaseEndMs = grantLease(executor, owner.cfg.taskLeaseMs, now);
 	if (leaseEndMs === undefined) {
@@ -213,19 +213,19 @@
 	return {kind: 'start', executor, run, leaseEndMs, ticket};
 };
 
-const evictFor = ({usable, orders}: Planning, task: Task): void => {
+const evictFor = ({usable, commands}: Planning, task: Task): void => {
 	for (const run of findEviction(usable, task)) {
 		const executor = usable.find(({id}) => id === run.executorId);
-		const order = executor && stopRun(executor, run, 'preempted');
-		if (order) {
-			orders.push(order);
+		const command = executor && stopRun(executor, run, 'preempted');
+		if (command) {
+			commands.push(command);
 		}
 	}
 };
 
-/** Executors that may run a step; asks for advice where some are unknown. */
+/** Lists the executors that may run a step; requests missing advice. */
 const listStepExecutors = (
-	{owner, now, usable, orders}: Planning,
+	{owner, now, usable, commands}: Planning,
 	step: Step,
 ): readonly Executor[] => {
 	if (!needsAdvice(step) || !step.tasks.some((task) => isWaiting(task))) {
@@ -234,17 +234,17 @@
 
 	const request = prepareAdviceRequest(owner, step, usable, now);
 	if (request) {
-		orders.push({kind: 'advise', ...request});
+		commands.push({kind: 'advise', ...request});
 	}
 
 	return listAdvisedExecutors(owner, step, usable, now);
 };
 
-/** Starts what it can of a step, until the executors are full for it. */
+/** Starts tasks of a step until one cannot be placed. */
 const planStep = (planning: Planning, step: Step): void => {
-	const {owner, orders, full} = planning;
-	const isLasting = step.spec.isLongRunning;
-	if (!isLasting && isKnownNotToFit(full, step)) {
+	const {owner, commands, rejected} = planning;
+	const isLongRunningStep = step.spec.isLongRunning;
+	if (!isLongRunningStep && isKnownNotToFit(rejected, step)) {
 		return;
 	}
 
@@ -260,18 +260,18 @@
 
 		const placement = placeTask(usable, task);
 		if (placement.kind === 'refused') {
-			if (placement.reason === 'noRoom' && isLasting) {
+			if (placement.reason === 'noRoom' && isLongRunningStep) {
 				evictFor(planning, task);
 			}
 
-			recordRejectedDemand(full, planning.usable, step);
+			recordRejectedDemand(rejected, planning.usable, step);
 			return;
 		}
 
 		const number = nextRunNumber(owner, task);
-		const order = startTask(planning, placement.executor, task, number);
-		if (order) {
-			orders.push(order);
+		const command = startTask(planning, placement.executor, task, number);
+		if (command) {
+			commands.push(command);
 		}
 	}
 };
@@ -292,10 +292,10 @@
 ): ReadonlyArray<readonly Executor[]> =>
 	step.spec.needsSameRack ? [...groupByRack(usable), usable] : [usable];
 
-/** Starts all tasks of a gang with one run number, or none. */
+/** Starts all tasks of a gang under one run number, or none of them. */
 const planGang = (planning: Planning, step: Step): void => {
-	const {owner, orders, full} = planning;
-	if (isKnownNotToFit(full, step) || !isGangReady(owner, step)) {
+	const {owner, commands, rejected} = planning;
+	if (isKnownNotToFit(rejected, step) || !isGangReady(owner, step)) {
 		return;
 	}
 
@@ -304,22 +304,22 @@
 	);
 	const advised = listStepExecutors(planning, step);
 	for (const group of listRackGroups(advised, step)) {
-		const started: StartOrder[] = [];
+		const started: StartCommand[] = [];
 		for (const task of step.tasks) {
 			const placement = placeTask(group, task);
-			const order =
+			const command =
 				placement.kind === 'placed'
 					? startTask(planning, placement.executor, task, number)
 					: undefined;
-			if (!order) {
+			if (!command) {
 				break;
 			}
 
-			started.push(order);
+			started.push(command);
 		}
 
 		if (started.length === step.tasks.length) {
-			orders.push(...started);
+			commands.push(...started);
 			return;
 		}
 
@@ -347,7 +347,7 @@
 	}
 };
 
-/** Starts that have been ordered and not answered. */
+/** Counts the starts that were sent and not answered yet. */
 const countAsked = ({executors}: Owner): number => {
 	let count = 0;
 	for (const {runs} of executors.values()) {
@@ -359,7 +359,7 @@
 	return count;
 };
 
-/** Plans the orders of this moment; runs are noted as asked for. */
+/** Plans the commands to send now and records the runs that they concern. */
 export const planCommands = (
 	owner: Owner,
 	now: number,
@@ -368,17 +368,17 @@
 	expireEvacuations(owner, now);
 	const stops = planStops(owner, now);
 	const usable = listUsable(owner, now);
-	const full = createRejectedDemands();
+	const rejected = createRejectedDemands();
 	const planning: Planning = {
 		owner,
 		now,
 		usable,
-		orders: [...stops],
-		full,
+		commands: [...stops],
+		rejected,
 		startsLeft: countAvailableStarts(owner.startWindow, countAsked(owner)),
 	};
 	if (usable.length === 0 || planning.startsLeft === 0) {
-		return planning.orders;
+		return planning.commands;
 	}
 
 	for (const ranked of rankJobs(owner, epochNow)) {
@@ -389,5 +389,5 @@
 		planJob(planning, ranked);
 	}
 
-	return planning.orders;
+	return planning.commands;
 };
--- a/packages/core/src/scheduler/progress.ts
+++ b/packages/core/src/scheduler/progress.ts
@@ -1,6 +1,6 @@
 /**
- * The progress of a job as its owner stores it: what has ended, never what
- * runs. A new owner learns what runs from the executors themselves.
+ * Progress of a job as its owner stores it. It covers what has ended; a new
+ * owner learns from the executors what runs.
  */
 import {
 	addOccurrence,
@@ -14,25 +14,25 @@
 	type Task,
 } from './task.js';
 
-/** What is kept of a task that is not simply untouched or done. */
+/** Stored state of a task that is not done and has failures or a checkpoint. */
 export type TaskProgress = {
 	readonly failures: number;
-	/** Absent in rows of an older form. */
+	/** Absent in rows of the older format. */
 	readonly failedRuns?: readonly number[] | undefined;
 	readonly checkpoint?: string | undefined;
-	/** Absent in rows of an older form. */
+	/** Absent in rows of the older format. */
 	readonly checkpointRun?: number | undefined;
 };
 
-/** What is kept of one occurrence at hand. */
+/** Stored state of an occurrence that is not done. */
 export type OccurrenceProgress = {
 	readonly number: number;
-	/** For each step a character a task: 1 is done, 0 is not. */
+	/** One string per step with one digit per task: 1 if done, else 0. */
 	readonly done: readonly string[];
 	readonly tasks: Readonly<Record<string, TaskProgress>>;
 };
 
-/** The row of a job's progress. */
+/** Value of the row that stores the progress of a job. */
 export type JobProgress = {
 	readonly end?: JobEnd | undefined;
 	readonly doneOccurrences: number;
@@ -64,7 +64,7 @@
 	return Object.fromEntries(entries);
 };
 
-/** The progress of a job now. An ended job needs no detail. */
+/** Encodes the progress of a job; that of an ended job has no occurrences. */
 export const encodeProgress = (job: Job): JobProgress => ({
 	end: job.end,
 	doneOccurrences: job.doneOccurrences,
@@ -80,8 +80,11 @@
 			})),
 });
 
-/** Rows of an older form give each member of a gang its own. */
-const levelGang = ({tasks}: Step): void => {
+/**
+ * Gives all members of a gang one checkpoint and failure count: in rows of the
+ * older format each has its own.
+ */
+const unifyGang = ({tasks}: Step): void => {
 	const [latest] = tasks
 		.filter(({checkpoint}) => checkpoint)
 		.toSorted((one, two) => two.checkpointRun - one.checkpointRun);
@@ -99,31 +102,31 @@
 	const occurrence = job.occurrences.get(progress.number);
 	for (const step of occurrence?.steps ?? []) {
 		for (const task of step.tasks) {
-			const kept = progress.tasks[task.id];
-			task.failures = kept?.failures ?? 0;
-			task.failedRuns = kept?.failedRuns ?? [];
-			task.checkpoint = kept?.checkpoint;
-			task.checkpointRun = kept?.checkpointRun ?? 0;
+			const stored = progress.tasks[task.id];
+			task.failures = stored?.failures ?? 0;
+			task.failedRuns = stored?.failedRuns ?? [];
+			task.checkpoint = stored?.checkpoint;
+			task.checkpointRun = stored?.checkpointRun ?? 0;
 			if (progress.done[step.number]?.[task.index] === '1') {
 				markDone(task);
 			}
 		}
 
 		if (step.spec.isGang) {
-			levelGang(step);
+			unifyGang(step);
 		}
 	}
 };
 
-/** Whether a run of it has ended or saved its work. */
-const hasBegun = ({doneOccurrences, occurrences}: JobProgress): boolean =>
+/** Whether any task of the job is done, has failed or has a checkpoint. */
+const hasStarted = ({doneOccurrences, occurrences}: JobProgress): boolean =>
 	doneOccurrences > 0 ||
 	occurrences.some(
 		({done, tasks}) =>
 			Object.keys(tasks).length > 0 || done.some((each) => each.includes('1')),
 	);
 
-/** Brings a job just created to the progress that was stored. */
+/** Applies stored progress to a job that was just created. */
 export const applyProgress = (
 	job: Job,
 	progress: JobProgress,
@@ -132,7 +135,7 @@
 	job.end = progress.end;
 	job.storedEnd = progress.end;
 	job.endedAt = progress.end ? now : undefined;
-	const known = new Map(
+	const stored = new Map(
 		progress.occurrences.map((each) => [each.number, each]),
 	);
 	while (
@@ -141,16 +144,16 @@
 			Math.min(progress.nextOccurrence, countOccurrences(job))
 	) {
 		const {number} = addOccurrence(job);
-		const kept = known.get(number);
-		if (kept) {
-			applyOccurrence(job, kept);
+		const occurrence = stored.get(number);
+		if (occurrence) {
+			applyOccurrence(job, occurrence);
 		} else {
-			// Begun and no longer held: it was done as a whole.
+			// An occurrence that was added and is not stored is done.
 			job.occurrences.delete(number);
 		}
 	}
 
 	job.doneOccurrences = progress.doneOccurrences;
 	job.nextOccurrence = progress.nextOccurrence;
-	job.hasStarted ||= hasBegun(progress);
+	job.hasStarted ||= hasStarted(progress);
 };
--- a/packages/core/src/scheduler/rank.ts
+++ b/packages/core/src/scheduler/rank.ts
@@ -1,30 +1,30 @@
 /**
- * Order of the jobs of one service. What can still meet its objective goes
- * before what is late, and among those the job with the most value for the
- * work that is left. Source: docs/design/platform-programs.md.
+ * Ranks the jobs of one service. Jobs that can still meet their objective go
+ * before late ones; then jobs are ordered by priority and by value per unit of
+ * remaining work. Source: docs/design/platform-programs.md.
  */
 import type {Owner} from './owner-state.js';
 import {isLongRunningJob, type Job, type Step, type Task} from './task.js';
 import type {AcceptedJob} from './types.js';
 
-/** Times the objective up to which a late answer is still worth something. */
+/** A late job loses its value after this multiple of its objective. */
 const lateUntilFactor = 3;
 
-/** Value of a job that does not depend on its size, as a share. */
+/** Share of a job's value that does not depend on its size. */
 const fixedValueShare = 0.3;
 
-/** Where a job stands against its objective. */
+/** Whether a job is expected to meet its objective. */
 type Timeliness = 'lasting' | 'in-time' | 'late' | 'worthless';
 
-const standingOrder: Readonly<Record<Timeliness, number>> = {
+const timelinessOrder: Readonly<Record<Timeliness, number>> = {
 	lasting: 0,
 	'in-time': 1,
 	late: 2,
 	worthless: 3,
 };
 
-/** Longest chain of estimated run time through the given steps. */
-const getChainMs = (
+/** Length of the critical path through the given steps. */
+const getPathMs = (
 	steps: ReadonlyArray<Pick<Step, 'spec'>>,
 	getMs: (number: number) => number,
 ): number => {
@@ -37,30 +37,30 @@
 	return Math.max(0, ...ends);
 };
 
-const whollyDone = 100;
+const donePercent = 100;
 
 const getPercent = ({isDone, runs}: Task): number =>
-	isDone ? whollyDone : Math.max(0, ...runs.map(({percent}) => percent));
+	isDone ? donePercent : Math.max(0, ...runs.map(({percent}) => percent));
 
 /** Estimated time until the last task of a step has ended. */
-const getStepRestMs = ({spec, tasks}: Step): number => {
-	const least = Math.min(whollyDone, ...tasks.map((task) => getPercent(task)));
-	return spec.estimateMs * (1 - least / whollyDone);
+const getRemainingStepMs = ({spec, tasks}: Step): number => {
+	const least = Math.min(donePercent, ...tasks.map((task) => getPercent(task)));
+	return spec.estimateMs * (1 - least / donePercent);
 };
 
-/** Estimated time that the occurrence in hand still takes, in milliseconds. */
+/** Remaining critical path of the first loaded occurrence, in milliseconds. */
 export const getRemainingCriticalPathMs = (job: Job): number => {
 	const [occurrence] = job.occurrences.values();
 	const steps = occurrence?.steps ?? [];
-	return getChainMs(steps, (number) => {
+	return getPathMs(steps, (number) => {
 		const step = steps[number];
-		return step ? getStepRestMs(step) : 0;
+		return step ? getRemainingStepMs(step) : 0;
 	});
 };
 
-/** Estimated time of the longest chain of steps, in milliseconds. */
+/** Critical path through the steps of a job by its estimates, in milliseconds. */
 export const getCriticalPathMs = ({spec: {steps}}: AcceptedJob): number =>
-	getChainMs(
+	getPathMs(
 		steps.map((each) => ({spec: each})),
 		(number) => steps[number]?.estimateMs ?? 0,
 	);
@@ -69,10 +69,10 @@
 	accepted.policy.stretch * getCriticalPathMs(accepted) +
 	accepted.policy.targetLatencyMs;
 
-/** Never changes, and is asked for each open job in each plan. */
+/** Cache: the objective of a job never changes, and every plan needs it. */
 const objectives = new WeakMap<AcceptedJob, number>();
 
-/** Time within which a job is wanted, from its acceptance. */
+/** Returns the latency objective of a job, in milliseconds. */
 export const getObjectiveMs = ({accepted}: Job): number => {
 	const known = objectives.get(accepted) ?? computeObjectiveMs(accepted);
 	objectives.set(accepted, known);
@@ -85,7 +85,7 @@
 			number * accepted.spec.schedule.intervalMs
 		: accepted.acceptedAtEpochMs;
 
-const getStanding = (job: Job, epochNow: number): Timeliness => {
+const getTimeliness = (job: Job, epochNow: number): Timeliness => {
 	if (isLongRunningJob(job)) {
 		return 'lasting';
 	}
@@ -103,13 +103,13 @@
 	return expected <= objective * lateUntilFactor ? 'late' : 'worthless';
 };
 
-/** Whether a job can't meet its objective any more, by the estimates. */
+/** Whether a job can no longer meet its objective, by the estimates. */
 export const isLate = (job: Job, epochNow: number): boolean => {
-	const standing = getStanding(job, epochNow);
-	return standing === 'late' || standing === 'worthless';
+	const timeliness = getTimeliness(job, epochNow);
+	return timeliness === 'late' || timeliness === 'worthless';
 };
 
-/** Work left for each unit of value; less is better. */
+/** Remaining work per unit of value; lower is better. */
 const getWorkPerValue = (owner: Owner, job: Job): number => {
 	const mean = owner.meanWork.get(job.accepted.policy.queue);
 	const meanWork = mean && mean.count > 0 ? mean.sum / mean.count : 1;
@@ -118,7 +118,7 @@
 	return job.remainingWork / value;
 };
 
-/** One job in the order of work. */
+/** A job with the criteria by which it is ranked. */
 export type RankedJob = {
 	readonly job: Job;
 	readonly timeliness: Timeliness;
@@ -129,14 +129,14 @@
 	const first = one.job.accepted.policy;
 	const second = two.job.accepted.policy;
 	return (
-		standingOrder[one.timeliness] - standingOrder[two.timeliness] ||
+		timelinessOrder[one.timeliness] - timelinessOrder[two.timeliness] ||
 		first.priority - second.priority ||
 		one.workPerValue - two.workPerValue ||
 		one.job.accepted.acceptedAtEpochMs - two.job.accepted.acceptedAtEpochMs
 	);
 };
 
-/** Open jobs, the one to serve first in front. */
+/** Lists the open jobs, the one to serve first in front. */
 export const rankJobs = (
 	owner: Owner,
 	epochNow: number,
@@ -144,7 +144,7 @@
 	[...owner.openJobs]
 		.map((job) => ({
 			job,
-			timeliness: getStanding(job, epochNow),
+			timeliness: getTimeliness(job, epochNow),
 			workPerValue: getWorkPerValue(owner, job),
 		}))
 		.toSorted(compare);
--- a/packages/core/src/scheduler/rejected-demands.ts
+++ b/packages/core/src/scheduler/rejected-demands.ts
@@ -1,18 +1,16 @@
 /**
- * What the executors are full for, during one plan. Room only shrinks while a
- * plan is made, so that a step which asks for as much as one that found no
- * room, or more, finds none either and need not be tried. Without it each plan
- * asked all executors for every job that waits: 41,640 questions a plan with
- * 1,100 jobs and 20 executors, in place of some 2,600.
+ * Resource demands that fit on no executor in the current plan. Free resources
+ * only shrink while a plan is made, so a step that demands at least as much
+ * cannot fit either. This spares checking every executor for every waiting job.
  */
 import {getDemand, hasRoom, type Executor} from './executor.js';
 import type {Step} from './task.js';
 import type {Resources} from './types.js';
 
-/** The least demands known to find no room. */
+/** The smallest demands that are known not to fit. */
 export type RejectedDemands = {demands: readonly Resources[]};
 
-/** Nothing is known yet. */
+/** Creates an empty set of demands. */
 export const createRejectedDemands = (): RejectedDemands => ({demands: []});
 
 const isAtLeast = (one: Resources, two: Resources): boolean =>
@@ -20,34 +18,35 @@
 	one.memoryMb >= two.memoryMb &&
 	one.accelerators >= two.accelerators;
 
-/** Whether a task of a step certainly finds no room in this plan. */
+/** Whether no executor has room for a task of a step in this plan. */
 export const isKnownNotToFit = (
 	{demands}: RejectedDemands,
 	step: Step,
 ): boolean => {
-	const wanted = getDemand(step);
-	return demands.some((each) => isAtLeast(wanted, each));
+	const demand = getDemand(step);
+	return demands.some((each) => isAtLeast(demand, each));
 };
 
 /**
- * Notes that a step was refused. Only want of room counts for others: a label,
- * the spread of a step or advice keep other steps from nothing.
+ * Records the demand of a step that was not placed. Does nothing if some
+ * executor has room for it: then a label, the spread of the step or placement
+ * advice was the reason, which says nothing about other steps.
  */
 export const recordRejectedDemand = (
-	full: RejectedDemands,
+	rejected: RejectedDemands,
 	usable: readonly Executor[],
 	step: Step,
 ): void => {
 	if (
-		isKnownNotToFit(full, step) ||
+		isKnownNotToFit(rejected, step) ||
 		usable.some((each) => hasRoom(each, step))
 	) {
 		return;
 	}
 
-	const wanted = getDemand(step);
-	full.demands = [
-		...full.demands.filter((each) => !isAtLeast(each, wanted)),
-		wanted,
+	const demand = getDemand(step);
+	rejected.demands = [
+		...rejected.demands.filter((each) => !isAtLeast(each, demand)),
+		demand,
 	];
 };
--- a/packages/core/src/scheduler/remote-clock.ts
+++ b/packages/core/src/scheduler/remote-clock.ts
@@ -1,22 +1,22 @@
 /**
- * The steady clock of an executor, seen from here. Leases end by that clock;
- * it may run slower than ours by `maxSlowdown`.
+ * Estimates the monotonic clock of an executor. Leases expire by that clock,
+ * which may run slower than the local one by `maxClockDrift`.
  */
 
-/** A reading of the clock and when it arrived, by the own steady clock. */
+/** A reading of the remote clock and its time of arrival by the local clock. */
 export type RemoteClock = {
 	readonly reportedMs: number;
 	readonly receivedAt: number;
 };
 
-/** Rate error of an executor's clock; origin: the platform's statement. */
+/** Maximum rate error of an executor's clock, as the platform states it. */
 export const maxClockDrift = 0.02;
 
-/** What the clock shows now; ahead of the truth by its slowness at most. */
+/** Estimates the remote time now; ahead of it by at most the clock drift. */
 export const estimateRemoteTime = (clock: RemoteClock, now: number): number =>
 	clock.reportedMs + (now - clock.receivedAt);
 
-/** Whether the clock has certainly passed a time. */
+/** Whether the remote clock has certainly passed a time. */
 export const isCertainlyPast = (
 	clock: RemoteClock,
 	remoteMs: number,
@@ -26,7 +26,7 @@
 	return clock.reportedMs + elapsed > remoteMs;
 };
 
-/** The later of two readings; answers may overtake one another. */
+/** Returns the later of two readings, since answers may arrive out of order. */
 export const pickLatestReading = (
 	known: RemoteClock | undefined,
 	read: RemoteClock,
--- a/packages/core/src/scheduler/service-load.ts
+++ b/packages/core/src/scheduler/service-load.ts
@@ -1,4 +1,4 @@
-/** How much the queues of a service ask for, for the sizes of its pool. */
+/** Load of a service, from which the size of its pool is decided. */
 import {getDemand, type Executor} from './executor.js';
 import type {Arrivals, Owner} from './owner-state.js';
 import {listUsable} from './place-task.js';
@@ -8,61 +8,61 @@
 /** Load of one executor. */
 export type ExecutorLoad = {
 	readonly runs: number;
-	/** Runs of tasks that last. */
+	/** Runs of long-running tasks. */
 	readonly lasting: number;
 	readonly usedCpu: number;
 };
 
-/** The part of a load that is of late jobs; cpu in thousandths of a core. */
+/** Load of jobs that miss their objective; cpu in thousandths of a core. */
 export type LateLoad = {
 	readonly waitingCpu: number;
 	readonly usedCpu: number;
-	/** Work that is left, in cpu-milliseconds. */
+	/** Remaining work, in cpu-milliseconds. */
 	readonly work: number;
 };
 
 /** Load of a service; cpu in thousandths of a core. */
 export type ServiceLoad = {
-	/** Of the tasks that wait and may start. */
+	/** Demand of the tasks that wait and are ready to start. */
 	readonly waitingCpu: number;
-	/** Of what runs. */
+	/** Demand of the runs. */
 	readonly usedCpu: number;
 	/**
-	 * Of both, what is of jobs that can't meet their objective any more; owners
-	 * of older releases do not tell it.
+	 * The part of both that belongs to jobs that can no longer meet their
+	 * objective; absent from owners of older releases.
 	 */
 	readonly late?: LateLoad;
-	/** Of all executors that may take work. */
+	/** Capacity of all executors that may be given work. */
 	readonly capacityCpu: number;
-	/** Work handed in lately, as the cores that it keeps busy. */
+	/** Recently submitted work, as the number of cores that it keeps busy. */
 	readonly arrivingCpu: number;
-	/** Executors that its open steps need because their tasks must be apart. */
+	/** Executors needed to satisfy `maxPerExecutor` of the loaded steps. */
 	readonly minExecutors: number;
 	readonly executors: Readonly<Record<string, ExecutorLoad>>;
-	/** Executors that leave calls unanswered, with the time since then. */
+	/** Unresponsive executors, with the milliseconds since they became so. */
 	readonly silent: Readonly<Record<string, number>>;
 };
 
 /**
- * Time constant of the weights, in milliseconds: long enough to even out
- * single jobs, short enough to see a rise within a second.
+ * Time constant of the exponential decay, in milliseconds: long enough to
+ * smooth out single jobs, short enough to show a rise within a second.
  */
 const arrivalWindowMs = 1200;
 
-/** No work yet. */
+/** Arrivals of a new owner. */
 export const noArrivals: Arrivals = {work: 0, at: 0};
 
 const decay = ({work, at}: Arrivals, now: number): number =>
 	work * Math.exp(-Math.max(0, now - at) / arrivalWindowMs);
 
-/** Notes work that came in. */
+/** Adds newly submitted work. */
 export const recordArrival = (
 	arrivals: Arrivals,
 	work: number,
 	now: number,
 ): Arrivals => ({work: decay(arrivals, now) + work, at: now});
 
-/** Cores that the work of the last while keeps busy, in thousandths. */
+/** Cpu that recently submitted work keeps busy, in thousandths of a core. */
 export const getArrivingCpu = (arrivals: Arrivals, now: number): number =>
 	decay(arrivals, now) / arrivalWindowMs;
 
@@ -128,7 +128,7 @@
 	};
 };
 
-/** Describes the load of a service now. */
+/** Returns the current load of a service. */
 export const describeLoad = (
 	owner: Owner,
 	now: number,
--- a/packages/core/src/scheduler/start-window.ts
+++ b/packages/core/src/scheduler/start-window.ts
@@ -1,66 +1,61 @@
 /**
- * How many starts an owner may have under way at once. All its calls share one
- * processor and one link; what is sent beyond their rate only waits there, and
- * a start that waits longer than its caller does is sent in vain. The window
- * shrinks while most answers come late and grows while they come in time, as
- * in TCP's congestion control (Jacobson, 1988).
+ * Limits the number of start commands that an owner has in flight. All its
+ * calls share one cpu and one link: starts beyond their capacity queue up there
+ * and time out. The window shrinks while most answers are late and grows while
+ * they are in time, as in TCP congestion control (Jacobson, 1988).
  */
 
-/** A window and what it has seen. */
+/** The window and the statistics that adjust it. */
 export type StartWindow = {
-	/** Starts that may be under way. */
+	/** Maximum number of starts in flight. */
 	readonly size: number;
-	/** Share of late answers, later ones weighing more. */
+	/** Moving average of the share of late answers. */
 	readonly lateShare: number;
-	/** Answers to starts that were sent earlier tell nothing new. */
+	/** When the window was last reduced; earlier starts do not reduce it again. */
 	readonly reducedAt: number;
-	/** How long answers take of late, in milliseconds. */
+	/** Moving average of the answer time, in milliseconds. */
 	readonly meanAnswerMs: number;
-	/** How long they took while the window was at its least, so without a queue. */
+	/** Answer time without queueing, as measured with the smallest window. */
 	readonly unqueuedAnswerMs: number;
 };
 
-/** The end of a start: an answer, or the time-out. */
+/** Outcome of a start: an answer or a timeout. */
 export type StartOutcome = {
 	readonly askedAt: number;
 	readonly isAnswered: boolean;
 };
 
 /**
- * A later answer counts as late, in milliseconds: a quarter of the time that
- * a start is waited for. Executors answer within 3 to 20 ms.
+ * Answer time above which an answer is late, in milliseconds: a quarter of the
+ * timeout of a start. Executors usually answer within 3 to 20 ms.
  */
-const lateMs = 150;
+const minLateLimitMs = 150;
 
 /**
- * Where answers are slow without a queue, from executors that are far or slow,
- * only those count as late that take so many times as long, up to the bound
- * below: a smaller window makes no such answer quicker.
+ * With distant or slow executors an answer is only late above this multiple of
+ * the answer time without queueing, since a smaller window cannot speed it up.
  */
 const lateFactor = 2;
 
-/** Three quarters of the time that a start is waited for, in milliseconds. */
-const mostLateMs = 450;
+/** Upper bound of that limit: three quarters of the timeout, in milliseconds. */
+const maxLateLimitMs = 450;
 
-/** One start in sixteen says little: a dark rack holds a tenth of all. */
+/** Weight of one start; a rack that fails may hold a tenth of all executors. */
 const weight = 1 / 16;
 
-/** Share of late answers at which the window is halved. */
-const cutShare = 0.5;
+/** Share of late answers above which the window is halved. */
+const halvingShare = 0.5;
 
-/** Starts that are always allowed: two executors' worth of connections. */
-const leastSize = 4;
+/** Minimum window: connections to two executors. */
+const minSize = 4;
 
-/** What 1,000 starts a second need with answers after 150 ms, and more. */
-const mostSize = 256;
+/** Maximum window: more than 1,000 starts a second need at 150 ms an answer. */
+const maxSize = 256;
 
-/** Growth while answers come in time, in starts for each window of them. */
+/** Growth per window of answers in time. */
 const growth = 16;
 
-/**
- * The window of a new owner: over 200 messages a second its answers all come
- * within the time that a start is waited for.
- */
+/** Window of a new owner: at 200 messages a second, no start times out. */
 export const initialStartWindow: StartWindow = {
 	size: 32,
 	lateShare: 0,
@@ -69,39 +64,42 @@
 	unqueuedAnswerMs: 0,
 };
 
-const blend = (before: number, next: number): number =>
-	before + weight * (next - before);
+const average = (previous: number, next: number): number =>
+	previous + weight * (next - previous);
 
 const getUnqueuedMs = (
 	{size, unqueuedAnswerMs}: StartWindow,
 	tookMs: number,
 ): number => {
-	if (size <= leastSize) {
-		return unqueuedAnswerMs === 0 ? tookMs : blend(unqueuedAnswerMs, tookMs);
+	if (size <= minSize) {
+		return unqueuedAnswerMs === 0 ? tookMs : average(unqueuedAnswerMs, tookMs);
 	}
 
 	return tookMs < unqueuedAnswerMs
-		? blend(unqueuedAnswerMs, tookMs)
+		? average(unqueuedAnswerMs, tookMs)
 		: unqueuedAnswerMs;
 };
 
-const getLimitMs = (unqueuedMs: number): number =>
-	Math.max(lateMs, Math.min(mostLateMs, lateFactor * unqueuedMs));
+const getLateLimitMs = (unqueuedAnswerMs: number): number =>
+	Math.max(
+		minLateLimitMs,
+		Math.min(maxLateLimitMs, lateFactor * unqueuedAnswerMs),
+	);
 
 const grow = (size: number): number =>
-	Math.min(mostSize, size + Math.min(1, growth / size));
+	Math.min(maxSize, size + Math.min(1, growth / size));
 
-/** Takes in the end of a start. */
+/** Returns the window after the outcome of a start. */
 export const recordStartOutcome = (
 	window: StartWindow,
 	{askedAt, isAnswered}: StartOutcome,
 	now: number,
 ): StartWindow => {
 	const tookMs = now - askedAt;
-	// A dark executor says nothing of how long answers take.
+	// A timeout is no measurement of the answer time.
 	const times = isAnswered
 		? {
-				meanAnswerMs: blend(window.meanAnswerMs, tookMs),
+				meanAnswerMs: average(window.meanAnswerMs, tookMs),
 				unqueuedAnswerMs: getUnqueuedMs(window, tookMs),
 			}
 		: {
@@ -112,10 +110,10 @@
 		return {...window, ...times};
 	}
 
-	const isLate = !isAnswered || tookMs > getLimitMs(times.unqueuedAnswerMs);
-	const lateShare = blend(window.lateShare, isLate ? 1 : 0);
-	if (lateShare > cutShare) {
-		const size = Math.max(leastSize, Math.floor(window.size / 2));
+	const isLate = !isAnswered || tookMs > getLateLimitMs(times.unqueuedAnswerMs);
+	const lateShare = average(window.lateShare, isLate ? 1 : 0);
+	if (lateShare > halvingShare) {
+		const size = Math.max(minSize, Math.floor(window.size / 2));
 		return {size, lateShare: 0, reducedAt: now, ...times};
 	}
 
@@ -123,19 +121,19 @@
 	return {...window, size, lateShare, ...times};
 };
 
-/** How many starts may be ordered now, with so many under way. */
+/** Returns how many starts may be sent while `inFlight` are unanswered. */
 export const countAvailableStarts = (
 	{size}: StartWindow,
-	underWay: number,
-): number => Math.max(0, Math.floor(size) - underWay);
+	inFlight: number,
+): number => Math.max(0, Math.floor(size) - inFlight);
 
-/** Most that a look waits for others to end too, in milliseconds. */
-const mostLookGapMs = 250;
+/** Upper bound of the minimum poll interval, in milliseconds. */
+const maxPollIntervalMs = 250;
 
 /**
- * Least time between two looks at one executor. Ends that come meanwhile are
- * listed together, so that an owner whose answers are slow makes fewer calls
- * for each task; one that is not waits for nothing.
+ * Returns the minimum time between two polls of one executor. The slower the
+ * answers, the longer it is, so that one poll lists more ends and fewer calls
+ * are needed per task.
  */
 export const getMinPollIntervalMs = ({meanAnswerMs}: StartWindow): number =>
-	Math.min(mostLookGapMs, meanAnswerMs);
+	Math.min(maxPollIntervalMs, meanAnswerMs);
--- a/packages/core/src/scheduler/suspected-executors.ts
+++ b/packages/core/src/scheduler/suspected-executors.ts
@@ -1,11 +1,11 @@
 /**
- * Executors that are dark. Nothing is granted on one while it is, so that what
- * was granted there ends by itself, whoever owns the service by then. The
- * roster says since when: without it each owner would wait anew for all that
- * the one before may have granted.
+ * Suspected executors. No leases are granted on an executor while it is
+ * suspected, so its runs end when their leases expire, whoever owns the service
+ * by then. The roster records since when, so that the next owner need not wait
+ * for a full lease again.
  *
- * An executor that answers again gets nothing until a roster without its mark
- * is stored, since the next owner trusts a mark.
+ * The next owner trusts the mark, so an executor that answers again gets no
+ * work or leases until a roster without the mark is stored.
  */
 import type {SchedulerConfig} from './config.js';
 import type {Executor} from './executor.js';
@@ -13,49 +13,51 @@
 import {maxClockDrift} from './remote-clock.js';
 import type {ListedExecutor} from './types.js';
 
-/** Silence from which an executor is marked: single looks do get lost. */
+/** Time without an answer after which an executor is suspected; polls get lost. */
 export const suspectAfterMs = 1000;
 
-/** An executor that may run tasks, as it is kept for the next owner. */
+/** Roster entry: an executor that may run tasks, stored for the next owner. */
 export type RosterEntry = {
 	readonly listed: ListedExecutor;
-	/** Since when nothing is granted there; absent while something may be. */
+	/** Since when no leases are granted there; absent if not suspected. */
 	readonly suspectedSince: number | undefined;
 };
 
-/** How long what was granted on an executor lasts at most, in milliseconds. */
+/** Upper bound on the time until a lease granted now expires, in milliseconds. */
 export const getMaxLeaseDurationMs = ({
 	taskLeaseMs,
 	maxTransitMs,
 }: SchedulerConfig): number =>
 	taskLeaseMs * (1 + 2 * maxClockDrift) + maxTransitMs;
 
-/** Since when nothing is granted on an executor that does not answer. */
-const getUngrantedSince = (
+/** Returns since when no leases are granted on an unresponsive executor. */
+const getNoLeasesSince = (
 	{cfg, unresolvedExecutors}: Owner,
 	{id, unresponsiveSince}: Executor,
 ): number | undefined => {
-	const overAt = unresolvedExecutors.get(id);
-	return overAt === undefined
+	const leasesEndAt = unresolvedExecutors.get(id);
+	return leasesEndAt === undefined
 		? unresponsiveSince
-		: overAt - getMaxLeaseDurationMs(cfg);
+		: leasesEndAt - getMaxLeaseDurationMs(cfg);
 };
 
-const getSilentMs = ({unresponsiveSince}: Executor, now: number): number =>
-	unresponsiveSince === undefined ? 0 : now - unresponsiveSince;
+const getUnresponsiveMs = (
+	{unresponsiveSince}: Executor,
+	now: number,
+): number => (unresponsiveSince === undefined ? 0 : now - unresponsiveSince);
 
-/** Marks executors that have been silent so long; the roster then says so. */
+/** Marks executors as suspected that are unresponsive for at least that long. */
 export const markSuspected = (
 	owner: Owner,
-	leastSilentMs: number,
+	minUnresponsiveMs: number,
 	now: number,
 ): void => {
 	for (const executor of owner.executors.values()) {
-		const since = getUngrantedSince(owner, executor);
-		const isNews =
+		const since = getNoLeasesSince(owner, executor);
+		const isEarlier =
 			since !== undefined && since < (executor.suspectedSince ?? Infinity);
-		const isDark = getSilentMs(executor, now) >= leastSilentMs;
-		if (isNews && isDark && executor.isRostered) {
+		const isSuspected = getUnresponsiveMs(executor, now) >= minUnresponsiveMs;
+		if (isEarlier && isSuspected && executor.isRostered) {
 			executor.suspectedSince = since;
 			owner.isRosterDirty = true;
 		}
@@ -63,8 +65,8 @@
 };
 
 /**
- * Whether leases may be granted on an executor. On a silent one they must come
- * to an end, and one whose mark the store still has counts as ungranted there.
+ * Whether leases may be granted on an executor. They must expire on an
+ * unresponsive one, and on one that the stored roster still marks as suspected.
  */
 export const mayGrantLease = ({
 	isRostered,
@@ -72,7 +74,7 @@
 }: Pick<Executor, 'isRostered' | 'unresponsiveSince'>): boolean =>
 	isRostered && unresponsiveSince === undefined;
 
-/** Takes back the mark of an executor that answers. */
+/** Removes the mark of an executor that answers. */
 export const clearSuspicion = (owner: Owner, executor: Executor): void => {
 	executor.suspectedSince = undefined;
 	if (executor.isSuspicionSent) {
@@ -82,7 +84,7 @@
 	}
 };
 
-/** All executors that may run tasks; their marks count as sent from now on. */
+/** Returns the roster to store and records that its marks were sent. */
 export const prepareRoster = (owner: Owner): readonly RosterEntry[] =>
 	[...owner.executors.values()].map((executor) => {
 		const {listed, suspectedSince} = executor;
--- a/packages/core/src/scheduler/task.ts
+++ b/packages/core/src/scheduler/task.ts
@@ -1,37 +1,37 @@
-/** Jobs, occurrences, steps, tasks and runs as their owner holds them. */
+/** Jobs, occurrences, steps, tasks and runs as their owner tracks them. */
 import type {AcceptedJob, Schedule, StepSpec} from './types.js';
 
 /**
- * A start that was ordered.
- * - `asked`: the order is out, no answer yet.
- * - `unsettled`: no answer came; it may run, or may yet start.
- * - `barring`: a stop was sent so that it can never start.
- * - `running`: seen or confirmed.
- * - `stopping`: a stop was sent to what runs.
+ * State of a run.
+ * - `asked`: the start was sent and has no answer yet.
+ * - `unsettled`: the start had no answer; the run may exist or may still start.
+ * - `barring`: a stop was sent so that an unconfirmed run cannot start later.
+ * - `running`: the executor has confirmed or listed the run.
+ * - `stopping`: a stop was sent for a confirmed run.
  */
 export type RunState =
 	'asked' | 'unsettled' | 'barring' | 'running' | 'stopping';
 
-/** One run of a task on one executor. */
+/** One run, an attempt of a task on one executor. */
 export type Run = {
 	readonly task: Task;
 	readonly number: number;
 	readonly executorId: string;
 	state: RunState;
 	readonly askedAt: number;
-	/** When an answer proved it to be there; absent before. */
+	/** When an answer first confirmed that the run existed. */
 	confirmedAt: number | undefined;
 	/** Progress that the executor reports, 0 to 100. */
 	percent: number;
-	/** When the progress last rose. */
+	/** When the progress last increased. */
 	progressedAt: number;
-	/** Tail in milliseconds for a task with a target, else cpu in use. */
+	/** Tail latency in milliseconds if the task has a target, else cpu used. */
 	load: number;
-	/** Share at which it may work, 0 to 100. */
+	/** Speed limit of a task that uses idle capacity, 0 to 100. */
 	speedLimitPercent: number;
-	/** A stop has been ordered and its answer has not come. */
+	/** A stop was planned and has no answer yet. */
 	isStopPending: boolean;
-	/** A stop had no answer, and no look has listed the run since. */
+	/** A stop had no answer, and no poll has listed the run since. */
 	mayHaveStopped: boolean;
 };
 
@@ -41,17 +41,17 @@
 	readonly step: Step;
 	readonly index: number;
 	isDone: boolean;
-	/** Attempts that were spent, by it or by any member of its gang. */
+	/** Failed attempts of the task or of any member of its gang. */
 	failures: number;
-	/** Its runs that ended as failed, lowest first; see attempts.ts. */
+	/** Numbers of failed runs in ascending order; see attempts.ts. */
 	failedRuns: readonly number[];
 	checkpoint: string | undefined;
-	/** The run that the checkpoint is of; 0 if that is not known. */
+	/** Number of the run that wrote the checkpoint; 0 if unknown. */
 	checkpointRun: number;
 	runs: Run[];
-	/** The highest run number given so far by this owner. */
+	/** Highest run number that this owner has assigned or seen. */
 	lastRun: number;
-	/** Executor on which it failed last; avoided if there is another. */
+	/** Executor of the last failed run, avoided if there is another. */
 	failedOn: string | undefined;
 };
 
@@ -64,38 +64,39 @@
 	doneCount: number;
 };
 
-/** One time that the steps run. */
+/** One execution of all steps of a job. */
 export type Occurrence = {
 	readonly job: Job;
 	readonly number: number;
-	/** Time of day from which it may start. */
+	/** Earliest start, in milliseconds since the Unix epoch. */
 	readonly dueAtEpochMs: number;
 	readonly steps: readonly Step[];
 };
 
-/** How a job has ended, if it has. */
+/** How a job ended. */
 export type JobEnd = 'completed' | 'failed' | 'cancelled';
 
-/** A job in the hands of its owner. */
+/** A job as its owner tracks it. */
 export type Job = {
 	readonly accepted: AcceptedJob;
-	/** Accepted under an earlier owner, who may have started its tasks. */
+	/** Accepted under an earlier owner, which may have started its tasks. */
 	readonly isInherited: boolean;
+	/** Loaded occurrences: those that were added and are not done. */
 	readonly occurrences: Map<number, Occurrence>;
-	/** Occurrences that are wholly done, also those no longer held. */
+	/** Number of occurrences that are done. */
 	doneOccurrences: number;
 	nextOccurrence: number;
 	end: JobEnd | undefined;
-	/** The end as the store has it; only this is shown to callers. */
+	/** The stored end, which callers may see. */
 	storedEnd: JobEnd | undefined;
 	endedAt: number | undefined;
 	hasStarted: boolean;
-	/** Work on hand of the tasks that are not done, in cpu-milliseconds. */
+	/** Work of the loaded tasks that are not done, in cpu-milliseconds. */
 	remainingWork: number;
 	readonly totalWork: number;
 };
 
-/** Id of a task, unique over all queues. */
+/** Returns the id of a task, unique across queues. */
 export const formatTaskId = (
 	jobId: string,
 	occurrence: number,
@@ -103,7 +104,7 @@
 	index: number,
 ): string => `${jobId}.${occurrence}.${step}.${index}`;
 
-/** The parts of a task's id, or `undefined` for any other text. */
+/** Parses the id of a task; `undefined` for any other string. */
 export const parseTaskId = (
 	id: string,
 ):
@@ -124,11 +125,11 @@
 	return {jobId, occurrence, step, index};
 };
 
-const workOfTask = ({resources, estimateMs}: StepSpec): number =>
+const getSpecWork = ({resources, estimateMs}: StepSpec): number =>
 	Math.max(1, resources.cpuMillis) * Math.max(1, estimateMs);
 
 /** Work of one task in cpu-milliseconds, by the caller's estimate. */
-export const getTaskWork = (task: Task): number => workOfTask(task.step.spec);
+export const getTaskWork = (task: Task): number => getSpecWork(task.step.spec);
 
 const createTask = (step: Step, index: number): Task => {
 	const {occurrence, number} = step;
@@ -165,7 +166,7 @@
 const getDueTime = (schedule: Schedule | undefined, number: number): number =>
 	schedule ? schedule.startAtEpochMs + number * schedule.intervalMs : 0;
 
-/** How many times the steps of a job run. */
+/** Returns the number of occurrences of a job. */
 export const countOccurrences = (job: Job): number =>
 	job.accepted.spec.schedule?.times ?? 1;
 
@@ -195,8 +196,8 @@
 };
 
 /**
- * A task of an occurrence that is no longer at hand, since it is done or its
- * job has ended. It stands for what may still run of it.
+ * Creates a task of an occurrence that is not loaded, since it is done or its
+ * job has ended. Remaining runs of it are attached to this task.
  */
 export const createDetachedTask = (
 	job: Job,
@@ -204,8 +205,8 @@
 	step: number,
 	index: number,
 ): Task | undefined => {
-	const past = createOccurrence(job, occurrence);
-	const task = past.steps[step]?.tasks[index];
+	const detached = createOccurrence(job, occurrence);
+	const task = detached.steps[step]?.tasks[index];
 	if (task) {
 		task.isDone = true;
 	}
@@ -214,9 +215,9 @@
 };
 
 const sumWork = (steps: readonly StepSpec[]): number =>
-	steps.reduce((sum, step) => sum + step.count * workOfTask(step), 0);
+	steps.reduce((sum, step) => sum + step.count * getSpecWork(step), 0);
 
-/** A job as accepted, with nothing done. */
+/** Creates the state of an accepted job with nothing done. */
 export const createJob = (
 	accepted: AcceptedJob,
 	isInherited: boolean,
@@ -234,11 +235,11 @@
 	totalWork: sumWork(accepted.spec.steps),
 });
 
-/** Whether a job runs until it is cancelled. */
+/** Whether a job has a long-running step and so runs until it is cancelled. */
 export const isLongRunningJob = ({accepted}: Job): boolean =>
 	accepted.spec.steps.some(({isLongRunning}) => isLongRunning);
 
-/** Adds the occurrences whose time has come. */
+/** Adds the occurrences of a job that are due. */
 export const addDueOccurrences = (job: Job, epochNow: number): void => {
 	const times = countOccurrences(job);
 	const {schedule} = job.accepted.spec;
@@ -251,9 +252,8 @@
 };
 
 /**
- * Adds the occurrences up to one that an earlier owner has started, so that
- * its time had come, also if it has not by the clock here. Those after it are
- * not due by that.
+ * Adds the occurrences up to one that an earlier owner has started. It was due
+ * by that owner's clock, even if it is not yet by the local one.
  */
 export const addOccurrencesUpTo = (job: Job, number: number): void => {
 	while (job.nextOccurrence <= number && number < countOccurrences(job)) {
@@ -261,14 +261,14 @@
 	}
 };
 
-/** Whether the steps before this one are done. */
+/** Whether the steps that this one depends on are done. */
 export const isStepReady = (step: Step): boolean =>
 	step.spec.after.every((number) => {
 		const earlier = step.occurrence.steps[number];
 		return earlier !== undefined && earlier.doneCount === earlier.spec.count;
 	});
 
-/** A run that is asked for now. */
+/** Creates a run whose start is sent now. */
 export const createRun = (
 	task: Task,
 	number: number,
@@ -289,17 +289,18 @@
 	mayHaveStopped: false,
 });
 
-/** Whether a task is neither done nor under way. */
+/** Whether a task is not done and has no run. */
 export const isWaiting = (task: Task): boolean =>
 	!task.isDone && task.runs.length === 0;
 
-/** Tasks that run and end together: all members of a gang, else the task. */
+/** Lists the tasks that run together: all members of a gang, or just the task. */
 export const listCoscheduledTasks = (task: Task): readonly Task[] =>
 	task.step.spec.isGang ? task.step.tasks : [task];
 
 /**
- * Takes in the checkpoint of a run; false if there is none or a later run's is
- * known. A gang has one: its members start together only with the same.
+ * Applies the checkpoint of a run; returns false if it is empty or a later run
+ * has written one. The members of a gang share a checkpoint, since they must
+ * all start from the same one.
  */
 export const applyCheckpoint = (
 	task: Task,
@@ -318,7 +319,7 @@
 	return true;
 };
 
-/** Marks a task as done. True if this ended its occurrence. */
+/** Marks a task as done; returns whether this completed its occurrence. */
 export const markDone = (task: Task): boolean => {
 	if (task.isDone) {
 		return false;
@@ -338,11 +339,11 @@
 	return true;
 };
 
-/** Whether all that a job asks for is done. */
+/** Whether all occurrences of a job are done. */
 export const isJobComplete = (job: Job): boolean =>
 	job.doneOccurrences >= countOccurrences(job);
 
-/** Tasks of the occurrences at hand. */
+/** Yields the tasks of the loaded occurrences. */
 export function* listTasks(job: Job): Generator<Task> {
 	for (const {steps} of job.occurrences.values()) {
 		for (const {tasks} of steps) {
--- a/packages/core/src/scheduler/throttle.ts
+++ b/packages/core/src/scheduler/throttle.ts
@@ -1,37 +1,38 @@
 /**
- * How fast tasks that fill idle capacity may work. They disturb tasks that
- * serve users by amounts that change within seconds, so their pace follows
- * the reported tails: down quickly, up slowly.
+ * Throttles tasks that use idle capacity. They slow down the tasks that serve
+ * requests next to them, so their speed limit follows the reported tail
+ * latencies: it falls quickly and rises slowly.
  */
 import type {Executor} from './executor.js';
 import type {Run} from './task.js';
 
 /** Settings of the control loop. */
 export const throttleConfig = {
-	/** Above this share of its target a tail is brought down at once ... */
+	/** If the tail exceeds this share of its target, cut the limit ... */
 	cutAbove: 0.95,
-	/** ... to this share of the pace. */
+	/** ... to this share of its value. */
 	cutTo: 0.3,
-	/** Above this share of the target the pace goes down ... */
+	/** If the tail exceeds this share of its target, reduce the limit ... */
 	easeAbove: 0.8,
-	/** ... to this share of it. */
+	/** ... to this share of its value. */
 	easeTo: 0.7,
-	/** Below this share of the target the pace goes up ... */
+	/** If the tail is below this share of its target, raise the limit ... */
 	raiseBelow: 0.6,
-	/** ... by so many percent. */
+	/** ... by this many percentage points. */
 	raiseBy: 15,
 	/**
-	 * Least time between two changes on one executor, in milliseconds: the
-	 * tails are those of the last half second, and a pace takes 100 ms.
+	 * Minimum time between two changes on one executor, in milliseconds. Tails
+	 * cover the last 500 ms, and a change takes 100 ms to take effect.
 	 */
 	intervalMs: 650,
 } as const;
 
-/** A change of pace to be ordered. */
+/** A command to change the speed limit of a run. */
 export type ThrottleCommand = {
 	readonly run: Run;
+	/** The new limit. */
 	readonly percent: number;
-	/** Worst tail on the executor as a share of its target. */
+	/** Worst tail latency on the executor as a share of its target. */
 	readonly tailShare: number;
 };
 
@@ -54,7 +55,7 @@
 	return tailShare < raiseBelow ? Math.min(100, percent + raiseBy) : percent;
 };
 
-/** Changes of pace on one executor, by the tails last reported. */
+/** Plans changes of the speed limits on one executor from the last tails. */
 export const planThrottling = (
 	executor: Executor,
 ): readonly ThrottleCommand[] => {
