--- a/packages/core/src/scheduler/backlog.test.ts
+++ b/packages/core/src/scheduler/backlog.test.ts
@@ -1,23 +1,12 @@
 /**
- * An owner with 1,115 open jobs planned anew after each answer, and each plan
- * asked of every executor, for every job that waits, whether it has room. On a
- * third of a processor core it then heard the answers to its starts later than
- * the 600 ms that it waits, took the executors for silent, stopped what it had
- * just started and started it again: the backlog never went down, though most
- * executors were idle. In two seconds it wrote
- *
- *     125 task stop        reason=unanswered-start outcome=done
- *      91 executor answers silentMs below 100
- *       2 task start       outcome=started, one with tookMs=507
- *       3 task end
- *
- * and used 32 of the 32 percent that it has, while hardly a job came in.
+ * Guards against plans that check every executor for every waiting job: with a
+ * large backlog the owner would receive answers only after their timeout.
  */
 import * as tap from 'tap';
 import {createAccepted, createListed, submit} from './owner.test.fixture.js';
 import * as scheduler from './index.js';
 
-/** An owner whose executors count how often they are asked for their size. */
+/** Creates an owner and counts how often the capacity of executors is read. */
 const createCountingOwner = (executors: number) => {
 	const owner = scheduler.createOwner(
 		's',
@@ -49,7 +38,7 @@
 	return {owner, reads};
 };
 
-/** Jobs of different sizes, two steps each, more than the executors hold. */
+/** Submits jobs of different sizes, with more tasks than the executors hold. */
 const submitMany = (owner: scheduler.Owner, jobs: number) => {
 	for (let index = 0; index < jobs; index++) {
 		const resources = {
@@ -67,7 +56,7 @@
 	}
 };
 
-const countReadsOfFullPlan = (jobs: number): number => {
+const countReadsOfOnePlan = (jobs: number): number => {
 	const {owner, reads} = createCountingOwner(20);
 	submitMany(owner, jobs);
 	for (let turn = 1; turn < 20; turn++) {
@@ -79,11 +68,14 @@
 	return reads.count;
 };
 
-tap.t.test('a plan costs no more for each job that waits', async (t) => {
-	const few = countReadsOfFullPlan(100);
-	const many = countReadsOfFullPlan(1100);
-	t.ok(
-		many < 2 * few + 500,
-		`executors were asked ${few} times with 100 jobs, ${many} with 1,100`,
-	);
-});
+tap.t.test(
+	'the cost of a plan hardly grows with the number of waiting jobs',
+	async (t) => {
+		const few = countReadsOfOnePlan(100);
+		const many = countReadsOfOnePlan(1100);
+		t.ok(
+			many < 2 * few + 500,
+			`capacity was read ${few} times with 100 jobs, ${many} with 1,100`,
+		);
+	},
+);
--- a/packages/core/src/scheduler/check-job.test.ts
+++ b/packages/core/src/scheduler/check-job.test.ts
@@ -6,7 +6,7 @@
 const [first, second] = valid.steps;
 
 const cases = [
-	['a plain job', valid, undefined],
+	['a valid job', valid, undefined],
 	['no steps', {...valid, steps: []}, 'steps'],
 	[
 		'a step after itself',
@@ -32,7 +32,7 @@
 		'steps.0.count',
 	],
 	[
-		'too many tasks in all',
+		'too many tasks in total',
 		{
 			...valid,
 			steps: [1, 2, 3].map(() => ({
@@ -48,7 +48,7 @@
 		'spec',
 	],
 	[
-		'absurdly many occurrences',
+		'too many occurrences',
 		{...valid, schedule: {times: 1e9, startAtEpochMs: 0, intervalMs: 1}},
 		'times',
 	],
--- a/packages/core/src/scheduler/duplicate-runs.test.ts
+++ b/packages/core/src/scheduler/duplicate-runs.test.ts
@@ -14,41 +14,48 @@
 } from './owner.test.fixture.js';
 import * as scheduler from './index.js';
 
-/** An owner of two executors with one task ordered on the first. */
+/** Creates an owner with two executors that has sent one start to the first. */
 const createWorld = () => {
 	const owner = createTestOwner([createListed('x'), createListed('yy')]);
 	submit(owner, createAccepted('a'));
-	const [order] = scheduler.planCommands(owner, 0, 0);
-	if (order?.kind !== 'start') {
-		throw new Error('no start');
+	const [command] = scheduler.planCommands(owner, 0, 0);
+	if (command?.kind !== 'start') {
+		throw new Error('the plan has no start command');
 	}
 
-	return {owner, order, run: order.run};
+	return {owner, command, run: command.run};
 };
 
 const noAnswer = {kind: 'no-answer'} as const;
 
 const done = {kind: 'done', clockMs: 0} as const;
 
-tap.t.test('a start without an answer is barred before another', async (t) => {
-	const {owner, run} = createWorld();
-	scheduler.applyStartAnswer(owner, run, noAnswer, 500);
-	t.same(planAndStart(owner, 510), [], 'nothing until the executor answers');
-	pollExecutor(owner, 'x', {at: 520});
-	t.same(describeCommands(planAndStart(owner, 530)), [
-		'stop a.0.0.0 on x: unanswered-start',
-	]);
-	pollExecutor(owner, 'x', {at: 540});
-	t.same(planAndStart(owner, 545), [], 'the stop has not been answered');
-	scheduler.applyStopAnswer(owner, run, done, 550);
-	t.same(planAndStart(owner, 555), [], 'it may have been there by then');
-	pollExecutor(owner, 'x', {at: 560});
-	const orders = planAndStart(owner, 570);
-	t.equal(orders.length, 1);
-	t.ok(getCommandRun(orders[0])!.number > run.number, 'run numbers rise');
-});
+tap.t.test(
+	'an unanswered start is stopped before the task starts again',
+	async (t) => {
+		const {owner, run} = createWorld();
+		scheduler.applyStartAnswer(owner, run, noAnswer, 500);
+		t.same(planAndStart(owner, 510), [], 'nothing before the executor answers');
+		pollExecutor(owner, 'x', {at: 520});
+		t.same(describeCommands(planAndStart(owner, 530)), [
+			'stop a.0.0.0 on x: unanswered-start',
+		]);
+		pollExecutor(owner, 'x', {at: 540});
+		t.same(planAndStart(owner, 545), [], 'the stop has no answer yet');
+		scheduler.applyStopAnswer(owner, run, done, 550);
+		t.same(
+			planAndStart(owner, 555),
+			[],
+			'the run may have existed before the stop',
+		);
+		pollExecutor(owner, 'x', {at: 560});
+		const commands = planAndStart(owner, 570);
+		t.equal(commands.length, 1);
+		t.ok(getCommandRun(commands[0])!.number > run.number, 'run numbers grow');
+	},
+);
 
-tap.t.test('a start without an answer that runs is left running', async (t) => {
+tap.t.test('an unanswered start that was executed keeps running', async (t) => {
 	const {owner, run} = createWorld();
 	scheduler.applyStartAnswer(owner, run, noAnswer, 500);
 	pollExecutor(owner, 'x', {
@@ -59,55 +66,65 @@
 	t.equal(run.state, 'running');
 });
 
-tap.t.test('a refused start goes elsewhere with a higher run', async (t) => {
-	const {owner, run} = createWorld();
-	scheduler.applyStartAnswer(
-		owner,
-		run,
-		{kind: 'refused', reason: 'no-room', clockMs: 5},
-		5,
-	);
-	const orders = planAndStart(owner, 10);
-	t.same(describeCommands(orders), ['start a.0.0.0 on yy']);
-	t.ok(getCommandRun(orders[0])!.number > run.number);
-});
+tap.t.test(
+	'a refused start moves to another executor with a higher run number',
+	async (t) => {
+		const {owner, run} = createWorld();
+		scheduler.applyStartAnswer(
+			owner,
+			run,
+			{kind: 'refused', reason: 'no-room', clockMs: 5},
+			5,
+		);
+		const commands = planAndStart(owner, 10);
+		t.same(describeCommands(commands), ['start a.0.0.0 on yy']);
+		t.ok(getCommandRun(commands[0])!.number > run.number);
+	},
+);
 
 tap.t.test(
-	'work on a silent executor waits for the end of its lease',
+	'a task on an unresponsive executor restarts once its lease has expired',
 	async (t) => {
 		const {owner, run} = createWorld();
 		scheduler.applyStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 0);
 		scheduler.markUnresponsive(owner, 'x', 100);
 		const step = 250;
-		const slowest = testConfig.taskLeaseMs / (1 - scheduler.maxClockDrift);
-		for (let now = 100; now < slowest; now += step) {
+		const expiresAt = testConfig.taskLeaseMs / (1 - scheduler.maxClockDrift);
+		for (let now = 100; now < expiresAt; now += step) {
 			t.same(scheduler.expireLeases(owner, now), [], `at ${now}`);
 			t.same(planAndStart(owner, now), [], `at ${now}`);
 		}
 
-		t.equal(scheduler.expireLeases(owner, slowest + step).length, 1);
-		t.same(describeCommands(planAndStart(owner, slowest + step)), [
+		t.equal(scheduler.expireLeases(owner, expiresAt + step).length, 1);
+		t.same(describeCommands(planAndStart(owner, expiresAt + step)), [
 			'start a.0.0.0 on yy',
 		]);
 	},
 );
 
-tap.t.test('an executor dropped by the registry keeps its work', async (t) => {
-	const {owner, run} = createWorld();
-	scheduler.applyStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 0);
-	scheduler.recordUnlistedExecutor(owner, 'x');
-	t.same(planAndStart(owner, 10), []);
-	t.ok(owner.executors.has('x'));
-	t.equal(scheduler.markTerminated(owner, 'x').length, 1);
-	t.notOk(owner.executors.has('x'));
-	t.same(describeCommands(planAndStart(owner, 20)), ['start a.0.0.0 on yy']);
-});
+tap.t.test(
+	'an executor that the registry no longer lists keeps its runs',
+	async (t) => {
+		const {owner, run} = createWorld();
+		scheduler.applyStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 0);
+		scheduler.recordUnlistedExecutor(owner, 'x');
+		t.same(planAndStart(owner, 10), []);
+		t.ok(owner.executors.has('x'));
+		t.equal(scheduler.markTerminated(owner, 'x').length, 1);
+		t.notOk(owner.executors.has('x'));
+		t.same(describeCommands(planAndStart(owner, 20)), ['start a.0.0.0 on yy']);
+	},
+);
 
-tap.t.test('a run that is there no more is started again', async (t) => {
+tap.t.test('a task whose run vanished is started again', async (t) => {
 	const {owner, run} = createWorld();
 	scheduler.applyStartAnswer(owner, run, {kind: 'started', clockMs: 0}, 10);
 	pollExecutor(owner, 'x', {at: 5});
-	t.same(planAndStart(owner, 20), [], 'the look was sent before the answer');
+	t.same(
+		planAndStart(owner, 20),
+		[],
+		'the poll was sent before the start was answered',
+	);
 	pollExecutor(owner, 'x', {at: 30});
 	t.equal(planAndStart(owner, 40).length, 1);
 });
@@ -115,22 +132,22 @@
 type Inheritance = {
 	readonly name: string;
 	readonly isInherited: boolean;
-	/** What becomes of the executor that an earlier owner used. */
+	/** What the owner learns about the executor of an earlier owner. */
 	readonly resolve: (owner: scheduler.Owner) => void;
 	readonly starts: number;
 };
 
-const overAt = 9000;
+const leasesEndAt = 9000;
 
 const inheritances: readonly Inheritance[] = [
 	{
-		name: 'an inherited job waits for an executor that is silent',
+		name: 'an inherited job waits for an unresponsive executor',
 		isInherited: true,
 		resolve: () => undefined,
 		starts: 0,
 	},
 	{
-		name: 'a job accepted since then does not wait',
+		name: 'a job accepted after the takeover does not wait',
 		isInherited: false,
 		resolve: () => undefined,
 		starts: 1,
@@ -163,7 +180,7 @@
 		starts: 0,
 	},
 	{
-		name: 'another life answers at its address',
+		name: 'another incarnation answers at its address',
 		isInherited: true,
 		resolve(owner) {
 			scheduler.markTerminated(owner, 'old');
@@ -171,23 +188,23 @@
 		starts: 1,
 	},
 	{
-		name: 'the leases there are certainly over',
+		name: 'its leases have certainly expired',
 		isInherited: true,
 		resolve(owner) {
-			scheduler.expireLeases(owner, overAt);
+			scheduler.expireLeases(owner, leasesEndAt);
 		},
 		starts: 1,
 	},
 	{
-		name: 'the leases there may still run',
+		name: 'its leases may still be valid',
 		isInherited: true,
 		resolve(owner) {
-			scheduler.expireLeases(owner, overAt - 1);
+			scheduler.expireLeases(owner, leasesEndAt - 1);
 		},
 		starts: 0,
 	},
 	{
-		name: 'the registry has dropped it, which proves nothing',
+		name: 'the registry no longer lists it, which proves nothing',
 		isInherited: true,
 		resolve(owner) {
 			scheduler.recordUnlistedExecutor(owner, 'old');
@@ -199,26 +216,26 @@
 for (const {name, isInherited, resolve, starts} of inheritances) {
 	tap.t.test(`takeover: ${name}`, async (t) => {
 		const owner = createTestOwner([createListed('x')]);
-		scheduler.inheritExecutor(owner, createListed('old'), overAt);
+		scheduler.inheritExecutor(owner, createListed('old'), leasesEndAt);
 		submit(owner, createAccepted('a'), isInherited);
 		resolve(owner);
-		const orders = planAndStart(owner, 2);
-		t.equal(orders.filter(({kind}) => kind === 'start').length, starts);
+		const commands = planAndStart(owner, 2);
+		t.equal(commands.filter(({kind}) => kind === 'start').length, starts);
 	});
 }
 
 tap.t.test('a later owner uses higher run numbers', async (t) => {
 	const first = createWorld();
-	const later = scheduler.createOwner('s', 2, testConfig, 0);
-	scheduler.recordListedExecutor(later, createListed('x'));
-	pollExecutor(later, 'x', {at: 0});
-	flushAll(later);
-	submit(later, createAccepted('a'), true);
-	const [order] = planAndStart(later, 1);
-	t.ok(getCommandRun(order)!.number > first.run.number);
+	const next = scheduler.createOwner('s', 2, testConfig, 0);
+	scheduler.recordListedExecutor(next, createListed('x'));
+	pollExecutor(next, 'x', {at: 0});
+	flushAll(next);
+	submit(next, createAccepted('a'), true);
+	const [command] = planAndStart(next, 1);
+	t.ok(getCommandRun(command)!.number > first.run.number);
 });
 
-tap.t.test('of two runs of one task the older is stopped', async (t) => {
+tap.t.test('the older of two runs of one task is stopped', async (t) => {
 	const owner = createTestOwner([createListed('x'), createListed('yy')]);
 	submit(owner, createAccepted('a'));
 	pollExecutor(owner, 'x', {at: 1, running: [{taskId: 'a.0.0.0', run: 3}]});
@@ -228,27 +245,30 @@
 	]);
 });
 
-tap.t.test('runs of a task that is done, or of no job, are told', async (t) => {
-	const owner = createTestOwner([createListed('x'), createListed('yy')]);
-	submit(owner, createAccepted('a', [{count: 2}]));
-	pollExecutor(owner, 'x', {at: 1, ends: [{taskId: 'a.0.0.0', run: 3}]});
-	const changes = pollExecutor(owner, 'yy', {
-		at: 1,
-		running: [
-			{taskId: 'a.0.0.0', run: 2},
-			{taskId: 'gone.0.0.0', run: 1},
-		],
-	});
-	t.same(
-		changes.orphanedRuns.map(({taskId}) => taskId),
-		['gone.0.0.0'],
-	);
-	t.match(describeCommands(planAndStart(owner, 2)), [
-		'stop a.0.0.0 on yy: task-done',
-	]);
-});
+tap.t.test(
+	'runs of a done task are stopped, and runs of no job are reported',
+	async (t) => {
+		const owner = createTestOwner([createListed('x'), createListed('yy')]);
+		submit(owner, createAccepted('a', [{count: 2}]));
+		pollExecutor(owner, 'x', {at: 1, ends: [{taskId: 'a.0.0.0', run: 3}]});
+		const changes = pollExecutor(owner, 'yy', {
+			at: 1,
+			running: [
+				{taskId: 'a.0.0.0', run: 2},
+				{taskId: 'gone.0.0.0', run: 1},
+			],
+		});
+		t.same(
+			changes.orphanedRuns.map(({taskId}) => taskId),
+			['gone.0.0.0'],
+		);
+		t.match(describeCommands(planAndStart(owner, 2)), [
+			'stop a.0.0.0 on yy: task-done',
+		]);
+	},
+);
 
-tap.t.test('listRuns shows what was ordered', async (t) => {
+tap.t.test('listRuns returns the run that was started', async (t) => {
 	const {owner, run} = createWorld();
 	t.same(listRuns(owner, 'x'), [{taskId: 'a.0.0.0', run: run.number}]);
 });
@@ -256,7 +276,7 @@
 const whole = {cpuMillis: 4000, memoryMb: 100, accelerators: 0};
 
 tap.t.test(
-	'what runs of an ended job takes room until it has ended',
+	'the run of an ended job uses resources until it has ended',
 	async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		const ended = scheduler.addJob(
@@ -286,7 +306,7 @@
 	},
 );
 
-tap.t.test('an executor with runs of no known job gets nothing', async (t) => {
+tap.t.test('an executor with orphaned runs gets no work', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
 	submit(owner, createAccepted('a'));
 	pollExecutor(owner, 'x', {at: 1, running: [{taskId: 'gone.0.0.0', run: 1}]});
@@ -295,13 +315,13 @@
 	t.same(describeCommands(planAndStart(owner, 4)), ['start a.0.0.0 on x']);
 });
 
-tap.t.test('an executor that is gone is not listed again', async (t) => {
+tap.t.test('a terminated executor is not added again', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
 	scheduler.markTerminated(owner, 'x');
 	t.notOk(owner.executors.has('x'));
 	scheduler.recordListedExecutor(owner, createListed('x'));
 	t.notOk(
 		owner.executors.has('x'),
-		'the registry may hold its row for seconds',
+		'the registry may list it for some seconds more',
 	);
 });
--- a/packages/core/src/scheduler/evacuation.test.ts
+++ b/packages/core/src/scheduler/evacuation.test.ts
@@ -11,10 +11,10 @@
 } from './owner.test.fixture.js';
 import * as scheduler from './index.js';
 
-const lasting = {isLongRunning: true, maxPerExecutor: 1};
+const longRunning = {isLongRunning: true, maxPerExecutor: 1};
 
-/** Lists all runs with these percents by task, in order of the executors. */
-const lookAll = (
+/** Polls all executors, which list their runs with the given progress. */
+const pollAll = (
 	owner: scheduler.Owner,
 	at: number,
 	getPercent: (taskId: string) => number,
@@ -32,7 +32,7 @@
 	readonly name: string;
 	readonly step: Partial<scheduler.StepSpec>;
 	readonly percents: Readonly<Record<string, number>>;
-	/** Executors of the service; the first one is emptied. */
+	/** Number of executors; the first one is evacuated. */
 	readonly executors: number;
 	readonly patienceMs: number;
 	readonly stops: readonly string[];
@@ -40,7 +40,7 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'short work is waited for',
+		name: 'a short run may finish',
 		step: {estimateMs: 500},
 		percents: {'a.0.0.0': 50},
 		executors: 2,
@@ -48,7 +48,7 @@
 		stops: [],
 	},
 	{
-		name: 'work is stopped once patience is over',
+		name: 'a run is stopped once the patience is exhausted',
 		step: {estimateMs: 500},
 		percents: {'a.0.0.0': 50},
 		executors: 2,
@@ -56,7 +56,7 @@
 		stops: ['a.0.0.0'],
 	},
 	{
-		name: 'long work that saves itself is stopped at once',
+		name: 'a long run that can checkpoint is stopped at once',
 		step: {estimateMs: 5000, canCheckpoint: true},
 		percents: {'a.0.0.0': 10},
 		executors: 2,
@@ -64,40 +64,40 @@
 		stops: ['a.0.0.0'],
 	},
 	{
-		name: 'a lasting task goes while its budget allows it',
-		step: {...lasting, count: 2, mayMiss: 1},
+		name: 'a long-running task is stopped within its budget',
+		step: {...longRunning, count: 2, mayMiss: 1},
 		percents: {'a.0.0.0': 100, 'a.0.0.1': 100},
 		executors: 3,
 		patienceMs: 1000,
 		stops: ['a.0.0.0'],
 	},
 	{
-		name: 'a lasting task stays while another of its step is away',
-		step: {...lasting, count: 2, mayMiss: 1},
+		name: 'a long-running task stays while another task of its step is not ready',
+		step: {...longRunning, count: 2, mayMiss: 1},
 		percents: {'a.0.0.0': 100, 'a.0.0.1': 40},
 		executors: 3,
 		patienceMs: 0,
 		stops: [],
 	},
 	{
-		name: 'a lasting task that was starting may be at work by now',
-		step: {...lasting, count: 2, mayMiss: 1},
+		name: 'a long-running task that was starting up stays while another is not ready',
+		step: {...longRunning, count: 2, mayMiss: 1},
 		percents: {'a.0.0.0': 40, 'a.0.0.1': 40},
 		executors: 3,
 		patienceMs: 1000,
 		stops: [],
 	},
 	{
-		name: 'a lasting task that was starting goes within the budget',
-		step: {...lasting, count: 2, mayMiss: 1},
+		name: 'a long-running task that was starting up is stopped within its budget',
+		step: {...longRunning, count: 2, mayMiss: 1},
 		percents: {'a.0.0.0': 40, 'a.0.0.1': 100},
 		executors: 3,
 		patienceMs: 1000,
 		stops: ['a.0.0.0'],
 	},
 	{
-		name: 'a lasting task stays while there is no room elsewhere',
-		step: {...lasting, count: 2, mayMiss: 1},
+		name: 'a long-running task stays while no other executor has room',
+		step: {...longRunning, count: 2, mayMiss: 1},
 		percents: {'a.0.0.0': 100, 'a.0.0.1': 100},
 		executors: 2,
 		patienceMs: 0,
@@ -111,7 +111,7 @@
 		const owner = createTestOwner(ids.map((id) => createListed(id)));
 		submit(owner, createAccepted('a', [step]));
 		planAndStart(owner, 0);
-		lookAll(owner, 100, (taskId) => percents[taskId] ?? 0);
+		pollAll(owner, 100, (taskId) => percents[taskId] ?? 0);
 		const state = scheduler.requestEvacuation(owner, 'e0', patienceMs, 200);
 		t.same(state, {kind: 'waiting', runs: 1});
 		t.same(
@@ -121,21 +121,27 @@
 	});
 }
 
-tap.t.test('two lasting tasks of one step do not go at once', async (t) => {
-	const owner = createTestOwner(
-		['e0', 'e1', 'e2', 'e3'].map((id) => createListed(id)),
-	);
-	submit(owner, createAccepted('a', [{...lasting, count: 2, mayMiss: 1}]));
-	planAndStart(owner, 0);
-	lookAll(owner, 100, () => 100);
-	scheduler.requestEvacuation(owner, 'e0', 0, 200);
-	scheduler.requestEvacuation(owner, 'e1', 0, 200);
-	t.equal(planAndStart(owner, 200).length, 1);
-	t.same(planAndStart(owner, 210), []);
-});
+tap.t.test(
+	'two long-running tasks of one step are not stopped at once',
+	async (t) => {
+		const owner = createTestOwner(
+			['e0', 'e1', 'e2', 'e3'].map((id) => createListed(id)),
+		);
+		submit(
+			owner,
+			createAccepted('a', [{...longRunning, count: 2, mayMiss: 1}]),
+		);
+		planAndStart(owner, 0);
+		pollAll(owner, 100, () => 100);
+		scheduler.requestEvacuation(owner, 'e0', 0, 200);
+		scheduler.requestEvacuation(owner, 'e1', 0, 200);
+		t.equal(planAndStart(owner, 200).length, 1);
+		t.same(planAndStart(owner, 210), []);
+	},
+);
 
 tap.t.test(
-	'two lasting tasks of one step on one executor do not',
+	'two long-running tasks of one step on one executor are not stopped at once',
 	async (t) => {
 		const owner = createTestOwner([createListed('e0'), createListed('e1')]);
 		submit(
@@ -150,12 +156,16 @@
 		t.same(describeCommands(planAndStart(owner, 200)), [
 			'stop a.0.0.0 on e0: evacuation',
 		]);
-		t.same(planAndStart(owner, 210), [], 'the other waits for the first');
+		t.same(
+			planAndStart(owner, 210),
+			[],
+			'the second stays until the first is ready again',
+		);
 	},
 );
 
 tap.t.test(
-	'an executor that is emptied gets nothing, and is clear when empty',
+	'an executor under evacuation gets no work, and is clear without runs',
 	async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		t.same(scheduler.requestEvacuation(owner, 'x', 0, 0), {kind: 'clear'});
@@ -165,11 +175,15 @@
 			kind: 'unknown-executor',
 		});
 		const after = owner.cfg.evacuationTtlMs + 1;
-		t.equal(planAndStart(owner, after).length, 1, 'nobody asked again');
+		t.equal(
+			planAndStart(owner, after).length,
+			1,
+			'the request was not renewed',
+		);
 	},
 );
 
-tap.t.test('an executor that has not answered is not clear', async (t) => {
+tap.t.test('an executor that has never answered is not clear', async (t) => {
 	const owner = createTestOwner([]);
 	scheduler.recordListedExecutor(owner, createListed('x'));
 	t.same(scheduler.requestEvacuation(owner, 'x', 0, 0), {
@@ -179,14 +193,17 @@
 });
 
 tap.t.test(
-	'a stop without an answer spends the budget until its executor is heard',
+	'an unanswered stop uses the budget until the executor answers a poll',
 	async (t) => {
 		const owner = createTestOwner(
 			['e0', 'e1', 'e2', 'e3'].map((id) => createListed(id)),
 		);
-		submit(owner, createAccepted('a', [{...lasting, count: 2, mayMiss: 1}]));
+		submit(
+			owner,
+			createAccepted('a', [{...longRunning, count: 2, mayMiss: 1}]),
+		);
 		planAndStart(owner, 0);
-		lookAll(owner, 100, () => 100);
+		pollAll(owner, 100, () => 100);
 		scheduler.requestEvacuation(owner, 'e0', 0, 200);
 		scheduler.requestEvacuation(owner, 'e1', 0, 200);
 		const [stop] = planAndStart(owner, 200);
@@ -200,9 +217,9 @@
 		t.same(
 			describeCommands(planAndStart(owner, 810)),
 			[],
-			'it may have been carried out',
+			'the stop may have been executed',
 		);
-		lookAll(owner, 900, () => 100);
+		pollAll(owner, 900, () => 100);
 		t.same(describeCommands(planAndStart(owner, 910)), [
 			'stop a.0.0.0 on e0: evacuation',
 		]);
--- a/packages/core/src/scheduler/explain.test.ts
+++ b/packages/core/src/scheduler/explain.test.ts
@@ -20,7 +20,7 @@
 };
 
 const cases: readonly Case[] = [
-	{name: 'it runs', steps: [{}], because: [/run \d+ on x is running/v]},
+	{name: 'it is running', steps: [{}], because: [/run \d+ on x is running/v]},
 	{
 		name: 'an earlier step is not done',
 		steps: [{}, {after: [0]}],
@@ -37,12 +37,12 @@
 		because: [/on x/v, /are full/v],
 	},
 	{
-		name: 'its step is on each executor already',
+		name: 'each executor has its share of the step',
 		steps: [{maxPerExecutor: 1, count: 2}],
 		because: [/on x/v, /hold their share of the step/v],
 	},
 	{
-		name: 'no executor takes work',
+		name: 'no executor is usable',
 		steps: [{}],
 		prepare(owner) {
 			scheduler.markUnresponsive(owner, 'x', 0);
@@ -50,7 +50,7 @@
 		because: [/no executor of the service may take work now/v],
 	},
 	{
-		name: 'it may run on an executor of the owner before',
+		name: 'it may run on an executor of the previous owner',
 		steps: [{}],
 		prepare(owner) {
 			scheduler.inheritExecutor(owner, createListed('old'), 9000);
@@ -60,7 +60,7 @@
 ];
 
 for (const {name, steps, prepare, because} of cases) {
-	tap.t.test(`why a task does not run: ${name}`, async (t) => {
+	tap.t.test(`explanation of a task: ${name}`, async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		prepare?.(owner);
 		const job = submit(owner, createAccepted('a', steps), true);
--- a/packages/core/src/scheduler/owner-overview.test.ts
+++ b/packages/core/src/scheduler/owner-overview.test.ts
@@ -76,18 +76,21 @@
 	});
 }
 
-tap.t.test('tasks are counted by what they wait for', async (t) => {
-	const owner = createTestOwner([createListed('x')]);
-	submit(owner, createAccepted('a', [{count: 6}, {count: 2, after: [0]}]));
-	planAndStart(owner, 0);
-	scheduler.inheritExecutor(owner, createListed('old'), 9000);
-	submit(owner, createAccepted('b', [{count: 3}]), true);
-	t.match(scheduler.describeOwner(owner, 10), {
-		openJobs: 2,
-		runs: 4,
-		waitingTasks: 5,
-		tasksOfUnknownPlace: 3,
-		unresolvedExecutors: 1,
-		executors: {usable: 1, unlisted: 1},
-	});
-});
+tap.t.test(
+	'waiting tasks and tasks of unknown location are counted',
+	async (t) => {
+		const owner = createTestOwner([createListed('x')]);
+		submit(owner, createAccepted('a', [{count: 6}, {count: 2, after: [0]}]));
+		planAndStart(owner, 0);
+		scheduler.inheritExecutor(owner, createListed('old'), 9000);
+		submit(owner, createAccepted('b', [{count: 3}]), true);
+		t.match(scheduler.describeOwner(owner, 10), {
+			openJobs: 2,
+			runs: 4,
+			waitingTasks: 5,
+			tasksOfUnknownPlace: 3,
+			unresolvedExecutors: 1,
+			executors: {usable: 1, unlisted: 1},
+		});
+	},
+);
--- a/packages/core/src/scheduler/owner.test.fixture.ts
+++ b/packages/core/src/scheduler/owner.test.fixture.ts
@@ -1,14 +1,14 @@
-/** Builders for tests of the scheduler, and an executor that answers them. */
+/** Builders for scheduler tests, and helpers that act as executors. */
 import * as scheduler from './index.js';
 
-/** Settings with round numbers. */
+/** Settings with round lease and ownership times. */
 export const testConfig: scheduler.SchedulerConfig = {
 	...scheduler.defaultSchedulerConfig,
 	taskLeaseMs: 4000,
 	ownershipTimeoutMs: 10_000,
 };
 
-/** A step of one small task. */
+/** Creates a step of one small task. */
 export const createStepSpec = (
 	changes: Partial<scheduler.StepSpec> = {},
 ): scheduler.StepSpec => ({
@@ -31,7 +31,7 @@
 	...changes,
 });
 
-/** An accepted job with these steps. */
+/** Creates an accepted job with the given steps. */
 export const createAccepted = (
 	id: string,
 	steps: ReadonlyArray<Partial<scheduler.StepSpec>> = [{}],
@@ -59,7 +59,7 @@
 	acceptedAtEpochMs: changes.acceptedAtEpochMs ?? 0,
 });
 
-/** An executor of the service `s` as the registry lists it. */
+/** Creates an executor of the service `s` as the registry lists it. */
 export const createListed = (
 	id: string,
 	changes: Partial<scheduler.ListedExecutor> = {},
@@ -75,7 +75,7 @@
 	...changes,
 });
 
-/** An owner whose executors have answered and lie in the store's roster. */
+/** Creates an owner whose executors have answered and are in the stored roster. */
 export const createTestOwner = (
 	executors: readonly scheduler.ListedExecutor[],
 	cfg: scheduler.SchedulerConfig = testConfig,
@@ -90,20 +90,20 @@
 	return owner;
 };
 
-/** Stores all that is to be stored; answers the executors to acknowledge to. */
+/** Flushes all changes; returns the executors with new ends to acknowledge. */
 export const flushAll = (owner: scheduler.Owner): readonly string[] => {
 	const flush = scheduler.beginFlush(owner, 100);
 	return scheduler.completeFlush(owner, flush).map(({id}) => id);
 };
 
-/** What an executor lists. */
+/** Runs and run ends that an executor lists. */
 export type TestPoll = {
 	readonly at: number;
 	readonly running?: ReadonlyArray<Partial<scheduler.ListedRun>>;
 	readonly ends?: ReadonlyArray<Partial<scheduler.ListedEnd>>;
 };
 
-/** Takes in a look at an executor whose clock shows the same time. */
+/** Applies a poll of an executor whose clock shows the same time. */
 export const pollExecutor = (
 	owner: scheduler.Owner,
 	id: string,
@@ -111,7 +111,7 @@
 ): scheduler.PollChanges => {
 	const executor = owner.executors.get(id);
 	if (!executor) {
-		throw new Error(`no executor ${id}`);
+		throw new Error(`the owner has no executor ${id}`);
 	}
 
 	return scheduler.applyPoll(owner, executor, {
@@ -137,39 +137,39 @@
 	});
 };
 
-/** Orders as short texts. */
+/** Formats commands as short strings. */
 export const describeCommands = (
-	orders: readonly scheduler.Command[],
+	commands: readonly scheduler.Command[],
 ): readonly string[] =>
-	orders.map((order) => {
-		if (order.kind === 'advise') {
-			return `ask for ${order.stepId}: ${order.executorIds.join(', ')}`;
+	commands.map((command) => {
+		if (command.kind === 'advise') {
+			return `ask for ${command.stepId}: ${command.executorIds.join(', ')}`;
 		}
 
-		const {run, executor} = order;
-		return order.kind === 'start'
+		const {run, executor} = command;
+		return command.kind === 'start'
 			? `start ${run.task.id} on ${executor.id}`
-			: `stop ${run.task.id} on ${executor.id}: ${order.reason}`;
+			: `stop ${run.task.id} on ${executor.id}: ${command.reason}`;
 	});
 
-/** Plans and lets every start be answered with success at once. */
+/** Plans, and answers every start with success at once. */
 export const planAndStart = (
 	owner: scheduler.Owner,
 	now: number,
 ): readonly scheduler.Command[] => {
-	const orders = scheduler.planCommands(owner, now, now);
-	for (const order of orders) {
-		if (order.kind === 'start') {
+	const commands = scheduler.planCommands(owner, now, now);
+	for (const command of commands) {
+		if (command.kind === 'start') {
 			scheduler.applyStartAnswer(
 				owner,
-				order.run,
+				command.run,
 				{kind: 'started', clockMs: now},
 				now,
 			);
 		}
 	}
 
-	return orders;
+	return commands;
 };
 
 /** Adds a job and the occurrences that are due. */
@@ -183,7 +183,7 @@
 	return job;
 };
 
-/** Runs of an owner on one executor, as that would list them. */
+/** Lists the runs of an owner on one executor, as the executor would. */
 export const listRuns = (
 	owner: scheduler.Owner,
 	id: string,
@@ -193,8 +193,8 @@
 		run: number,
 	}));
 
-/** The run of an order, if it is about one. */
+/** Returns the run that a command concerns, if any. */
 export const getCommandRun = (
-	order: scheduler.Command | undefined,
+	command: scheduler.Command | undefined,
 ): scheduler.Run | undefined =>
-	order && order.kind !== 'advise' ? order.run : undefined;
+	command && command.kind !== 'advise' ? command.run : undefined;
--- a/packages/core/src/scheduler/owner.ts
+++ b/packages/core/src/scheduler/owner.ts
@@ -332,15 +332,15 @@
 	return removed;
 };
 
-/** Lists ended jobs past their retention time, at most `most`. */
+/** Lists ended jobs past their retention time, at most `limit` of them. */
 export const listExpiredJobs = (
 	owner: Owner,
 	now: number,
-	most: number,
+	limit: number,
 ): readonly string[] => {
 	const expired: string[] = [];
 	for (const [id, job] of owner.jobs) {
-		if (expired.length >= most) {
+		if (expired.length >= limit) {
 			break;
 		}
 
--- a/packages/core/src/scheduler/placement-advice.test.ts
+++ b/packages/core/src/scheduler/placement-advice.test.ts
@@ -23,31 +23,33 @@
 	return {owner, first};
 };
 
+tap.t.test('a step is requested once and started with a ticket', async (t) => {
+	const {owner, first} = createWorld();
+	t.same(first, ['ask for a.0.0: x, yy']);
+	t.same(planAndStart(owner, 10), [], 'not requested twice');
+	scheduler.applyAdvice(owner, request, answer, 20);
+	const commands = planAndStart(owner, 30);
+	t.same(describeCommands(commands), [
+		'start a.0.0.0 on yy',
+		'start a.0.0.1 on yy',
+	]);
+	t.match(commands, [{ticket: 't1'}, {ticket: 't1'}]);
+});
+
 tap.t.test(
-	'a queue with advice: asked once, then started with a ticket',
+	'a request without an answer is repeated after a delay',
 	async (t) => {
-		const {owner, first} = createWorld();
-		t.same(first, ['ask for a.0.0: x, yy']);
-		t.same(planAndStart(owner, 10), [], 'not asked twice');
-		scheduler.applyAdvice(owner, request, answer, 20);
-		const orders = planAndStart(owner, 30);
-		t.same(describeCommands(orders), [
-			'start a.0.0.0 on yy',
-			'start a.0.0.1 on yy',
+		const {owner} = createWorld();
+		scheduler.applyAdvice(owner, request, undefined, 20);
+		t.same(planAndStart(owner, 30), []);
+		t.same(describeCommands(planAndStart(owner, 400)), [
+			'ask for a.0.0: x, yy',
 		]);
-		t.match(orders, [{ticket: 't1'}, {ticket: 't1'}]);
 	},
 );
 
-tap.t.test('no answer is asked for again after a while', async (t) => {
-	const {owner} = createWorld();
-	scheduler.applyAdvice(owner, request, undefined, 20);
-	t.same(planAndStart(owner, 30), []);
-	t.same(describeCommands(planAndStart(owner, 400)), ['ask for a.0.0: x, yy']);
-});
-
 tap.t.test(
-	'tickets expire; who is not named is not asked about again',
+	'expired tickets are requested again, executors that were not named are not',
 	async (t) => {
 		const {owner} = createWorld();
 		scheduler.applyAdvice(owner, request, answer, 20);
@@ -55,26 +57,29 @@
 	},
 );
 
-tap.t.test('an executor that comes later is asked about', async (t) => {
-	const {owner} = createWorld();
-	scheduler.applyAdvice(owner, request, {...answer, tickets: []}, 20);
-	t.same(planAndStart(owner, 30), []);
-	scheduler.recordListedExecutor(owner, createListed('new'));
-	const executor = owner.executors.get('new')!;
-	executor.isAdopted = true;
-	executor.isRostered = true;
-	t.same(describeCommands(planAndStart(owner, 40)), ['ask for a.0.0: new']);
-});
+tap.t.test(
+	'advice is requested for an executor that is added later',
+	async (t) => {
+		const {owner} = createWorld();
+		scheduler.applyAdvice(owner, request, {...answer, tickets: []}, 20);
+		t.same(planAndStart(owner, 30), []);
+		scheduler.recordListedExecutor(owner, createListed('new'));
+		const executor = owner.executors.get('new')!;
+		executor.isAdopted = true;
+		executor.isRostered = true;
+		t.same(describeCommands(planAndStart(owner, 40)), ['ask for a.0.0: new']);
+	},
+);
 
-tap.t.test('a ticket that is refused is asked for anew', async (t) => {
+tap.t.test('a refused ticket is requested again', async (t) => {
 	const {owner} = createWorld();
 	scheduler.applyAdvice(owner, request, answer, 20);
-	const [order] = scheduler.planCommands(owner, 30, 30);
-	if (order?.kind !== 'start') {
-		throw new Error('no start');
+	const [command] = scheduler.planCommands(owner, 30, 30);
+	if (command?.kind !== 'start') {
+		throw new Error('the plan has no start command');
 	}
 
 	const refused = {kind: 'refused', reason: 'ticket', clockMs: 31} as const;
-	scheduler.applyStartAnswer(owner, order.run, refused, 31);
+	scheduler.applyStartAnswer(owner, command.run, refused, 31);
 	t.match(describeCommands(planAndStart(owner, 40)), ['ask for a.0.0: yy']);
 });
--- a/packages/core/src/scheduler/plan.test.ts
+++ b/packages/core/src/scheduler/plan.test.ts
@@ -17,14 +17,14 @@
 	readonly name: string;
 	readonly executors: readonly scheduler.ListedExecutor[];
 	readonly jobs: readonly scheduler.AcceptedJob[];
-	readonly orders: readonly string[];
+	readonly commands: readonly string[];
 };
 
 const full = {cpuMillis: 4000, memoryMb: 100, accelerators: 0};
 
 const cases: readonly Case[] = [
 	{
-		name: 'a task goes where there is room',
+		name: 'a task goes to an executor that has room',
 		executors: [
 			createListed('x'),
 			createListed('big', {
@@ -32,22 +32,26 @@
 			}),
 		],
 		jobs: [createAccepted('a', [{resources: full}]), createAccepted('b')],
-		orders: ['start b.0.0.0 on x', 'start a.0.0.0 on big'],
+		commands: ['start b.0.0.0 on x', 'start a.0.0.0 on big'],
 	},
 	{
-		name: 'work is packed on executors that have some',
+		name: 'tasks are packed onto busy executors',
 		executors: [createListed('x'), createListed('y')],
 		jobs: [createAccepted('a', [{count: 2}]), createAccepted('b')],
-		orders: ['start b.0.0.0 on x', 'start a.0.0.0 on x', 'start a.0.0.1 on x'],
+		commands: [
+			'start b.0.0.0 on x',
+			'start a.0.0.0 on x',
+			'start a.0.0.1 on x',
+		],
 	},
 	{
-		name: 'no executor is given more than it has, in cpu',
+		name: 'no executor is given more cpu than it has',
 		executors: [createListed('x')],
 		jobs: [createAccepted('a', [{count: 6}])],
-		orders: [0, 1, 2, 3].map((index) => `start a.0.0.${index} on x`),
+		commands: [0, 1, 2, 3].map((index) => `start a.0.0.${index} on x`),
 	},
 	{
-		name: 'no executor is given more than it has, in memory',
+		name: 'no executor is given more memory than it has',
 		executors: [createListed('x')],
 		jobs: [
 			createAccepted('a', [
@@ -57,20 +61,20 @@
 				},
 			]),
 		],
-		orders: ['start a.0.0.0 on x', 'start a.0.0.1 on x'],
+		commands: ['start a.0.0.0 on x', 'start a.0.0.1 on x'],
 	},
 	{
-		name: 'no executor is given accelerators that it has not',
+		name: 'no executor is given more accelerators than it has',
 		executors: [createListed('x')],
 		jobs: [
 			createAccepted('a', [
 				{resources: {cpuMillis: 1, memoryMb: 1, accelerators: 1}},
 			]),
 		],
-		orders: [],
+		commands: [],
 	},
 	{
-		name: 'a task that fills takes memory but no cpu',
+		name: 'a task that uses idle capacity reserves memory but no cpu',
 		executors: [createListed('x')],
 		jobs: [
 			createAccepted('a', [{resources: full}]),
@@ -78,19 +82,19 @@
 				{resources: full, fillsIdleCapacity: true, count: 12},
 			]),
 		],
-		orders: [
+		commands: [
 			'start a.0.0.0 on x',
 			...Array.from({length: 9}, (_, index) => `start f.0.0.${index} on x`),
 		],
 	},
 	{
-		name: 'a label that is required',
+		name: 'a task goes to an executor with the required label',
 		executors: [createListed('x'), createListed('y', {labels: ['k', 'r1-1']})],
 		jobs: [createAccepted('a', [{requiredLabel: 'k'}])],
-		orders: ['start a.0.0.0 on y'],
+		commands: ['start a.0.0.0 on y'],
 	},
 	{
-		name: 'the rack where the data is, though another is emptier',
+		name: 'the rack that holds the data is preferred to a larger executor',
 		executors: [
 			createListed('x', {labels: ['r2-1']}),
 			createListed('y', {
@@ -99,31 +103,31 @@
 			}),
 		],
 		jobs: [createAccepted('a', [{preferredRack: 'r2-1'}])],
-		orders: ['start a.0.0.0 on x'],
+		commands: ['start a.0.0.0 on x'],
 	},
 	{
-		name: 'at most so many of a step on one executor',
+		name: 'maxPerExecutor limits the tasks of a step on one executor',
 		executors: [createListed('x'), createListed('y')],
 		jobs: [createAccepted('a', [{count: 3, maxPerExecutor: 1}])],
-		orders: ['start a.0.0.0 on x', 'start a.0.0.1 on y'],
+		commands: ['start a.0.0.0 on x', 'start a.0.0.1 on y'],
 	},
 	{
 		name: 'a step waits for the steps before it',
 		executors: [createListed('x')],
 		jobs: [createAccepted('a', [{}, {after: [0]}])],
-		orders: ['start a.0.0.0 on x'],
+		commands: ['start a.0.0.0 on x'],
 	},
 	{
-		name: 'a draining executor gets nothing',
+		name: 'a draining executor gets no work',
 		executors: [createListed('x', {isDraining: true})],
 		jobs: [createAccepted('a')],
-		orders: [],
+		commands: [],
 	},
 	{
 		name: 'a gang starts as a whole',
 		executors: [createListed('x'), createListed('y')],
 		jobs: [createAccepted('a', [{count: 5, isGang: true}])],
-		orders: [
+		commands: [
 			'start a.0.0.0 on x',
 			'start a.0.0.1 on x',
 			'start a.0.0.2 on x',
@@ -132,82 +136,79 @@
 		],
 	},
 	{
-		name: 'a gang that does not fit starts not at all, and takes no room',
+		name: 'a gang that does not fit does not start and reserves nothing',
 		executors: [createListed('x')],
 		jobs: [
 			createAccepted('a', [{count: 5, isGang: true}]),
 			createAccepted('b', [{count: 8}]),
 		],
-		orders: [0, 1, 2, 3].map((index) => `start b.0.0.${index} on x`),
+		commands: [0, 1, 2, 3].map((index) => `start b.0.0.${index} on x`),
 	},
 	{
-		name: 'the smaller job first while both can be in time',
+		name: 'the smaller job goes first while both can be in time',
 		executors: [createListed('x')],
 		jobs: [
 			createAccepted('big', [{count: 4}]),
 			createAccepted('small', [{count: 1}]),
 		],
-		orders: [
+		commands: [
 			'start small.0.0.0 on x',
 			...[0, 1, 2].map((index) => `start big.0.0.${index} on x`),
 		],
 	},
 	{
-		name: 'a job that lasts goes before all others',
+		name: 'a long-running job goes before all others',
 		executors: [createListed('x')],
 		jobs: [
 			createAccepted('a', [{resources: full}]),
 			createAccepted('l', [{resources: full, isLongRunning: true}]),
 		],
-		orders: ['start l.0.0.0 on x'],
+		commands: ['start l.0.0.0 on x'],
 	},
 	{
-		name: 'the lower priority number first',
+		name: 'the lower priority number goes first',
 		executors: [createListed('x')],
 		jobs: [
 			createAccepted('a', [{resources: full}], {policy: {priority: 1}}),
 			createAccepted('b', [{resources: full}], {policy: {priority: 0}}),
 		],
-		orders: ['start b.0.0.0 on x'],
+		commands: ['start b.0.0.0 on x'],
 	},
 	{
-		name: 'what can be in time goes before what is late',
+		name: 'a job that can be in time goes before a late one',
 		executors: [createListed('x')],
 		jobs: [
 			createAccepted('late', [{resources: full}], {acceptedAtEpochMs: -2000}),
 			createAccepted('fresh', [{resources: full, estimateMs: 800}]),
 		],
-		orders: ['start fresh.0.0.0 on x'],
+		commands: ['start fresh.0.0.0 on x'],
 	},
 ];
 
-for (const {name, executors, jobs, orders} of cases) {
+for (const {name, executors, jobs, commands} of cases) {
 	tap.t.test(name, async (t) => {
 		const owner = createTestOwner(executors);
 		for (const job of jobs) {
 			submit(owner, job);
 		}
 
-		t.same(describeCommands(planAndStart(owner, 0)), orders);
-		t.same(describeCommands(planAndStart(owner, 0)), [], 'once');
+		t.same(describeCommands(planAndStart(owner, 0)), commands);
+		t.same(describeCommands(planAndStart(owner, 0)), [], 'only once');
 	});
 }
 
-tap.t.test(
-	'an executor is used once the store has it in its roster',
-	async (t) => {
-		const owner = scheduler.createOwner('s', 1, testConfig, 0);
-		scheduler.recordListedExecutor(owner, createListed('x'));
-		pollExecutor(owner, 'x', {at: 0});
-		submit(owner, createAccepted('a'));
-		t.same(planAndStart(owner, 0), []);
-		flushAll(owner);
-		t.same(describeCommands(planAndStart(owner, 0)), ['start a.0.0.0 on x']);
-	},
-);
+tap.t.test('an executor is used once it is in the stored roster', async (t) => {
+	const owner = scheduler.createOwner('s', 1, testConfig, 0);
+	scheduler.recordListedExecutor(owner, createListed('x'));
+	pollExecutor(owner, 'x', {at: 0});
+	submit(owner, createAccepted('a'));
+	t.same(planAndStart(owner, 0), []);
+	flushAll(owner);
+	t.same(describeCommands(planAndStart(owner, 0)), ['start a.0.0.0 on x']);
+});
 
 tap.t.test(
-	'what is being stopped takes room until its end is listed',
+	'a run that is being stopped uses resources until its end is listed',
 	async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		const job = submit(owner, createAccepted('a', [{resources: full}]));
@@ -224,7 +225,7 @@
 	},
 );
 
-tap.t.test('a lasting task makes room for itself', async (t) => {
+tap.t.test('a long-running task preempts others', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
 	submit(owner, createAccepted('a', [{count: 4}]));
 	planAndStart(owner, 0);
@@ -245,12 +246,12 @@
 	t.same(
 		describeCommands(planAndStart(owner, 60)),
 		['stop a.0.0.3 on x: preempted', 'stop a.0.0.2 on x: preempted'],
-		'those with the least work done',
+		'the runs with the least progress',
 	);
-	t.same(planAndStart(owner, 70), [], 'no more while these end');
+	t.same(planAndStart(owner, 70), [], 'no more while these are stopping');
 });
 
-tap.t.test('occurrences start when they are due, and not before', async (t) => {
+tap.t.test('occurrences start when they are due', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
 	const schedule = {times: 3, startAtEpochMs: 1000, intervalMs: 500};
 	scheduler.addJob(owner, createAccepted('a', [{}], {schedule}), false);
@@ -259,7 +260,7 @@
 		scheduler.advanceSchedules(owner, epochNow);
 		started.push(
 			...describeCommands(scheduler.planCommands(owner, 0, epochNow)).map(
-				(order) => `${epochNow}: ${order}`,
+				(command) => `${epochNow}: ${command}`,
 			),
 		);
 	}
@@ -271,19 +272,16 @@
 	]);
 });
 
-tap.t.test(
-	'a task that stands still is stopped and started elsewhere',
-	async (t) => {
-		const owner = createTestOwner([createListed('x'), createListed('y')]);
-		submit(owner, createAccepted('a', [{estimateMs: 500}]));
-		planAndStart(owner, 0);
-		const [run] = listRuns(owner, 'x');
-		pollExecutor(owner, 'x', {at: 100, running: [{...run!, percent: 10}]});
-		pollExecutor(owner, 'x', {at: 1500, running: [{...run!, percent: 10}]});
-		t.same(planAndStart(owner, 1500), [], 'not yet');
-		pollExecutor(owner, 'x', {at: 1700, running: [{...run!, percent: 10}]});
-		t.same(describeCommands(planAndStart(owner, 1700)), [
-			'stop a.0.0.0 on x: hung',
-		]);
-	},
-);
+tap.t.test('a task without progress is stopped as hung', async (t) => {
+	const owner = createTestOwner([createListed('x'), createListed('y')]);
+	submit(owner, createAccepted('a', [{estimateMs: 500}]));
+	planAndStart(owner, 0);
+	const [run] = listRuns(owner, 'x');
+	pollExecutor(owner, 'x', {at: 100, running: [{...run!, percent: 10}]});
+	pollExecutor(owner, 'x', {at: 1500, running: [{...run!, percent: 10}]});
+	t.same(planAndStart(owner, 1500), [], 'not yet');
+	pollExecutor(owner, 'x', {at: 1700, running: [{...run!, percent: 10}]});
+	t.same(describeCommands(planAndStart(owner, 1700)), [
+		'stop a.0.0.0 on x: hung',
+	]);
+});
--- a/packages/core/src/scheduler/plan.ts
+++ b/packages/core/src/scheduler/plan.ts
@@ -302,8 +302,8 @@
 	const number = Math.max(
 		...step.tasks.map((task) => nextRunNumber(owner, task)),
 	);
-	const advised = listStepExecutors(planning, step);
-	for (const group of listRackGroups(advised, step)) {
+	const eligible = listStepExecutors(planning, step);
+	for (const group of listRackGroups(eligible, step)) {
 		const started: StartCommand[] = [];
 		for (const task of step.tasks) {
 			const placement = placeTask(group, task);
--- a/packages/core/src/scheduler/rejected-demands.test.ts
+++ b/packages/core/src/scheduler/rejected-demands.test.ts
@@ -21,35 +21,35 @@
 	return job.occurrences.get(0)!.steps[0]!;
 };
 
-// The executors hold 4,000 thousandths of a core and 1,000 MB.
+// The executors have 4,000 thousandths of a core and 1,000 MB.
 type Demand = readonly [cpuMillis: number, memoryMb: number];
 
 type Case = {
-	readonly refused: Demand;
-	readonly asked: Demand;
-	readonly isFull: boolean;
+	readonly rejected: Demand;
+	readonly checked: Demand;
+	readonly isKnown: boolean;
 };
 
 const cases: readonly Case[] = [
-	{refused: [5000, 10], asked: [5000, 10], isFull: true},
-	{refused: [5000, 10], asked: [6000, 900], isFull: true},
-	{refused: [5000, 10], asked: [4000, 900], isFull: false},
-	{refused: [5000, 10], asked: [5000, 9], isFull: false},
-	{refused: [100, 1001], asked: [100, 1001], isFull: true},
-	{refused: [100, 1001], asked: [4000, 1000], isFull: false},
-	// It was refused for something other than room.
-	{refused: [100, 10], asked: [100, 10], isFull: false},
+	{rejected: [5000, 10], checked: [5000, 10], isKnown: true},
+	{rejected: [5000, 10], checked: [6000, 900], isKnown: true},
+	{rejected: [5000, 10], checked: [4000, 900], isKnown: false},
+	{rejected: [5000, 10], checked: [5000, 9], isKnown: false},
+	{rejected: [100, 1001], checked: [100, 1001], isKnown: true},
+	{rejected: [100, 1001], checked: [4000, 1000], isKnown: false},
+	// The demand fits, so something else must have been the reason.
+	{rejected: [100, 10], checked: [100, 10], isKnown: false},
 ];
 
-for (const {refused, asked, isFull} of cases) {
+for (const {rejected, checked, isKnown} of cases) {
 	tap.t.test(
-		`${String(refused)} refused, ${String(asked)} asked`,
+		`${String(rejected)} rejected, ${String(checked)} checked`,
 		async (t) => {
 			const owner = createTestOwner([createListed('x')]);
-			const full = createRejectedDemands();
+			const demands = createRejectedDemands();
 			const usable = scheduler.listUsable(owner, 1);
-			recordRejectedDemand(full, usable, toStep(...refused));
-			t.equal(isKnownNotToFit(full, toStep(...asked)), isFull);
+			recordRejectedDemand(demands, usable, toStep(...rejected));
+			t.equal(isKnownNotToFit(demands, toStep(...checked)), isKnown);
 		},
 	);
 }
@@ -63,7 +63,7 @@
 	isGang: fc.boolean(),
 });
 
-tap.t.test('a plan leaves no task waiting that has room', async (t) => {
+tap.t.test('a plan leaves no task waiting that would fit', async (t) => {
 	const property = fc.property(
 		fc.array(stepArbitrary, {minLength: 1, maxLength: 25}),
 		(steps) => {
--- a/packages/core/src/scheduler/repeated-run-ends.test.ts
+++ b/packages/core/src/scheduler/repeated-run-ends.test.ts
@@ -1,9 +1,6 @@
 /**
- * An owner stores that a run has failed before it acknowledges the end, and an
- * executor lists an end until it is acknowledged. So the next owner, or the
- * same one for an executor that was off the list for a while, sees an end that
- * is counted already. Counted again it spends a second attempt: a job whose
- * queue allows two was shown as failed though its task had failed once.
+ * Guards against counting a run end twice, for example after a takeover, since
+ * an executor lists it until it is acknowledged: a job would fail too early.
  */
 import * as tap from 'tap';
 import {
@@ -33,22 +30,22 @@
 };
 
 tap.t.test(
-	'an end that an earlier owner stored is not counted again',
+	'a run end that a previous owner stored is not counted again',
 	async (t) => {
-		const before = createTestOwner([createListed('x')]);
-		const job = submit(before, accepted);
-		const end = failOnce(before);
+		const previous = createTestOwner([createListed('x')]);
+		const job = submit(previous, accepted);
+		const end = failOnce(previous);
 		const row = JSON.stringify(scheduler.encodeProgress(job));
 		const owner = createTestOwner([createListed('x')]);
-		const again = scheduler.addJob(owner, accepted, true);
+		const restored = scheduler.addJob(owner, accepted, true);
 		scheduler.applyProgress(
-			again,
+			restored,
 			JSON.parse(row) as scheduler.JobProgress,
 			20,
 		);
 		scheduler.advanceSchedules(owner, 0);
 		t.same(pollExecutor(owner, 'x', {at: 30, ends: [end]}).jobEnds, []);
-		t.equal(again.end, undefined, 'one failure of two');
+		t.equal(restored.end, undefined, 'one failure of two');
 		const next = {...end, number: 2, run: end.run + 1};
 		t.match(pollExecutor(owner, 'x', {at: 40, ends: [next]}).jobEnds, [
 			{end: 'failed'},
@@ -57,7 +54,7 @@
 );
 
 tap.t.test(
-	'nor one of an executor that was off the list for a while',
+	'a run end is not counted again after its executor was unlisted for a while',
 	async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		const job = submit(owner, createAccepted('a', [{}]));
@@ -73,13 +70,13 @@
 	},
 );
 
-/** The state of the next owner, read from what the one before stored. */
+/** Creates the state of the next owner from the progress that is stored. */
 const takeOver = (
-	before: scheduler.Owner,
+	previous: scheduler.Owner,
 	spec: scheduler.AcceptedJob,
 	executors: readonly string[],
 ) => {
-	const stored = scheduler.encodeProgress(before.jobs.get(spec.id)!);
+	const stored = scheduler.encodeProgress(previous.jobs.get(spec.id)!);
 	const text = JSON.stringify(stored);
 	const row = JSON.parse(text) as scheduler.JobProgress;
 	const owner = createTestOwner(executors.map((id) => createListed(id)));
@@ -90,51 +87,54 @@
 };
 
 tap.t.test(
-	'an executor does not rest for failures that were counted before',
+	'an executor is not quarantined for failures that were counted before',
 	async (t) => {
 		const spec = createAccepted('a', [{count: 3}], {policy: {maxAttempts: 9}});
 		const ids = ['x', 'y', 'z'];
-		const before = createTestOwner([createListed('x')]);
-		submit(before, spec);
-		planAndStart(before, 0);
-		const ends = listRuns(before, 'x').map(
+		const previous = createTestOwner([createListed('x')]);
+		submit(previous, spec);
+		planAndStart(previous, 0);
+		const ends = listRuns(previous, 'x').map(
 			(run, index) => ({...run, number: index + 1, how: 'failed'}) as const,
 		);
-		pollExecutor(before, 'x', {at: 10, ends});
-		const {owner} = takeOver(before, spec, ids);
+		pollExecutor(previous, 'x', {at: 10, ends});
+		const {owner} = takeOver(previous, spec, ids);
 		pollExecutor(owner, 'x', {at: 20, ends});
 		t.equal(owner.executors.get('x')!.quarantinedUntil, 0);
 	},
 );
 
-tap.t.test('a lasting task keeps few of its failed runs', async (t) => {
-	const spec = createAccepted('a', [{isLongRunning: true}], {
-		policy: {maxAttempts: 3},
-	});
-	const owner = createTestOwner([createListed('x')]);
-	const job = submit(owner, spec);
-	const sizes = new Set<number>();
-	// Run numbers of two digits, so that only what is kept could grow.
-	for (let run = 10; run < 100; run++) {
-		const end = {number: run, run, taskId: 'a.0.0.0', how: 'failed'} as const;
-		pollExecutor(owner, 'x', {at: run, ends: [end]});
-		if (run >= 20) {
-			sizes.add(JSON.stringify(scheduler.encodeProgress(job)).length);
+tap.t.test(
+	'a long-running task keeps only its latest failed runs',
+	async (t) => {
+		const spec = createAccepted('a', [{isLongRunning: true}], {
+			policy: {maxAttempts: 3},
+		});
+		const owner = createTestOwner([createListed('x')]);
+		const job = submit(owner, spec);
+		const sizes = new Set<number>();
+		// All run numbers have two digits, so the size grows only with their count.
+		for (let run = 10; run < 100; run++) {
+			const end = {number: run, run, taskId: 'a.0.0.0', how: 'failed'} as const;
+			pollExecutor(owner, 'x', {at: run, ends: [end]});
+			if (run >= 20) {
+				sizes.add(JSON.stringify(scheduler.encodeProgress(job)).length);
+			}
 		}
-	}
-
-	t.equal(sizes.size, 1, [...sizes].join(', '));
-	const next = takeOver(owner, spec, ['x']);
-	const old = {number: 1, run: 20, taskId: 'a.0.0.0', how: 'failed'} as const;
-	pollExecutor(next.owner, 'x', {at: 100, ends: [old]});
-	const [before] = scheduler.listTasks(job);
-	const [after] = scheduler.listTasks(next.job);
-	t.equal(after!.failures, before!.failures);
-});
+
+		t.equal(sizes.size, 1, [...sizes].join(', '));
+		const next = takeOver(owner, spec, ['x']);
+		const old = {number: 1, run: 20, taskId: 'a.0.0.0', how: 'failed'} as const;
+		pollExecutor(next.owner, 'x', {at: 100, ends: [old]});
+		const [before] = scheduler.listTasks(job);
+		const [after] = scheduler.listTasks(next.job);
+		t.equal(after!.failures, before!.failures);
+	},
+);
 
 type GangCase = {
 	readonly name: string;
-	/** Failed ends: run and member. */
+	/** Run and member of each failed run end. */
 	readonly failed: ReadonlyArray<readonly [run: number, member: number]>;
 	readonly isFailed: boolean;
 };
@@ -157,7 +157,7 @@
 		isFailed: true,
 	},
 	{
-		name: 'another member in each of two runs',
+		name: 'different members in two runs',
 		failed: [
 			[1, 0],
 			[2, 1],
@@ -165,7 +165,7 @@
 		isFailed: true,
 	},
 	{
-		name: 'the same end twice',
+		name: 'the same run end twice',
 		failed: [
 			[1, 1],
 			[1, 1],
@@ -204,7 +204,7 @@
 
 type CheckpointCase = {
 	readonly name: string;
-	/** Ends as the executors list them: run and checkpoint. */
+	/** Run and checkpoint of the run ends in the listed order. */
 	readonly ends: ReadonlyArray<readonly [run: number, checkpoint: string]>;
 	readonly expected: string;
 };
@@ -275,23 +275,26 @@
 	});
 }
 
-tap.t.test('an older run that still runs gives no checkpoint', async (t) => {
-	const owner = createTestOwner([createListed('x'), createListed('y')]);
-	const job = submit(owner, createAccepted('a', [{canCheckpoint: true}]));
-	const run = {taskId: 'a.0.0.0'};
-	pollExecutor(owner, 'x', {
-		at: 1,
-		running: [{...run, run: 2, checkpoint: 'two'}],
-	});
-	pollExecutor(owner, 'y', {
-		at: 2,
-		running: [{...run, run: 1, checkpoint: 'one'}],
-	});
-	t.equal([...scheduler.listTasks(job)][0]!.checkpoint, 'two');
-});
+tap.t.test(
+	'the checkpoint of an older run that still runs is ignored',
+	async (t) => {
+		const owner = createTestOwner([createListed('x'), createListed('y')]);
+		const job = submit(owner, createAccepted('a', [{canCheckpoint: true}]));
+		const run = {taskId: 'a.0.0.0'};
+		pollExecutor(owner, 'x', {
+			at: 1,
+			running: [{...run, run: 2, checkpoint: 'two'}],
+		});
+		pollExecutor(owner, 'y', {
+			at: 2,
+			running: [{...run, run: 1, checkpoint: 'one'}],
+		});
+		t.equal([...scheduler.listTasks(job)][0]!.checkpoint, 'two');
+	},
+);
 
 tap.t.test(
-	'a checkpoint that was seen while it ran is stored at the end',
+	'a checkpoint that was listed while the task ran is stored when it ends',
 	async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		const spec = createAccepted('a', [{canCheckpoint: true}]);
@@ -302,7 +305,7 @@
 		pollExecutor(owner, 'x', {at: 2, ends: [{...run, how: 'lapsed'}]});
 		t.ok(
 			scheduler.needsFlush(owner),
-			'else the end is acknowledged and the next owner starts it afresh',
+			'otherwise the next owner would start the task without the checkpoint',
 		);
 	},
 );
@@ -329,32 +332,32 @@
 		);
 	pollExecutor(owner, 'x', {at: 30, ends: toEnds(members.slice(0, 2))});
 	pollExecutor(owner, 'y', {at: 40, ends: toEnds(members.slice(2))});
-	const started = planAndStart(owner, 50).flatMap((order) =>
-		order.kind === 'start' ? [order.run.task.checkpoint] : [],
+	const started = planAndStart(owner, 50).flatMap((command) =>
+		command.kind === 'start' ? [command.run.task.checkpoint] : [],
 	);
 	t.equal(started.length, 3);
 	t.equal(new Set(started).size, 1, started.join(', '));
 	t.ok(started[0]);
 });
 
-type ForgetCase = {
+type RemovalCase = {
 	readonly name: string;
 	readonly act: (owner: scheduler.Owner) => void;
 	readonly isKept: boolean;
 };
 
-/** By then, all leases granted so far are over. */
-const longAfter = 60_000;
+/** All leases have expired by then. */
+const afterLeasesMs = 60_000;
 
-const forgetCases: readonly ForgetCase[] = [
-	{name: 'its ends are not stored', act: () => undefined, isKept: true},
+const removalCases: readonly RemovalCase[] = [
+	{name: 'its run ends are not stored', act: () => undefined, isKept: true},
 	{
-		name: 'they are stored, and the acknowledgement is on its way',
+		name: 'its run ends are stored and not yet acknowledged',
 		act: flushAll,
 		isKept: true,
 	},
 	{
-		name: 'they are acknowledged',
+		name: 'its run ends are acknowledged',
 		act(owner) {
 			flushAll(owner);
 			pollExecutor(owner, 'x', {at: 20});
@@ -362,16 +365,16 @@
 		isKept: false,
 	},
 	{
-		name: 'it is silent and its leases are over',
+		name: 'it is unresponsive and its leases have expired',
 		act(owner) {
 			scheduler.recordUnlistedExecutor(owner, 'x');
 			scheduler.markUnresponsive(owner, 'x', 20);
-			scheduler.expireLeases(owner, longAfter);
+			scheduler.expireLeases(owner, afterLeasesMs);
 		},
 		isKept: false,
 	},
 	{
-		name: 'its life is over',
+		name: 'it has terminated',
 		act(owner) {
 			scheduler.markTerminated(owner, 'x');
 		},
@@ -379,9 +382,9 @@
 	},
 ];
 
-for (const {name, act, isKept} of forgetCases) {
+for (const {name, act, isKept} of removalCases) {
 	tap.t.test(
-		`an executor off the list is ${isKept ? 'kept' : 'forgotten'}: ${name}`,
+		`an unlisted executor is ${isKept ? 'kept' : 'removed'}: ${name}`,
 		async (t) => {
 			const owner = createTestOwner([createListed('x')]);
 			submit(owner, createAccepted('a'));
@@ -396,7 +399,7 @@
 }
 
 tap.t.test(
-	'an executor off the list is forgotten once it lists nothing',
+	'an unlisted executor is removed once it has no runs or ends',
 	async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		submit(owner, createAccepted('a'));
@@ -411,15 +414,15 @@
 		t.ok(isKept(5), 'it runs a task');
 		pollExecutor(owner, 'x', {at: 10, ends: [{...run!, number: 1}]});
 		flushAll(owner);
-		t.ok(isKept(15), 'it has not heard that the end is stored');
+		t.ok(isKept(15), 'its run end is stored and not yet acknowledged');
 		pollExecutor(owner, 'x', {at: 20});
-		t.notOk(isKept(25), 'the next owner would wait for it in vain');
+		t.notOk(isKept(25), 'the next owner would wait for it to no purpose');
 		t.ok(owner.isRosterDirty);
 	},
 );
 
 tap.t.test(
-	'an inherited executor is kept until the registry was read',
+	'an inherited executor is kept until the registry has been read',
 	async (t) => {
 		const owner = createTestOwner([]);
 		scheduler.inheritExecutor(owner, createListed('x'), 9000);
@@ -432,24 +435,27 @@
 	},
 );
 
-tap.t.test('what an executor lists begins no later occurrence', async (t) => {
-	const schedule = {times: 3, startAtEpochMs: 0, intervalMs: 10_000};
-	const owner = createTestOwner([createListed('x')]);
-	const job = scheduler.addJob(
-		owner,
-		createAccepted('a', [{}], {schedule}),
-		true,
-	);
-	pollExecutor(owner, 'x', {at: 1, ends: [{taskId: 'a.0.0.0', run: 7}]});
-	t.equal(job.nextOccurrence, 1);
-	t.same(planAndStart(owner, 2), [], 'the others are not due');
-	pollExecutor(owner, 'x', {at: 3, running: [{taskId: 'a.9.0.0', run: 8}]});
-	t.equal(job.nextOccurrence, 1, 'the job has no such occurrence');
-	pollExecutor(owner, 'x', {at: 4, running: [{taskId: 'a.2.0.0', run: 8}]});
-	t.equal(job.nextOccurrence, 3, 'those before it were due then');
-});
+tap.t.test(
+	'listed runs and ends add no occurrence after their own',
+	async (t) => {
+		const schedule = {times: 3, startAtEpochMs: 0, intervalMs: 10_000};
+		const owner = createTestOwner([createListed('x')]);
+		const job = scheduler.addJob(
+			owner,
+			createAccepted('a', [{}], {schedule}),
+			true,
+		);
+		pollExecutor(owner, 'x', {at: 1, ends: [{taskId: 'a.0.0.0', run: 7}]});
+		t.equal(job.nextOccurrence, 1);
+		t.same(planAndStart(owner, 2), [], 'the others are not due');
+		pollExecutor(owner, 'x', {at: 3, running: [{taskId: 'a.9.0.0', run: 8}]});
+		t.equal(job.nextOccurrence, 1, 'the job has no such occurrence');
+		pollExecutor(owner, 'x', {at: 4, running: [{taskId: 'a.2.0.0', run: 8}]});
+		t.equal(job.nextOccurrence, 3, 'the earlier ones were due before it');
+	},
+);
 
-tap.t.test('a cancelled job stays so while a flush is under way', async (t) => {
+tap.t.test('a job cancelled during a flush stays cancelled', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
 	const job = submit(owner, createAccepted('a', [{count: 2}]));
 	planAndStart(owner, 0);
@@ -481,23 +487,23 @@
 ];
 
 for (const {name, schedule, how, checkpoint = ''} of shownCases) {
-	tap.t.test(`a job with ${name} is still shown as running`, async (t) => {
+	tap.t.test(`a job with ${name} is still running for callers`, async (t) => {
 		const spec = createAccepted('a', [{canCheckpoint: true}], {
 			...(schedule ? {schedule} : {}),
 		});
-		const before = createTestOwner([createListed('x')]);
-		const job = submit(before, spec);
-		pollExecutor(before, 'x', {
+		const previous = createTestOwner([createListed('x')]);
+		const job = submit(previous, spec);
+		pollExecutor(previous, 'x', {
 			at: 10,
 			ends: [{run: 1, taskId: 'a.0.0.0', how, checkpoint}],
 		});
 		t.equal(scheduler.getJobState(job), 'running');
-		const next = takeOver(before, spec, ['x']);
-		t.equal(scheduler.getJobState(next.job), 'running', 'by the next owner');
+		const next = takeOver(previous, spec, ['x']);
+		t.equal(scheduler.getJobState(next.job), 'running', 'with the next owner');
 	});
 }
 
-tap.t.test('a gang of the older form has one checkpoint', async (t) => {
+tap.t.test('a gang in the older format gets one checkpoint', async (t) => {
 	const job = scheduler.createJob(gangSpec, true);
 	const tasks = {
 		'a.0.0.0': {failures: 0, checkpoint: 'of 0'},
@@ -521,7 +527,7 @@
 	);
 });
 
-tap.t.test('progress of the older form is read', async (t) => {
+tap.t.test('progress in the older format is read', async (t) => {
 	const job = scheduler.createJob(accepted, true);
 	scheduler.applyProgress(
 		job,
--- a/packages/core/src/scheduler/run-ends.test.ts
+++ b/packages/core/src/scheduler/run-ends.test.ts
@@ -38,7 +38,11 @@
 	t.equal(planAndStart(owner, 20).length, 1);
 	t.match(fail(owner, 'x', 2, 30).jobEnds, [{job: 'a', end: 'failed'}]);
 	t.same(planAndStart(owner, 40), []);
-	t.equal(scheduler.getJobState(job), 'running', 'shown once it is stored');
+	t.equal(
+		scheduler.getJobState(job),
+		'running',
+		'callers see the end once it is stored',
+	);
 	flushAll(owner);
 	t.equal(scheduler.getJobState(job), 'failed');
 });
@@ -46,7 +50,7 @@
 const uncounted = ['stopped', 'lapsed', 'broken', 'alone'] as const;
 
 for (const how of uncounted) {
-	tap.t.test(`an end ${how} is no attempt`, async (t) => {
+	tap.t.test(`a run that ended as ${how} is no failed attempt`, async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		submit(owner, createAccepted('a', [{}], {policy: {maxAttempts: 1}}));
 		for (let number = 1; number < 4; number++) {
@@ -62,20 +66,23 @@
 	});
 }
 
-tap.t.test('a lasting task is started again however it ends', async (t) => {
-	const owner = createTestOwner([createListed('x')]);
-	submit(
-		owner,
-		createAccepted('a', [{isLongRunning: true}], {policy: {maxAttempts: 1}}),
-	);
-	for (let number = 1; number < 5; number++) {
-		t.equal(planAndStart(owner, number * 10).length, 1);
-		fail(owner, 'x', number, number * 10 + 5);
-	}
-});
+tap.t.test(
+	'a long-running task is started again however it ends',
+	async (t) => {
+		const owner = createTestOwner([createListed('x')]);
+		submit(
+			owner,
+			createAccepted('a', [{isLongRunning: true}], {policy: {maxAttempts: 1}}),
+		);
+		for (let number = 1; number < 5; number++) {
+			t.equal(planAndStart(owner, number * 10).length, 1);
+			fail(owner, 'x', number, number * 10 + 5);
+		}
+	},
+);
 
 tap.t.test(
-	'a failed task goes to another executor if there is one',
+	'a failed task moves to another executor if there is one',
 	async (t) => {
 		const owner = createTestOwner([createListed('x'), createListed('yy')]);
 		submit(owner, createAccepted('a'));
@@ -86,7 +93,7 @@
 );
 
 tap.t.test(
-	'an executor that fails what it starts rests, the last one not',
+	'an executor that fails its runs is quarantined, up to a maximum share',
 	async (t) => {
 		const owner = createTestOwner(
 			['x', 'y', 'z'].map((id) => createListed(id)),
@@ -105,13 +112,13 @@
 			t.equal(
 				owner.executors.get(id)!.quarantinedUntil > 10,
 				turn === 0,
-				'a third at most',
+				'at most a third',
 			);
 		}
 	},
 );
 
-tap.t.test('a checkpoint goes with the next start', async (t) => {
+tap.t.test('the next start carries the checkpoint', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
 	submit(owner, createAccepted('a', [{canCheckpoint: true}]));
 	planAndStart(owner, 0);
@@ -120,11 +127,11 @@
 		at: 10,
 		ends: [{...run!, how: 'stopped', checkpoint: 'half'}],
 	});
-	const [order] = planAndStart(owner, 20);
-	t.equal(getCommandRun(order)!.task.checkpoint, 'half');
+	const [command] = planAndStart(owner, 20);
+	t.equal(getCommandRun(command)!.task.checkpoint, 'half');
 });
 
-tap.t.test('one done stands for a whole gang', async (t) => {
+tap.t.test('a gang is done once one member is', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
 	const job = submit(owner, createAccepted('a', [{count: 3, isGang: true}]));
 	planAndStart(owner, 0);
@@ -133,28 +140,25 @@
 	t.equal(job.end, 'completed');
 });
 
-tap.t.test(
-	'an end is acknowledged once it is stored, not before',
-	async (t) => {
-		const owner = createTestOwner([createListed('x')]);
-		submit(owner, createAccepted('a', [{count: 2}]));
-		planAndStart(owner, 0);
-		const [one, two] = listRuns(owner, 'x');
-		pollExecutor(owner, 'x', {at: 10, ends: [{...one!, number: 1}]});
-		const executor = owner.executors.get('x')!;
-		t.equal(executor.acknowledgedUpto, 0);
-		const flush = scheduler.beginFlush(owner, 100);
-		pollExecutor(owner, 'x', {at: 20, ends: [{...two!, number: 2}]});
-		scheduler.completeFlush(owner, flush);
-		t.equal(
-			executor.acknowledgedUpto,
-			1,
-			'the second came after the flush began',
-		);
-		flushAll(owner);
-		t.equal(executor.acknowledgedUpto, 2);
-	},
-);
+tap.t.test('a run end is acknowledged once it is stored', async (t) => {
+	const owner = createTestOwner([createListed('x')]);
+	submit(owner, createAccepted('a', [{count: 2}]));
+	planAndStart(owner, 0);
+	const [one, two] = listRuns(owner, 'x');
+	pollExecutor(owner, 'x', {at: 10, ends: [{...one!, number: 1}]});
+	const executor = owner.executors.get('x')!;
+	t.equal(executor.acknowledgedUpto, 0);
+	const flush = scheduler.beginFlush(owner, 100);
+	pollExecutor(owner, 'x', {at: 20, ends: [{...two!, number: 2}]});
+	scheduler.completeFlush(owner, flush);
+	t.equal(
+		executor.acknowledgedUpto,
+		1,
+		'the second end came after the flush began',
+	);
+	flushAll(owner);
+	t.equal(executor.acknowledgedUpto, 2);
+});
 
 tap.t.test('a flush that failed acknowledges nothing', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
@@ -164,14 +168,14 @@
 	pollExecutor(owner, 'x', {at: 10, ends: [{...run!, number: 1}]});
 	scheduler.abandonFlush(owner, scheduler.beginFlush(owner, 100));
 	t.equal(owner.executors.get('x')!.acknowledgedUpto, 0);
-	t.ok(scheduler.needsFlush(owner), 'it is stored again');
+	t.ok(scheduler.needsFlush(owner), 'the changes are dirty again');
 	t.equal(scheduler.getJobState(job), 'running');
 	flushAll(owner);
 	t.equal(owner.executors.get('x')!.acknowledgedUpto, 1);
 	t.equal(scheduler.getJobState(job), 'completed');
 });
 
-tap.t.test('a flush of a part acknowledges nothing', async (t) => {
+tap.t.test('a partial flush acknowledges nothing', async (t) => {
 	const owner = createTestOwner([createListed('x')]);
 	for (const id of ['a', 'b']) {
 		submit(owner, createAccepted(id, [{}, {}]));
@@ -190,7 +194,7 @@
 });
 
 tap.t.test(
-	'ends that change nothing are acknowledged without a flush',
+	'run ends that change nothing are acknowledged without a flush',
 	async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		pollExecutor(owner, 'x', {
@@ -208,7 +212,7 @@
 	isLongRunning: fc.constant(false),
 });
 
-tap.t.test('progress is read as it was written', async (t) => {
+tap.t.test('encoded progress is restored unchanged', async (t) => {
 	const property = fc.property(
 		fc.array(stepArbitrary, {minLength: 1, maxLength: 3}),
 		fc.array(fc.tuple(fc.nat(2), fc.nat(3), fc.boolean()), {maxLength: 9}),
@@ -231,13 +235,13 @@
 
 			const progress = scheduler.encodeProgress(job);
 			const text = JSON.stringify(progress);
-			const again = scheduler.createJob(accepted, true);
+			const restored = scheduler.createJob(accepted, true);
 			scheduler.applyProgress(
-				again,
+				restored,
 				JSON.parse(text) as scheduler.JobProgress,
 				0,
 			);
-			return JSON.stringify(scheduler.encodeProgress(again)) === text;
+			return JSON.stringify(scheduler.encodeProgress(restored)) === text;
 		},
 	);
 	fc.assert(property, {seed: 5, numRuns: 300});
@@ -245,7 +249,7 @@
 });
 
 tap.t.test(
-	'nothing is acknowledged while the owner before may start tasks',
+	'nothing is acknowledged while the previous owner may start tasks',
 	async (t) => {
 		const owner = createTestOwner([createListed('x')]);
 		scheduler.inheritExecutor(owner, createListed('old'), 9000);
--- a/packages/core/src/scheduler/slow-link.test.ts
+++ b/packages/core/src/scheduler/slow-link.test.ts
@@ -1,14 +1,6 @@
 /**
- * An owner on a small instance shares one link, or one processor, among all
- * its calls. It ordered every start that had room at once; answers to the last
- * of them came after the 600 ms that it waits, so that it took the executors
- * for silent, stopped what ran there and started it again, which took more
- * calls than before. At 880 starts a second on a link of 7 Mbit/s half of the
- * answers took over 400 ms and 20 in 100 starts were given up:
- *
- *     task start outcome=no-answer tookMs=600
- *     task stop  reason=unanswered-start outcome=done percent=0
- *     run vanished
+ * Guards against starting more tasks at once than the owner's link can carry:
+ * late answers time out, and the stops and repeated starts add to the load.
  */
 import * as tap from 'tap';
 import {createAccepted, createListed, submit} from './owner.test.fixture.js';
@@ -16,15 +8,15 @@
 
 const executorCount = 30;
 const taskMs = 600;
-const orderTimeoutMs = 600;
+const commandTimeoutMs = 600;
 const planMs = 10;
-const lookWaitMs = 800;
+const pollWaitMs = 800;
 
-type Job = {readonly at: number; readonly run: () => void};
+type TimedEvent = {readonly at: number; readonly run: () => void};
 
 /** Runs events in order of their time. */
 const createTimeline = () => {
-	const events: Job[] = [];
+	const events: TimedEvent[] = [];
 	let now = 0;
 	return {
 		now: () => now,
@@ -43,16 +35,20 @@
 	};
 };
 
-/** What an executor runs and has ended, by the numbers it lists. */
+/** State of a simulated executor. */
 type Remote = {
 	readonly running: Map<string, scheduler.ListedRun>;
-	readonly barred: Set<string>;
+	/** Keys of stopped runs, which can no longer start. */
+	readonly stopped: Set<string>;
 	ends: scheduler.ListedEnd[];
 	endCount: number;
 	wake: (() => void) | undefined;
 };
 
-/** An owner, its executors, and one link that carries a message at a time. */
+/**
+ * Creates an owner and its executors behind one link, which carries one message
+ * at a time.
+ */
 const createWorld = (messageMs: number) => {
 	const timeline = createTimeline();
 	const {now, at} = timeline;
@@ -66,12 +62,12 @@
 	const counts = {started: 0, unanswered: 0, done: 0};
 	let linkFreeAt = 0;
 
-	const pass = (run: () => void) => {
+	const sendOverLink = (run: () => void) => {
 		linkFreeAt = Math.max(linkFreeAt, now()) + messageMs;
 		at(linkFreeAt, run);
 	};
 
-	/** A call that is carried out even if its answer comes too late. */
+	/** Makes a call that is executed even if its answer comes after the timeout. */
 	const call = (
 		serve: (answer: () => void) => void,
 		timeoutMs: number,
@@ -88,9 +84,9 @@
 		at(now() + timeoutMs, () => {
 			settle(false);
 		});
-		pass(() => {
+		sendOverLink(() => {
 			serve(() => {
-				pass(() => {
+				sendOverLink(() => {
 					settle(true);
 				});
 			});
@@ -110,14 +106,14 @@
 		remote.wake?.();
 	};
 
-	const sendStart = (order: scheduler.Command & {kind: 'start'}) => {
-		const {run, executor} = order;
+	const sendStart = (command: scheduler.Command & {kind: 'start'}) => {
+		const {run, executor} = command;
 		const remote = remotes.get(executor.id)!;
 		const key = scheduler.getRunKey(run.task.id, run.number);
 		counts.started += 1;
 		call(
 			(answer) => {
-				if (!remote.barred.has(key)) {
+				if (!remote.stopped.has(key)) {
 					remote.running.set(key, {
 						taskId: run.task.id,
 						run: run.number,
@@ -132,7 +128,7 @@
 
 				answer();
 			},
-			orderTimeoutMs,
+			commandTimeoutMs,
 			(isAnswered) => {
 				counts.unanswered += isAnswered ? 0 : 1;
 				scheduler.applyStartAnswer(
@@ -145,17 +141,17 @@
 		);
 	};
 
-	const sendStop = (order: scheduler.Command & {kind: 'stop'}) => {
-		const {run, executor} = order;
+	const sendStop = (command: scheduler.Command & {kind: 'stop'}) => {
+		const {run, executor} = command;
 		const remote = remotes.get(executor.id)!;
 		const key = scheduler.getRunKey(run.task.id, run.number);
 		call(
 			(answer) => {
-				remote.barred.add(key);
+				remote.stopped.add(key);
 				finish(remote, key, 'stopped');
 				answer();
 			},
-			orderTimeoutMs,
+			commandTimeoutMs,
 			(isAnswered) => {
 				scheduler.applyStopAnswer(
 					owner,
@@ -167,21 +163,22 @@
 		);
 	};
 
-	const lookAt = (executor: scheduler.Executor) => {
+	const poll = (executor: scheduler.Executor) => {
 		const remote = remotes.get(executor.id)!;
 		const sentAt = now();
 		const acknowledged = executor.acknowledgedUpto;
 		const mayWait =
 			executor.unresponsiveSince === undefined && executor.isAdopted;
-		const waitMs = mayWait ? lookWaitMs : 0;
-		let seen: Omit<scheduler.ExecutorPoll, 'receivedAt' | 'sentAt'> | undefined;
+		const waitMs = mayWait ? pollWaitMs : 0;
+		let listing:
+			Omit<scheduler.ExecutorPoll, 'receivedAt' | 'sentAt'> | undefined;
 		call(
 			(answer) => {
 				remote.ends = remote.ends.filter(({number}) => number > acknowledged);
 				const reply = () => {
-					if (!seen) {
+					if (!listing) {
 						remote.wake = undefined;
-						seen = {
+						listing = {
 							clockMs: now(),
 							running: [...remote.running.values()],
 							ends: [...remote.ends],
@@ -197,11 +194,11 @@
 					at(now() + waitMs, reply);
 				}
 			},
-			waitMs + orderTimeoutMs,
+			waitMs + commandTimeoutMs,
 			(isAnswered) => {
-				if (isAnswered && seen) {
+				if (isAnswered && listing) {
 					scheduler.applyPoll(owner, executor, {
-						...seen,
+						...listing,
 						sentAt,
 						receivedAt: now(),
 					});
@@ -210,7 +207,7 @@
 				}
 
 				at(now() + planMs, () => {
-					lookAt(executor);
+					poll(executor);
 				});
 			},
 		);
@@ -218,11 +215,11 @@
 
 	const plan = () => {
 		scheduler.completeFlush(owner, scheduler.beginFlush(owner, 1000));
-		for (const order of scheduler.planCommands(owner, now(), now())) {
-			if (order.kind === 'start') {
-				sendStart(order);
-			} else if (order.kind === 'stop') {
-				sendStop(order);
+		for (const command of scheduler.planCommands(owner, now(), now())) {
+			if (command.kind === 'start') {
+				sendStart(command);
+			} else if (command.kind === 'stop') {
+				sendStop(command);
 			}
 		}
 
@@ -236,12 +233,12 @@
 		scheduler.recordListedExecutor(owner, listed);
 		remotes.set(listed.id, {
 			running: new Map(),
-			barred: new Set(),
+			stopped: new Set(),
 			ends: [],
 			endCount: 0,
 			wake: undefined,
 		});
-		lookAt(owner.executors.get(listed.id)!);
+		poll(owner.executors.get(listed.id)!);
 	}
 
 	plan();
@@ -257,7 +254,7 @@
 const jobCount = 150;
 const tasksPerJob = 8;
 
-tap.t.test('a backlog is worked off over any link', async (t) => {
+tap.t.test('a backlog is completed over any link', async (t) => {
 	for (const {name, messageMs, withinMs} of links) {
 		const {owner, timeline, counts} = createWorld(messageMs);
 		for (let index = 0; index < jobCount; index++) {
@@ -278,7 +275,7 @@
 		t.equal(owner.openJobs.size, 0, `${name}: jobs are left: ${report}`);
 		t.ok(
 			counts.unanswered <= counts.started / 20,
-			`${name}: starts are given up: ${report}`,
+			`${name}: starts timed out: ${report}`,
 		);
 	}
 });
--- a/packages/core/src/scheduler/start-window-slow-answers.test.ts
+++ b/packages/core/src/scheduler/start-window-slow-answers.test.ts
@@ -1,8 +1,6 @@
 /**
- * Answers that take 200 ms however few starts are under way say nothing of a
- * full link or processor: they come from far, or from executors that are slow.
- * A window that shrinks for them lets 20 starts a second through, and stays
- * there.
+ * Guards against a window that shrinks for good because executors are distant
+ * or slow, although no queueing delays their answers.
  */
 import * as tap from 'tap';
 import * as window from './start-window.js';
@@ -14,14 +12,14 @@
 	{name: 'answers after 400 ms', answerMs: 400},
 ];
 
-/** Starts in 20 s, with as many under way as are allowed. */
+/** Counts the starts in 20 s with as many in flight as the window allows. */
 const countStarts = (answerMs: number): number => {
 	let current = window.initialStartWindow;
-	let underWay: number[] = [];
+	let inFlight: number[] = [];
 	let starts = 0;
 	for (let now = 0; now < 20_000; now += 10) {
-		const answered = underWay.filter((askedAt) => askedAt + answerMs <= now);
-		underWay = underWay.filter((askedAt) => askedAt + answerMs > now);
+		const answered = inFlight.filter((askedAt) => askedAt + answerMs <= now);
+		inFlight = inFlight.filter((askedAt) => askedAt + answerMs > now);
 		for (const askedAt of answered) {
 			current = window.recordStartOutcome(
 				current,
@@ -30,16 +28,16 @@
 			);
 		}
 
-		const free = window.countAvailableStarts(current, underWay.length);
+		const free = window.countAvailableStarts(current, inFlight.length);
 		starts += free;
-		underWay.push(...Array.from({length: free}, () => now));
+		inFlight.push(...Array.from({length: free}, () => now));
 	}
 
 	return starts;
 };
 
 for (const {name, answerMs} of cases) {
-	tap.t.test(`the window beside ${name} at any load`, async (t) => {
+	tap.t.test(`the window allows enough starts with ${name}`, async (t) => {
 		const starts = countStarts(answerMs);
 		t.ok(starts >= 20 * 75, `${starts} starts in 20 s`);
 	});
--- a/packages/core/src/scheduler/start-window.test.ts
+++ b/packages/core/src/scheduler/start-window.test.ts
@@ -13,16 +13,16 @@
 	readonly isAnswered?: boolean;
 };
 
-const note = (
+const applyOutcomes = (
 	window: StartWindow,
 	outcomes: readonly Outcome[],
 ): StartWindow => {
-	let noted = window;
+	let current = window;
 	for (const {askedAt, at, isAnswered = true} of outcomes) {
-		noted = recordStartOutcome(noted, {askedAt, isAnswered}, at);
+		current = recordStartOutcome(current, {askedAt, isAnswered}, at);
 	}
 
-	return noted;
+	return current;
 };
 
 const repeat = (count: number, outcome: Outcome): readonly Outcome[] =>
@@ -30,7 +30,7 @@
 
 const cases = [
 	{
-		name: 'answers in time make it larger',
+		name: 'answers in time enlarge it',
 		outcomes: repeat(100, {askedAt: 0, at: 10}),
 		least: 60,
 		most: 90,
@@ -42,25 +42,25 @@
 		most: 256,
 	},
 	{
-		name: 'a late answer now and then changes little',
+		name: 'a few late answers do not reduce it',
 		outcomes: repeat(10, {askedAt: 0, at: 400}),
 		least: 32,
 		most: 32,
 	},
 	{
-		name: 'late answers halve it once for the starts of one window',
+		name: 'late answers to the starts of one window halve it once',
 		outcomes: repeat(32, {askedAt: 0, at: 400}),
 		least: 16,
 		most: 16,
 	},
 	{
-		name: 'so do starts without an answer',
+		name: 'unanswered starts halve it too',
 		outcomes: repeat(32, {askedAt: 0, at: 600, isAnswered: false}),
 		least: 16,
 		most: 16,
 	},
 	{
-		name: 'late answers to starts sent since halve it again',
+		name: 'late answers to later starts halve it again',
 		outcomes: [
 			...repeat(32, {askedAt: 0, at: 400}),
 			...repeat(16, {askedAt: 401, at: 800}),
@@ -79,7 +79,7 @@
 		most: 4,
 	},
 	{
-		name: 'a rack that is dark, among executors that answer',
+		name: 'unanswered starts of one failed rack do not reduce it',
 		outcomes: Array.from({length: 400}, (_, turn) =>
 			turn % 8 === 0
 				? {askedAt: 0, at: 600, isAnswered: false}
@@ -92,18 +92,18 @@
 
 for (const {name, outcomes, least, most} of cases) {
 	tap.t.test(name, async (t) => {
-		const {size} = note(initialStartWindow, outcomes);
+		const {size} = applyOutcomes(initialStartWindow, outcomes);
 		t.ok(size >= least && size <= most, `${size}`);
 	});
 }
 
-tap.t.test('starts under way take their part of it', async (t) => {
+tap.t.test('starts in flight use up the window', async (t) => {
 	t.equal(countAvailableStarts(initialStartWindow, 0), 32);
 	t.equal(countAvailableStarts(initialStartWindow, 30), 2);
 	t.equal(countAvailableStarts(initialStartWindow, 40), 0);
 });
 
-type Gap = {
+type IntervalCase = {
 	readonly name: string;
 	readonly tookMs: readonly number[];
 	readonly unansweredMs?: readonly number[];
@@ -111,8 +111,8 @@
 	readonly most: number;
 };
 
-const gaps: readonly Gap[] = [
-	{name: 'nothing was asked yet', tookMs: [], least: 0, most: 0},
+const intervalCases: readonly IntervalCase[] = [
+	{name: 'no answers yet', tookMs: [], least: 0, most: 0},
 	{name: 'quick answers', tookMs: [3, 5, 4], least: 0, most: 2},
 	{
 		name: 'slow answers',
@@ -121,20 +121,20 @@
 		most: 120,
 	},
 	{
-		name: 'very slow ones',
+		name: 'very slow answers',
 		tookMs: Array.from({length: 200}, () => 600),
 		least: 250,
 		most: 250,
 	},
 	{
-		name: 'none from executors that are dark',
+		name: 'timeouts only',
 		tookMs: [],
 		unansweredMs: Array.from({length: 32}, () => 600),
 		least: 0,
 		most: 0,
 	},
 	{
-		name: 'quick ones again',
+		name: 'quick answers after slow ones',
 		tookMs: [
 			...Array.from({length: 200}, () => 600),
 			...Array.from({length: 200}, () => 5),
@@ -144,13 +144,15 @@
 	},
 ];
 
-for (const {name, tookMs, unansweredMs = [], least, most} of gaps) {
-	tap.t.test(`the gap between looks: ${name}`, async (t) => {
+for (const {name, tookMs, unansweredMs = [], least, most} of intervalCases) {
+	tap.t.test(`the minimum poll interval: ${name}`, async (t) => {
 		const outcomes = [
 			...tookMs.map((at) => ({askedAt: 0, at})),
 			...unansweredMs.map((at) => ({askedAt: 0, at, isAnswered: false})),
 		];
-		const gapMs = getMinPollIntervalMs(note(initialStartWindow, outcomes));
-		t.ok(gapMs >= least && gapMs <= most, `${gapMs}`);
+		const intervalMs = getMinPollIntervalMs(
+			applyOutcomes(initialStartWindow, outcomes),
+		);
+		t.ok(intervalMs >= least && intervalMs <= most, `${intervalMs}`);
 	});
 }
--- a/packages/core/src/scheduler/suspected-executors.test.ts
+++ b/packages/core/src/scheduler/suspected-executors.test.ts
@@ -1,4 +1,7 @@
-/** What is granted on a dark executor ends, whoever owns the service by then. */
+/**
+ * Guards against a lease that outlasts the suspicion of its executor, so that
+ * the next owner starts a task a second time while it still runs.
+ */
 import * as tap from 'tap';
 import {
 	createAccepted,
@@ -13,9 +16,9 @@
 import * as scheduler from './index.js';
 
 const {suspectAfterMs} = scheduler;
-const grantedMs = scheduler.getMaxLeaseDurationMs(testConfig);
+const leaseMs = scheduler.getMaxLeaseDurationMs(testConfig);
 
-/** The mark of an executor in the roster that is stored next. */
+/** Flushes and returns the mark of an executor in the stored roster. */
 const flushMark = (owner: scheduler.Owner, id: string): number | undefined => {
 	const flush = scheduler.beginFlush(owner, 100);
 	scheduler.completeFlush(owner, flush);
@@ -26,82 +29,82 @@
 	readonly name: string;
 	readonly prepare: (owner: scheduler.Owner) => void;
 	readonly now: number;
-	readonly darkSince: number | undefined;
+	readonly suspectedSince: number | undefined;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'one that answers has no mark',
+		name: 'an executor that answers is not suspected',
 		prepare: () => undefined,
 		now: 10_000,
-		darkSince: undefined,
+		suspectedSince: undefined,
 	},
 	{
-		name: 'a look that was lost is no reason',
+		name: 'a lost poll is no reason to suspect it',
 		prepare(owner) {
 			scheduler.markUnresponsive(owner, 'x', 100);
 		},
 		now: 100 + suspectAfterMs - 1,
-		darkSince: undefined,
+		suspectedSince: undefined,
 	},
 	{
-		name: 'one that stays silent is dark since the first call in vain',
+		name: 'an unresponsive one is suspected since the first unanswered call',
 		prepare(owner) {
 			scheduler.markUnresponsive(owner, 'x', 100);
 			scheduler.markUnresponsive(owner, 'x', 900);
 		},
 		now: 100 + suspectAfterMs,
-		darkSince: 100,
+		suspectedSince: 100,
 	},
 	{
-		name: 'one that never answered is dark since the owner before let go',
+		name: 'one that never answered is suspected since the previous owner released it',
 		prepare(owner) {
-			scheduler.inheritExecutor(owner, createListed('x'), 500 + grantedMs);
+			scheduler.inheritExecutor(owner, createListed('x'), 500 + leaseMs);
 			scheduler.markUnresponsive(owner, 'x', 1100);
 		},
 		now: 1100 + suspectAfterMs,
-		darkSince: 500,
+		suspectedSince: 500,
 	},
 	{
-		name: 'the mark of an earlier owner stays',
+		name: 'the mark of a previous owner is kept',
 		prepare(owner) {
 			scheduler.inheritExecutor(
 				owner,
 				createListed('x'),
-				grantedMs - 2000,
+				leaseMs - 2000,
 				-2000,
 			);
 			scheduler.markUnresponsive(owner, 'x', 600);
 			scheduler.recordListedExecutor(owner, createListed('new'));
 		},
 		now: 600 + suspectAfterMs,
-		darkSince: -2000,
+		suspectedSince: -2000,
 	},
 	{
-		name: 'it stays when its leases are over, too',
+		name: 'the mark is kept after its leases have expired',
 		prepare(owner) {
-			scheduler.inheritExecutor(owner, createListed('x'), 10, -grantedMs);
+			scheduler.inheritExecutor(owner, createListed('x'), 10, -leaseMs);
 			scheduler.recordListedExecutor(owner, createListed('x'));
 			scheduler.markUnresponsive(owner, 'x', 600);
 			scheduler.expireLeases(owner, 700);
 			scheduler.recordListedExecutor(owner, createListed('new'));
 		},
 		now: 9000,
-		darkSince: -grantedMs,
+		suspectedSince: -leaseMs,
 	},
 ];
 
-for (const {name, prepare, now, darkSince} of cases) {
+for (const {name, prepare, now, suspectedSince} of cases) {
 	tap.t.test(name, async (t) => {
 		const owner = createTestOwner([createListed('x'), createListed('yy')]);
 		prepare(owner);
 		scheduler.markSuspected(owner, suspectAfterMs, now);
-		t.equal(flushMark(owner, 'x'), darkSince);
+		t.equal(flushMark(owner, 'x'), suspectedSince);
 		t.equal(owner.isRosterDirty, false);
 	});
 }
 
-/** An owner with one marked executor and a job that waits. */
+/** Creates an owner with one suspected executor and a waiting job. */
 const createMarked = () => {
 	const owner = createTestOwner([createListed('x')]);
 	submit(owner, createAccepted('a'));
@@ -113,7 +116,7 @@
 };
 
 tap.t.test(
-	'one that answers gets nothing while its mark is stored',
+	'an executor that answers gets no work while its mark is stored',
 	async (t) => {
 		const {owner, executor, plan} = createMarked();
 		flushAll(owner);
@@ -127,7 +130,7 @@
 );
 
 tap.t.test(
-	'a roster with the mark that is on its way proves nothing',
+	'an executor that answers gets no work after a flush in flight stored its mark',
 	async (t) => {
 		const {owner, executor, plan} = createMarked();
 		const marked = scheduler.beginFlush(owner, 100);
@@ -135,25 +138,31 @@
 		scheduler.completeFlush(owner, marked);
 		t.notOk(scheduler.mayGrantLease(executor));
 		t.same(plan(2001), []);
-		t.ok(scheduler.needsFlush(owner), 'a roster without it is to be stored');
+		t.ok(
+			scheduler.needsFlush(owner),
+			'a roster without the mark must be stored',
+		);
 	},
 );
 
-tap.t.test('a mark that was never sent costs nothing', async (t) => {
+tap.t.test('a mark that was never sent does not delay work', async (t) => {
 	const {owner, executor, plan} = createMarked();
 	pollExecutor(owner, 'x', {at: 2000});
 	t.ok(scheduler.mayGrantLease(executor));
 	t.same(plan(2001), ['start a.0.0.0 on x']);
 });
 
-tap.t.test('a mark tells the fleet for how long it is silent', async (t) => {
-	const owner = createTestOwner([createListed('yy')]);
-	scheduler.inheritExecutor(owner, createListed('x'), 10, -4000);
-	t.same(
-		scheduler.describeLoad(owner, 600, 600).silent,
-		{},
-		'it may answer yet',
-	);
-	scheduler.markUnresponsive(owner, 'x', 600);
-	t.same(scheduler.describeLoad(owner, 700, 700).silent, {x: 4700});
-});
+tap.t.test(
+	'the service load reports how long a suspected executor is unresponsive',
+	async (t) => {
+		const owner = createTestOwner([createListed('yy')]);
+		scheduler.inheritExecutor(owner, createListed('x'), 10, -4000);
+		t.same(
+			scheduler.describeLoad(owner, 600, 600).silent,
+			{},
+			'it may still answer',
+		);
+		scheduler.markUnresponsive(owner, 'x', 600);
+		t.same(scheduler.describeLoad(owner, 700, 700).silent, {x: 4700});
+	},
+);
