--- a/packages/core/src/scheduler/config.ts
+++ b/packages/core/src/scheduler/config.ts
@@ -9,8 +9,8 @@
 	 */
 	readonly taskLeaseMs: number;
 	/**
-	 * How long an owner keeps acting after its ownership was last confirmed.
-	 * Longer than a store outage of six seconds.
+	 * How long an owner keeps acting after its ownership was last confirmed. It
+	 * must outlast store outages of up to six seconds.
 	 */
 	readonly ownershipTimeoutMs: number;
 	/** Time after which a command that was sent can no longer arrive. */
--- a/packages/core/src/scheduler/executor-poll.ts
+++ b/packages/core/src/scheduler/executor-poll.ts
@@ -71,7 +71,7 @@
 
 /** Changes that a poll led to, for the log. */
 export type PollChanges = {
-	/** Whether it is the first poll that this executor answered. */
+	/** Whether the poll made this owner adopt the executor. */
 	readonly isFirst: boolean;
 	readonly ends: ReadonlyArray<ListedEnd & {readonly failures: number}>;
 	/** Keys of listed runs that were not known before. */
--- a/packages/core/src/scheduler/executor.ts
+++ b/packages/core/src/scheduler/executor.ts
@@ -128,11 +128,11 @@
 /** Whether another task of a step fits into the free resources. */
 export const hasRoom = (executor: Executor, step: Step): boolean => {
 	const free = getFree(executor);
-	const wanted = getDemand(step);
+	const demand = getDemand(step);
 	return (
-		wanted.cpuMillis <= free.cpuMillis &&
-		wanted.memoryMb <= free.memoryMb &&
-		wanted.accelerators <= free.accelerators
+		demand.cpuMillis <= free.cpuMillis &&
+		demand.memoryMb <= free.memoryMb &&
+		demand.accelerators <= free.accelerators
 	);
 };
 
@@ -230,7 +230,7 @@
 	return until;
 };
 
-/** Whether all leases that this owner has granted there have expired. */
+/** Whether all leases that this owner has granted have certainly expired. */
 export const haveLeasesExpired = (executor: Executor, now: number): boolean =>
 	executor.clock !== undefined &&
 	isCertainlyPast(executor.clock, executor.grantedUntil, now);
--- a/packages/core/src/scheduler/flush.ts
+++ b/packages/core/src/scheduler/flush.ts
@@ -62,8 +62,8 @@
 
 /**
  * Nothing is acknowledged while the previous owner may still start tasks on an
- * executor that has not answered: it could start a task again whose end only
- * this owner has seen, and the acknowledged end would be lost to it.
+ * executor that has not answered this one. The previous owner does not know the
+ * run ends that this owner has seen, and executors discard acknowledged ends.
  */
 const acknowledge = (owner: Owner, stored: number): readonly Executor[] =>
 	owner.unresolvedExecutors.size > 0
@@ -73,7 +73,7 @@
 			);
 
 const advanceAck = (executor: Executor, stored: number): boolean => {
-	const before = executor.acknowledgedUpto;
+	const previous = executor.acknowledgedUpto;
 	let [first] = executor.unackedEnds;
 	while (first && first.flushNumber <= stored) {
 		executor.acknowledgedUpto = first.number;
@@ -81,7 +81,7 @@
 		[first] = executor.unackedEnds;
 	}
 
-	return executor.acknowledgedUpto !== before;
+	return executor.acknowledgedUpto !== previous;
 };
 
 /**
--- a/packages/core/src/scheduler/owner.ts
+++ b/packages/core/src/scheduler/owner.ts
@@ -151,9 +151,9 @@
 /** Adds the occurrences that are due by the wall clock. */
 export const advanceSchedules = (owner: Owner, epochNow: number): void => {
 	for (const job of owner.openJobs) {
-		const before = job.nextOccurrence;
+		const previous = job.nextOccurrence;
 		addDueOccurrences(job, epochNow);
-		if (job.nextOccurrence !== before && job.accepted.spec.schedule) {
+		if (job.nextOccurrence !== previous && job.accepted.spec.schedule) {
 			owner.dirtyJobs.add(job);
 		}
 	}
--- a/packages/core/src/scheduler/placement-advice.ts
+++ b/packages/core/src/scheduler/placement-advice.ts
@@ -40,15 +40,15 @@
 
 const getOrCreateAdvice = (owner: Owner, step: Step): StepAdvice => {
 	const stepId = getStepId(step);
-	const known = owner.advice.get(stepId) ?? {
+	const advice = owner.advice.get(stepId) ?? {
 		tickets: new Map<string, string>(),
 		rejectedExecutors: new Set<string>(),
 		validUntil: 0,
 		isRequestPending: false,
 		retryAt: 0,
 	};
-	owner.advice.set(stepId, known);
-	return known;
+	owner.advice.set(stepId, advice);
+	return advice;
 };
 
 const isValid = ({validUntil}: StepAdvice, now: number): boolean =>
--- a/packages/core/src/scheduler/rank.ts
+++ b/packages/core/src/scheduler/rank.ts
@@ -1,7 +1,8 @@
 /**
- * Ranks the jobs of one service. Jobs that can still meet their objective go
- * before late ones; then jobs are ordered by priority and by value per unit of
- * remaining work. Source: docs/design/platform-programs.md.
+ * Ranks the jobs of one service: long-running jobs first, then jobs that can
+ * still meet their objective, then late ones. Within each group, jobs are
+ * ordered by priority and then by value per unit of remaining work. Source:
+ * docs/design/platform-programs.md.
  */
 import type {Owner} from './owner-state.js';
 import {isLongRunningJob, type Job, type Step, type Task} from './task.js';
@@ -74,9 +75,9 @@
 
 /** Returns the latency objective of a job, in milliseconds. */
 export const getObjectiveMs = ({accepted}: Job): number => {
-	const known = objectives.get(accepted) ?? computeObjectiveMs(accepted);
-	objectives.set(accepted, known);
-	return known;
+	const objectiveMs = objectives.get(accepted) ?? computeObjectiveMs(accepted);
+	objectives.set(accepted, objectiveMs);
+	return objectiveMs;
 };
 
 const getStart = ({accepted}: Job, number: number): number =>
--- a/packages/core/src/scheduler/remote-clock.ts
+++ b/packages/core/src/scheduler/remote-clock.ts
@@ -28,6 +28,7 @@
 
 /** Returns the later of two readings, since answers may arrive out of order. */
 export const pickLatestReading = (
-	known: RemoteClock | undefined,
-	read: RemoteClock,
-): RemoteClock => (known && known.reportedMs > read.reportedMs ? known : read);
+	previous: RemoteClock | undefined,
+	next: RemoteClock,
+): RemoteClock =>
+	previous && previous.reportedMs > next.reportedMs ? previous : next;
--- a/packages/core/src/scheduler/service-load.ts
+++ b/packages/core/src/scheduler/service-load.ts
@@ -39,7 +39,7 @@
 	/** Executors needed to satisfy `maxPerExecutor` of the loaded steps. */
 	readonly minExecutors: number;
 	readonly executors: Readonly<Record<string, ExecutorLoad>>;
-	/** Unresponsive executors, with the milliseconds since they became so. */
+	/** Unresponsive executors, with the milliseconds since the last answer. */
 	readonly silent: Readonly<Record<string, number>>;
 };
 
@@ -102,18 +102,18 @@
 };
 
 const getMinExecutors = (job: Job): number => {
-	let most = 0;
+	let minExecutors = 0;
 	for (const {steps} of job.occurrences.values()) {
 		for (const {spec, doneCount} of steps) {
 			const left = spec.count - doneCount;
-			most = Math.max(
-				most,
+			minExecutors = Math.max(
+				minExecutors,
 				Math.ceil(left / (spec.maxPerExecutor ?? left)) || 0,
 			);
 		}
 	}
 
-	return most;
+	return minExecutors;
 };
 
 const sum = (values: readonly number[]): number =>
--- a/packages/core/src/scheduler/start-window.ts
+++ b/packages/core/src/scheduler/start-window.ts
@@ -15,7 +15,7 @@
 	readonly reducedAt: number;
 	/** Moving average of the answer time, in milliseconds. */
 	readonly meanAnswerMs: number;
-	/** Answer time without queueing, as measured with the smallest window. */
+	/** Answer time without queueing, estimated in milliseconds. */
 	readonly unqueuedAnswerMs: number;
 };
 
--- a/packages/core/src/scheduler/suspected-executors.ts
+++ b/packages/core/src/scheduler/suspected-executors.ts
@@ -13,7 +13,7 @@
 import {maxClockDrift} from './remote-clock.js';
 import type {ListedExecutor} from './types.js';
 
-/** Time without an answer after which an executor is suspected; polls get lost. */
+/** Milliseconds without an answer after which an executor is suspected. */
 export const suspectAfterMs = 1000;
 
 /** Roster entry: an executor that may run tasks, stored for the next owner. */
--- a/packages/core/src/scheduler/types.ts
+++ b/packages/core/src/scheduler/types.ts
@@ -33,7 +33,7 @@
 	readonly allowsCopies: boolean;
 	/** The tasks run until the job is cancelled; any that end are restarted. */
 	readonly isLongRunning: boolean;
-	/** Container image; tasks with the same image behave alike. */
+	/** Name of the image; tasks with the same image behave alike. */
 	readonly image: string | undefined;
 	/** Target for the tail latency of the requests that the task serves. */
 	readonly targetTailMs: number | undefined;
