--- a/packages/core/src/scheduler/service-load.ts
+++ b/packages/core/src/scheduler/service-load.ts
@@ -39,7 +39,7 @@
 	/** Executors needed to satisfy `maxPerExecutor` of the loaded steps. */
 	readonly minExecutors: number;
 	readonly executors: Readonly<Record<string, ExecutorLoad>>;
-	/** Unresponsive executors, with the milliseconds since the last answer. */
+	/** Unresponsive executors, with the milliseconds since they became so. */
 	readonly silent: Readonly<Record<string, number>>;
 };
 
