--- a/packages/daemon/src/jobs/entry/other-entries.ts
+++ b/packages/daemon/src/jobs/entry/other-entries.ts
@@ -4,7 +4,7 @@
 import type {PeerChannel} from '../../peers/peer-channel.js';
 import type {JobPeerMethods} from '../peer-methods.js';
 import {periods} from '../periods.js';
-import type {ShardHolder} from '../shards/lease-book.js';
+import type {ShardHolder} from '../shards/lease-cache.js';
 import type {Members} from '../shards/members.js';
 import type {CancelOutcome} from './cancel-outcome.js';
 import type {SubmitOutcome} from './submissions.js';
--- a/packages/daemon/src/jobs/entry/owner-channel.ts
+++ b/packages/daemon/src/jobs/entry/owner-channel.ts
@@ -8,12 +8,12 @@
 import type {JobReading, OwnerRunner} from '../owner/owner-runner.js';
 import type {JobPeerMethods} from '../peer-methods.js';
 import {periods} from '../periods.js';
-import type {LeaseBook} from '../shards/lease-book.js';
+import type {LeaseCache} from '../shards/lease-cache.js';
 import type {SubmitOutcome} from './submissions.js';
 
 /** What the channel needs. */
 export type OwnerChannelDeps = {
-	readonly book: LeaseBook;
+	readonly book: LeaseCache;
 	readonly peers: Pick<PeerChannel, 'call'>;
 	readonly getLocal: (shard: string) => OwnerRunner | undefined;
 };
--- a/packages/daemon/src/jobs/entry/queue-history.ts
+++ b/packages/daemon/src/jobs/entry/queue-history.ts
@@ -16,7 +16,7 @@
 import {periods} from '../periods.js';
 import {shareCalls} from '../share-calls.js';
 import {decodeRow, parseServiceShard, sharedPart} from '../rows/tables.js';
-import {readWhole} from '../rows/table-feed.js';
+import {readRange} from '../rows/table-feed.js';
 
 /** The history. */
 export type QueueHistory = {
@@ -74,7 +74,7 @@
 	};
 
 	const readPart = async (part: string): Promise<boolean> => {
-		const rows = await readWhole(
+		const rows = await readRange(
 			store,
 			{table: historyTable, part},
 			periods.storeTimeoutMs,
--- a/packages/daemon/src/jobs/entry/submission-batch.ts
+++ b/packages/daemon/src/jobs/entry/submission-batch.ts
@@ -1,6 +1,6 @@
 /** Which submissions go together in one transaction. */
 import type {scheduler} from '@gullstand/core';
-import {getValueBytes, maxValueBytes} from '../rows/transaction-size.js';
+import {getValueBytes, maxTransactionBytes} from '../rows/transaction-size.js';
 
 /** A submission and the text of its row. */
 export type BatchItem = {
@@ -44,7 +44,7 @@
 	let bytes = 0;
 
 	const hasBytesFor = (text: string): boolean =>
-		items.size === 0 || bytes + getValueBytes(text) <= maxValueBytes;
+		items.size === 0 || bytes + getValueBytes(text) <= maxTransactionBytes;
 
 	// A job that is stored before its queue is told has no owner that is known
 	// once the queue has moved: it would be answered as if it did not exist.
--- a/packages/daemon/src/jobs/entry/submissions.test.ts
+++ b/packages/daemon/src/jobs/entry/submissions.test.ts
@@ -9,7 +9,7 @@
 	now,
 } from '../job-world.test.fixture.js';
 import {getServiceShard, tables} from '../rows/tables.js';
-import {createLeaseBook} from '../shards/lease-book.js';
+import {createLeaseCache} from '../shards/lease-cache.js';
 import {createSubmissions, isSameJob} from './submissions.js';
 
 const job = createAccepted('0');
@@ -62,7 +62,7 @@
 const openSubmissions = (store: ports.RowStore) =>
 	createSubmissions({
 		store,
-		book: createLeaseBook({
+		book: createLeaseCache({
 			logger: noLogger,
 			rowFaults: noRowFaults,
 			onChange: () => undefined,
@@ -217,7 +217,7 @@
 				return inner.transact(transaction, timeoutMs);
 			},
 		},
-		book: createLeaseBook({
+		book: createLeaseCache({
 			logger: noLogger,
 			rowFaults: noRowFaults,
 			onChange: () => undefined,
--- a/packages/daemon/src/jobs/entry/submissions.ts
+++ b/packages/daemon/src/jobs/entry/submissions.ts
@@ -14,7 +14,7 @@
 	jobSchema,
 	tables,
 } from '../rows/tables.js';
-import type {LeaseBook} from '../shards/lease-book.js';
+import type {LeaseCache} from '../shards/lease-cache.js';
 import {createHistoryRow} from './queue-history.js';
 import {createBatch, listUntold} from './submission-batch.js';
 
@@ -32,7 +32,7 @@
 /** What the submissions need. */
 export type SubmissionsDeps = {
 	readonly store: RowStore;
-	readonly book: LeaseBook;
+	readonly book: LeaseCache;
 	/** The store does not answer: nothing is sent to it. */
 	readonly isStoreSuspect: () => boolean;
 	readonly now: () => number;
@@ -143,7 +143,7 @@
 		const stored = new Map<string, StoredRow>();
 		for (const row of rows) {
 			if (row.table === tables.lease) {
-				book.note(row);
+				book.applyRow(row);
 			} else if (row.version > 0) {
 				stored.set(row.key, row);
 			}
--- a/packages/daemon/src/jobs/executor-list.ts
+++ b/packages/daemon/src/jobs/executor-list.ts
@@ -44,7 +44,7 @@
 		if (problem === undefined) {
 			rowFaults.clear(registry, key);
 		} else {
-			rowFaults.note({table: registry, key, problem});
+			rowFaults.report({table: registry, key, problem});
 		}
 
 		if (value) {
--- a/packages/daemon/src/jobs/fleet/order-book.test.ts
+++ b/packages/daemon/src/jobs/fleet/command-log.test.ts
@@ -1,7 +1,7 @@
 import * as ports from '@gullstand/ports';
 import * as tap from 'tap';
 import {fleetShard, singleKeys, tables} from '../rows/tables.js';
-import {createOrderBook} from './order-book.js';
+import {createCommandLog} from './command-log.js';
 
 const turnoverMs = 3000;
 
@@ -33,7 +33,7 @@
 
 	const open = async () => {
 		const lost: string[] = [];
-		const book = createOrderBook({
+		const book = createCommandLog({
 			store,
 			held: {
 				shard: fleetShard,
@@ -61,16 +61,16 @@
 	async (t) => {
 		const world = await createWorld();
 		const first = await world.open();
-		t.ok(await first.book.note(['a']));
-		t.ok(first.book.mayOrder('a'), 'the holder itself may go on');
+		t.ok(await first.book.record(['a']));
+		t.ok(first.book.mayCommand('a'), 'the holder itself may go on');
 		world.clock.at += 1000;
 		const second = await world.open();
-		t.notOk(second.book.mayOrder('a'));
-		t.ok(second.book.mayOrder('b'));
+		t.notOk(second.book.mayCommand('a'));
+		t.ok(second.book.mayCommand('b'));
 		world.clock.at += turnoverMs - 1000;
-		t.notOk(second.book.mayOrder('a'), 'the order may have been under way');
+		t.notOk(second.book.mayCommand('a'), 'the order may have been under way');
 		world.clock.at += 500;
-		t.ok(second.book.mayOrder('a'));
+		t.ok(second.book.mayCommand('a'));
 	},
 );
 
@@ -80,7 +80,7 @@
 		const world = await createWorld();
 		const first = await world.open();
 		await world.open();
-		t.notOk(await first.book.note(['a']));
+		t.notOk(await first.book.record(['a']));
 		t.same(first.lost, ['lost']);
 	},
 );
@@ -91,7 +91,7 @@
 		const world = await createWorld();
 		const {book} = await world.open();
 		world.inner.setFault(() => 'lost-after');
-		t.notOk(await book.note(['a']));
+		t.notOk(await book.record(['a']));
 		t.notOk(await book.load());
 	},
 );
--- a/packages/daemon/src/jobs/fleet/order-book.ts
+++ b/packages/daemon/src/jobs/fleet/command-log.ts
@@ -11,16 +11,16 @@
 import type {HeldShard} from '../shards/held-shard.js';
 
 /** The book. */
-export type OrderBook = {
+export type CommandLog = {
 	/** Reads what the holder before has left; false without an answer. */
 	readonly load: () => Promise<boolean>;
 	/** Notes machines as ordered; only then may they be. */
-	readonly note: (machines: readonly string[]) => Promise<boolean>;
-	readonly mayOrder: (machine: string) => boolean;
+	readonly record: (machines: readonly string[]) => Promise<boolean>;
+	readonly mayCommand: (machine: string) => boolean;
 };
 
 /** What the book needs. */
-export type OrderBookDeps = {
+export type CommandLogDeps = {
 	readonly store: RowStore;
 	readonly held: HeldShard;
 	readonly now: () => number;
@@ -39,7 +39,7 @@
 const transitMs = 300;
 
 /** Creates a book that knows nothing. */
-export const createOrderBook = (deps: OrderBookDeps): OrderBook => {
+export const createCommandLog = (deps: CommandLogDeps): CommandLog => {
 	const {store, held, now, turnoverMs, logger} = deps;
 	const lastOrders = new Map<string, number>();
 	/** From when on a machine that the holder before ordered is free. */
@@ -91,7 +91,7 @@
 
 			return true;
 		},
-		async note(machines) {
+		async record(machines) {
 			forgetOld();
 			for (const machine of machines) {
 				lastOrders.set(machine, getStoreNow());
@@ -118,6 +118,6 @@
 
 			return false;
 		},
-		mayOrder: (machine) => now() >= (freeAt.get(machine) ?? 0),
+		mayCommand: (machine) => now() >= (freeAt.get(machine) ?? 0),
 	};
 };
--- a/packages/daemon/src/jobs/fleet/fleet-context.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-context.ts
@@ -6,7 +6,7 @@
 import type {OwnerChannel} from '../entry/owner-channel.js';
 import {getServiceShard} from '../rows/tables.js';
 import type {HeldShard} from '../shards/held-shard.js';
-import type {OrderBook} from './order-book.js';
+import type {CommandLog} from './command-log.js';
 
 /** Times of the fleet's work, in milliseconds. */
 export const fleetPeriods = {
@@ -15,15 +15,15 @@
 	/** A call to the platform. */
 	platformTimeoutMs: 1500,
 	/** How long work may end by itself before it is stopped. */
-	patienceMs: 1400,
+	evacuationGraceMs: 1400,
 	/** Time that one machine of a wave takes, emptying included. */
-	turnMs: 4500,
+	machineMaintenanceMs: 4500,
 	/** A machine that is not empty within this time does not move ... */
-	emptyMs: 4000,
+	moveEvacuationTimeoutMs: 4000,
 	/** ... and its work is never stopped for a move. */
-	movePatienceMs: 60_000,
+	moveEvacuationGraceMs: 60_000,
 	/** A move that does not show in the list within this time is given up. */
-	moveMs: 15_000,
+	moveTimeoutMs: 15_000,
 } as const;
 
 /** What a round of work needs. */
@@ -38,17 +38,17 @@
 	/** Services whose owner must agree before a machine goes. */
 	readonly hasOwner: (service: string) => boolean;
 	/** Whether orders may be given now. */
-	readonly mayOrder: () => boolean;
+	readonly mayCommand: () => boolean;
 	/** Machines ordered lately, by this holder and the one before. */
-	readonly orders: OrderBook;
+	readonly commandLog: CommandLog;
 	readonly isStopped: () => boolean;
-	readonly lose: (reason: string) => void;
+	readonly loseShard: (reason: string) => void;
 };
 
 /** Machines and loads as read at the beginning of a round. */
 export type FleetView = {
 	/** When the list was asked for. */
-	readonly askedAt: number;
+	readonly requestedAt: number;
 	readonly machines: ReadonlyMap<string, Machine>;
 	/** By service; absent where its owner did not answer. */
 	readonly loads: ReadonlyMap<string, scheduler.ServiceLoad>;
@@ -64,22 +64,22 @@
 const neverListedMs = 3000;
 
 /** Executors that the lists have shown so far. */
-export type SeenExecutors = Set<string>;
+export type ListedExecutorIds = Set<string>;
 
 /**
  * Tells owners which silent executors are on no machine any more: the platform
  * knows that a machine is down before any lease there is over, and still lists
  * one that is only cut off.
  */
-export const tellGone = async (
+export const reportTerminated = async (
 	{owners, clock, logger}: FleetContext,
-	{machines, loads, askedAt}: FleetView,
-	seen: SeenExecutors,
+	{machines, loads, requestedAt}: FleetView,
+	seen: ListedExecutorIds,
 ): Promise<void> => {
 	const present = new Set(
 		[...machines.values()].flatMap(({executorId}) => executorId ?? []),
 	);
-	const ageMs = clock.now() - askedAt;
+	const ageMs = clock.now() - requestedAt;
 	const gone = [...loads].flatMap(([pool, {silent}]) =>
 		Object.entries(silent).flatMap(([id, forMs]) => {
 			const wasListed = seen.has(id) || forMs > neverListedMs + ageMs;
@@ -111,7 +111,7 @@
 	logger,
 	hasOwner,
 }: FleetContext): Promise<FleetView | undefined> => {
-	const askedAt = clock.now();
+	const requestedAt = clock.now();
 	const listed = await machines.list(fleetPeriods.platformTimeoutMs);
 	if (!listed.ok) {
 		logger.warn('machines not read', {reason: listed.error.kind});
@@ -124,7 +124,7 @@
 		owned.map(async (pool) => owners.readLoad(getServiceShard(pool))),
 	);
 	return {
-		askedAt,
+		requestedAt,
 		machines: new Map(listed.value.map((each) => [each.id, each])),
 		loads: new Map(
 			owned.flatMap((pool, index) => {
@@ -143,7 +143,7 @@
 	executorId === undefined ? undefined : loads.get(pool)?.executors[executorId];
 
 /** Whether nothing runs on a machine any more, by its pool's owner. */
-export const emptyMachine = async (
+export const evacuateMachine = async (
 	{owners, hasOwner}: FleetContext,
 	{pool, executorId}: Pick<fleet.WaveMachine, 'pool' | 'executorId'>,
 	patienceMs: number,
--- a/packages/daemon/src/jobs/fleet/fleet-runner.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-runner.ts
@@ -14,13 +14,13 @@
 import {
 	fleetPeriods,
 	readFleetView,
-	tellGone,
+	reportTerminated,
 	type FleetContext,
-	type SeenExecutors,
+	type ListedExecutorIds,
 } from './fleet-context.js';
-import {createOrderBook} from './order-book.js';
-import {createPoolRounds} from './pool-round.js';
-import {createWaveRounds, type WaveStatusPort} from './wave-round.js';
+import {createCommandLog} from './command-log.js';
+import {createPoolMover} from './pool-mover.js';
+import {createWaveRunner, type WaveStatusPort} from './wave-runner.js';
 
 /** What the runner needs. */
 export type FleetRunnerDeps = {
@@ -36,8 +36,8 @@
 	/** Time between orders of two holders for one machine, milliseconds. */
 	readonly turnoverMs: number;
 	/** How long the holder acts without having confirmed its lease. */
-	readonly beliefMs: number;
-	readonly getConfirmed: () => Moment | undefined;
+	readonly maxUnconfirmedMs: number;
+	readonly getLeasesConfirmedAt: () => Moment | undefined;
 	readonly listWaves: () => readonly WaveRequest[];
 	readonly hasOwner: (service: string) => boolean;
 	readonly getStandbyPool: () => string | undefined;
@@ -56,7 +56,7 @@
 	const {held, clock} = deps;
 	const logger = deps.logger.child({shard: held.shard});
 	const state = {isStopped: false};
-	const seen: SeenExecutors = new Set();
+	const seen: ListedExecutorIds = new Set();
 
 	const lose = (reason: string) => {
 		if (!state.isStopped) {
@@ -66,9 +66,10 @@
 	};
 
 	const isBelieved = (): boolean =>
-		!state.isStopped && isWithin(clock, deps.getConfirmed(), deps.beliefMs);
+		!state.isStopped &&
+		isWithin(clock, deps.getLeasesConfirmedAt(), deps.maxUnconfirmedMs);
 
-	const orders = createOrderBook({
+	const orders = createCommandLog({
 		store: deps.store,
 		held,
 		now: clock.now,
@@ -88,25 +89,25 @@
 		clock,
 		logger,
 		hasOwner: deps.hasOwner,
-		mayOrder: isBelieved,
-		orders,
+		mayCommand: isBelieved,
+		commandLog: orders,
 		isStopped: () => state.isStopped,
-		lose,
+		loseShard: lose,
 	};
-	const waves = createWaveRounds(context, deps.status);
-	const pools = createPoolRounds(context, {
+	const waves = createWaveRunner(context, deps.status);
+	const pools = createPoolMover(context, {
 		cfg: deps.pools,
 		getStandbyPool: deps.getStandbyPool,
-		isTaken: waves.isTaken,
+		isReserved: waves.isReserved,
 	});
 
 	const runRound = async () => {
-		await waves.noteRequests(deps.listWaves());
+		await waves.acceptRequests(deps.listWaves());
 		const view = await readFleetView(context);
 		if (view) {
-			await tellGone(context, view, seen);
-			await waves.run(view);
-			await pools.run(view);
+			await reportTerminated(context, view, seen);
+			await waves.runRound(view);
+			await pools.runRound(view);
 		}
 	};
 
--- a/packages/daemon/src/jobs/fleet/pool-round.ts
+++ b/packages/daemon/src/jobs/fleet/pool-mover.ts
@@ -3,7 +3,7 @@
 import type {Machine, MachineAnswer} from '@gullstand/ports';
 import {match} from 'ts-pattern';
 import {
-	emptyMachine,
+	evacuateMachine,
 	fleetPeriods,
 	getMachineLoad,
 	type FleetContext,
@@ -11,17 +11,17 @@
 } from './fleet-context.js';
 
 /** Moves under way. */
-export type PoolRounds = {
-	readonly run: (view: FleetView) => Promise<void>;
+export type PoolMover = {
+	readonly runRound: (view: FleetView) => Promise<void>;
 };
 
 /** What the moves need beside the context. */
-export type PoolRoundsDeps = {
+export type PoolMoverDeps = {
 	readonly cfg: fleet.PoolConfig;
 	/** The pool whose machines are off; absent where there is none. */
 	readonly getStandbyPool: () => string | undefined;
 	/** Whether something else is done with a machine. */
-	readonly isTaken: (machine: string) => boolean;
+	readonly isReserved: (machine: string) => boolean;
 };
 
 /** Between two lines about all pools, in milliseconds. */
@@ -38,10 +38,10 @@
 };
 
 /** Creates the work on moves. */
-export const createPoolRounds = (
+export const createPoolMover = (
 	context: FleetContext,
-	deps: PoolRoundsDeps,
-): PoolRounds => {
+	deps: PoolMoverDeps,
+): PoolMover => {
 	const {clock, logger, held} = context;
 	const underWay = new Map<string, MoveUnderWay>();
 	/** Pools that the platform says a machine cannot join. */
@@ -69,7 +69,7 @@
 				end(move, answer);
 			})
 			.with('fenced', () => {
-				context.lose('the platform has seen a higher fencing token');
+				context.loseShard('the platform has seen a higher fencing token');
 			})
 			.exhaustive();
 	};
@@ -99,22 +99,25 @@
 		const ageMs = clock.now() - since;
 		if (phase === 'ordered') {
 			const isThere = machine.pool === move.to && machine.state === 'up';
-			if (isThere || ageMs > fleetPeriods.moveMs) {
+			if (isThere || ageMs > fleetPeriods.moveTimeoutMs) {
 				end(move, isThere ? 'done' : 'not seen');
 			}
 
 			return;
 		}
 
-		if (machine.state !== 'up' || ageMs > fleetPeriods.emptyMs) {
+		if (
+			machine.state !== 'up' ||
+			ageMs > fleetPeriods.moveEvacuationTimeoutMs
+		) {
 			end(move, 'not empty in time');
 			return;
 		}
 
-		entry.isClear = await emptyMachine(
+		entry.isClear = await evacuateMachine(
 			context,
 			machine,
-			fleetPeriods.movePatienceMs,
+			fleetPeriods.moveEvacuationGraceMs,
 		);
 	};
 
@@ -124,11 +127,11 @@
 			({phase, isClear, move}) =>
 				phase === 'emptying' &&
 				isClear &&
-				context.orders.mayOrder(move.machine),
+				context.commandLog.mayCommand(move.machine),
 		);
 		const machines = clear.map(({move}) => move.machine);
-		const mayOrder = machines.length > 0 && context.mayOrder();
-		if (mayOrder && (await context.orders.note(machines))) {
+		const mayOrder = machines.length > 0 && context.mayCommand();
+		if (mayOrder && (await context.commandLog.record(machines))) {
 			await Promise.all(clear.map(async (entry) => order(entry)));
 		}
 	};
@@ -146,7 +149,7 @@
 			cpuMillis: machine.capacity.cpuMillis,
 			runs: load?.runs ?? 0,
 			lasting: load?.lasting ?? 0,
-			isTaken: deps.isTaken(machine.id),
+			isTaken: deps.isReserved(machine.id),
 		};
 	};
 
@@ -231,9 +234,9 @@
 	};
 
 	return {
-		async run(view) {
+		async runRound(view) {
 			const standbyPool = deps.getStandbyPool();
-			if (standbyPool !== undefined && context.mayOrder()) {
+			if (standbyPool !== undefined && context.mayCommand()) {
 				plan(view, standbyPool);
 			}
 
--- a/packages/daemon/src/jobs/fleet/wave-rows.ts
+++ b/packages/daemon/src/jobs/fleet/wave-rows.ts
@@ -4,7 +4,7 @@
 import * as z from 'zod';
 import type {Logger} from '../../log/logger.js';
 import {periods} from '../periods.js';
-import {readWhole} from '../rows/table-feed.js';
+import {readRange} from '../rows/table-feed.js';
 import {decodeRows} from '../rows/decode-rows.js';
 import {fleetShard, getLeaseCheck} from '../rows/tables.js';
 import type {HeldShard} from '../shards/held-shard.js';
@@ -35,14 +35,14 @@
 });
 
 /** Outcome of a write: `unknown` may take effect later. */
-export type WaveWrite = 'stored' | 'not-stored' | 'lost-shard';
+export type WaveWriteOutcome = 'stored' | 'not-stored' | 'lost-shard';
 
 /** Reads all waves that were begun; `undefined` if the store does not answer. */
 export const readWaves = async (
 	store: RowStore,
 	logger: Pick<Logger, 'warn'>,
 ): Promise<readonly fleet.MachineWave[] | undefined> => {
-	const rows = await readWhole(
+	const rows = await readRange(
 		store,
 		{table: waveTable, part: fleetShard},
 		periods.storeTimeoutMs,
@@ -60,7 +60,7 @@
 	store: RowStore,
 	held: HeldShard,
 	wave: fleet.MachineWave,
-): Promise<WaveWrite> => {
+): Promise<WaveWriteOutcome> => {
 	const result = await store.transact(
 		{
 			checks: [getLeaseCheck(held)],
--- a/packages/daemon/src/jobs/fleet/wave-round.test.ts
+++ b/packages/daemon/src/jobs/fleet/wave-runner.test.ts
@@ -4,7 +4,7 @@
 import * as tap from 'tap';
 import {fleetShard} from '../rows/tables.js';
 import type {FleetContext, FleetView} from './fleet-context.js';
-import {createWaveRounds} from './wave-round.js';
+import {createWaveRunner} from './wave-runner.js';
 
 const noLogger = {
 	info: () => undefined as never,
@@ -60,7 +60,7 @@
 		createMachine(`m${index}`),
 	);
 	const view: FleetView = {
-		askedAt: 0,
+		requestedAt: 0,
 		machines: new Map(machines.map((each) => [each.id, each])),
 		loads: new Map(load === 'silent' ? [] : [['s', load]]),
 	};
@@ -98,23 +98,23 @@
 		clock: {now: () => 0, epochNow: () => 0},
 		logger: noLogger,
 		hasOwner: () => true,
-		mayOrder: () => world.state.mayOrder,
-		orders: {
+		mayCommand: () => world.state.mayOrder,
+		commandLog: {
 			load: async () => true,
-			async note(noted) {
+			async record(noted) {
 				world.events.push(`noted ${noted.length}`);
 				return world.state.isNoted;
 			},
-			mayOrder: () => true,
+			mayCommand: () => true,
 		},
 		isStopped: () => false,
-		lose: () => undefined,
+		loseShard: () => undefined,
 	};
-	const rounds = createWaveRounds(context, {write: async () => true});
+	const rounds = createWaveRunner(context, {write: async () => true});
 	return {
 		...world,
 		async begin() {
-			await rounds.noteRequests([
+			await rounds.acceptRequests([
 				{
 					id: 'w',
 					machines: machines.map(({id}) => id),
@@ -124,8 +124,8 @@
 			]);
 			world.events.length = 0;
 		},
-		run: async () => rounds.run(view),
-		isTaken: rounds.isTaken,
+		run: async () => rounds.runRound(view),
+		isTaken: rounds.isReserved,
 	};
 };
 
--- a/packages/daemon/src/jobs/fleet/wave-round.ts
+++ b/packages/daemon/src/jobs/fleet/wave-runner.ts
@@ -3,7 +3,7 @@
 import type {MachineAnswer, WaveRequest} from '@gullstand/ports';
 import {match} from 'ts-pattern';
 import {
-	emptyMachine,
+	evacuateMachine,
 	fleetPeriods,
 	getMachineLoad,
 	type FleetContext,
@@ -21,14 +21,14 @@
 };
 
 /** Waves under way. */
-export type WaveRounds = {
+export type WaveRunner = {
 	/** Reads the waves that were begun; false if the store does not answer. */
 	readonly load: () => Promise<boolean>;
 	/** Takes in waves that were asked for since. */
-	readonly noteRequests: (requests: readonly WaveRequest[]) => Promise<void>;
-	readonly run: (view: FleetView) => Promise<void>;
+	readonly acceptRequests: (requests: readonly WaveRequest[]) => Promise<void>;
+	readonly runRound: (view: FleetView) => Promise<void>;
 	/** Whether a machine is being emptied or maintained for a wave. */
-	readonly isTaken: (machine: string) => boolean;
+	readonly isReserved: (machine: string) => boolean;
 };
 
 const toWaveMachines = ({
@@ -57,10 +57,10 @@
 };
 
 /** Creates the work on waves. */
-export const createWaveRounds = (
+export const createWaveRunner = (
 	context: FleetContext,
 	status: WaveStatusPort,
-): WaveRounds => {
+): WaveRunner => {
 	const {held, store, clock, logger} = context;
 	const waves = new Map<string, fleet.MachineWave>();
 	const emptying = new Set<string>();
@@ -68,7 +68,7 @@
 	const storeNow = async (wave: fleet.MachineWave): Promise<boolean> => {
 		const outcome = await storeWave(store, held, wave);
 		if (outcome === 'lost-shard') {
-			context.lose('the lease row has changed');
+			context.loseShard('the lease row has changed');
 		}
 
 		if (outcome !== 'stored') {
@@ -89,7 +89,7 @@
 			.with('busy', 'unavailable', () => fleet.takeBackMachine(wave, id))
 			.with('not-in-wave', 'invalid', () => fleet.skipMachine(wave, id))
 			.with('fenced', () => {
-				context.lose('the platform has seen a higher fencing token');
+				context.loseShard('the platform has seen a higher fencing token');
 				return wave;
 			})
 			// It may be carried out yet: it counts as away until it is back.
@@ -140,9 +140,9 @@
 		machines: readonly fleet.WaveMachine[],
 	): Promise<boolean> =>
 		machines.length > 0 &&
-		context.mayOrder() &&
-		(await context.orders.note(machines.map(({id}) => id))) &&
-		context.mayOrder();
+		context.mayCommand() &&
+		(await context.commandLog.record(machines.map(({id}) => id))) &&
+		context.mayCommand();
 
 	const begin = async (
 		wave: fleet.MachineWave,
@@ -178,7 +178,7 @@
 			const isStillThere =
 				machine?.isUp && machine.executorId === entry.executorId;
 			const isOpen = !entry.isAnswered && !entry.isBack;
-			return isOpen && isStillThere && context.orders.mayOrder(id)
+			return isOpen && isStillThere && context.commandLog.mayCommand(id)
 				? [machine]
 				: [];
 		});
@@ -204,17 +204,17 @@
 				machines,
 				emptying,
 				getLoad: (machine) => getLoad(view, machine),
-				turnMs: fleetPeriods.turnMs,
+				turnMs: fleetPeriods.machineMaintenanceMs,
 			},
 			clock.epochNow(),
 		);
 		const isPressed = fleet.isPressed(
 			wave,
 			machines,
-			fleetPeriods.turnMs,
+			fleetPeriods.machineMaintenanceMs,
 			clock.epochNow(),
 		);
-		const patienceMs = isPressed ? 0 : fleetPeriods.patienceMs;
+		const patienceMs = isPressed ? 0 : fleetPeriods.evacuationGraceMs;
 		const leaving = step.evacuate.flatMap((id) => machines.get(id) ?? []);
 		for (const {id} of leaving) {
 			emptying.add(id);
@@ -222,11 +222,11 @@
 
 		const areClear = await Promise.all(
 			leaving.map(async (machine) =>
-				emptyMachine(context, machine, patienceMs),
+				evacuateMachine(context, machine, patienceMs),
 			),
 		);
 		const clear = leaving.filter(
-			({id}, index) => areClear[index] && context.orders.mayOrder(id),
+			({id}, index) => areClear[index] && context.commandLog.mayCommand(id),
 		);
 		return begin(wave, clear.slice(0, step.mayBegin));
 	};
@@ -291,21 +291,21 @@
 
 			return read !== undefined;
 		},
-		async noteRequests(requests) {
+		async acceptRequests(requests) {
 			for (const request of requests) {
 				if (!waves.has(request.id)) {
 					await noteRequest(request);
 				}
 			}
 		},
-		async run(view) {
+		async runRound(view) {
 			for (const wave of waves.values()) {
 				if (!wave.isCompleted && !context.isStopped()) {
 					await runWave(wave, view);
 				}
 			}
 		},
-		isTaken: (machine) =>
+		isReserved: (machine) =>
 			emptying.has(machine) ||
 			[...waves.values()].some(
 				({begun}) => begun[machine] && !begun[machine].isBack,
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -28,7 +28,7 @@
 import {createRoutes, type Routes} from './entry/routes.js';
 import {createSubmissions} from './entry/submissions.js';
 import {createFleetRunner, type FleetRunner} from './fleet/fleet-runner.js';
-import type {WaveStatusPort} from './fleet/wave-round.js';
+import type {WaveStatusPort} from './fleet/wave-runner.js';
 import {createJobMetrics, type JobMetrics} from './job-metrics.js';
 import {
 	createOwnedServices,
@@ -40,7 +40,7 @@
 import {createFeedFollower} from './rows/feed-follower.js';
 import {createRowFaults} from './rows/row-faults.js';
 import {watchStore} from './rows/store-health.js';
-import {createRecentFeed, createTableFeed} from './rows/table-feed.js';
+import {createChangesOnlyFeed, createTableFeed} from './rows/table-feed.js';
 import {
 	fleetShard,
 	getServiceShard,
@@ -49,7 +49,7 @@
 	type LeaseRow,
 } from './rows/tables.js';
 import {createHeartbeat} from './shards/heartbeat.js';
-import {createLeaseBook} from './shards/lease-book.js';
+import {createLeaseCache} from './shards/lease-cache.js';
 import {createMembers} from './shards/members.js';
 import type {HeldShard} from './shards/held-shard.js';
 import {createShardKeeper} from './shards/shard-keeper.js';
@@ -133,11 +133,11 @@
 		logger,
 		rowFaults,
 	});
-	const book = createLeaseBook({
+	const book = createLeaseCache({
 		logger,
 		rowFaults,
 		onChange(shard, lease) {
-			keeper.noteLease(shard, lease);
+			keeper.applyLease(shard, lease);
 		},
 	});
 
@@ -191,7 +191,7 @@
 
 	const submissions = createSubmissions({
 		store,
-		isStoreSuspect: watched.isSuspect,
+		isStoreSuspect: watched.isUnresponsive,
 		book,
 		now,
 		logger,
@@ -258,14 +258,14 @@
 		metrics,
 		rowFaults,
 		hasService,
-		getConfirmed: () => leaseFollower.getConfirmed(),
+		getConfirmed: () => leaseFollower.getConfirmedAt(),
 		hasLetGo,
 		onLost(shard, rows) {
 			for (const row of rows) {
-				book.note(row);
+				book.applyRow(row);
 			}
 
-			keeper.noteDeposed(shard);
+			keeper.handleFenced(shard);
 		},
 		reportFailure(err) {
 			reportFailure(err);
@@ -284,15 +284,15 @@
 			logger,
 			pools: settings.pools,
 			turnoverMs: settings.machineTurnoverMs,
-			beliefMs: settings.scheduler.ownerBeliefMs,
-			getConfirmed: leaseFollower.getConfirmed,
+			maxUnconfirmedMs: settings.scheduler.ownerBeliefMs,
+			getLeasesConfirmedAt: leaseFollower.getConfirmedAt,
 			listWaves: () => [...waves.values()],
 			hasOwner,
 			getStandbyPool: () =>
 				routes.get()?.services.find(({isStandby}) => isStandby)?.name,
 			onLost(reason) {
 				logger.warn('fleet lost', {reason});
-				keeper.noteDeposed(fleetShard);
+				keeper.handleFenced(fleetShard);
 			},
 			reportFailure,
 		});
@@ -327,13 +327,13 @@
 		capacity: settings.capacity,
 		getAddress,
 		members,
-		book,
+		leases: book,
 		listShards,
 		mayClaim() {
-			const readAt = memberFollower.getConfirmed()?.at;
+			const readAt = memberFollower.getConfirmedAt()?.at;
 			return readAt !== undefined && now() - readAt < periods.leaseMs;
 		},
-		ensureHeartbeat: async () => heartbeat.ensure(),
+		ensureHeartbeat: async () => heartbeat.ensureRecent(),
 		isCandidate: () => role.isCandidate(),
 		now,
 		random: deps.random,
@@ -347,7 +347,7 @@
 	const role = createEntryRole({
 		self: {entry: self.entry, capacity: settings.capacity},
 		members,
-		book,
+		leases: book,
 		isHolding: () => keeper.isHolding(),
 		now,
 		logger,
@@ -395,7 +395,7 @@
 				waves.set(value.id, value);
 			})
 			.with({kind: 'unreadable'}, ({problem}) => {
-				rowFaults.note({table: operatorName, key, problem});
+				rowFaults.report({table: operatorName, key, problem});
 			})
 			.exhaustive();
 	};
@@ -406,7 +406,7 @@
 		periods: followPeriods.operator,
 		clock,
 		logger,
-		onWhole: applyOperator,
+		onSnapshot: applyOperator,
 		onChanges: applyOperator,
 	});
 
@@ -414,21 +414,21 @@
 		name: 'lease',
 		feed: createTableFeed(store, tables.lease, {kind: 'all'}),
 		periods: followPeriods.lease,
-		adjust: role.getLeasePeriods,
+		getOverrides: role.getLeasePeriods,
 		clock,
 		logger,
-		onWhole: book.apply,
+		onSnapshot: book.apply,
 		onChanges: book.apply,
 	});
 
 	const memberFollower = createFeedFollower({
 		name: 'daemon',
-		feed: createRecentFeed(store, tables.daemon),
+		feed: createChangesOnlyFeed(store, tables.daemon),
 		periods: followPeriods.daemon,
-		adjust: role.getDaemonPeriods,
+		getOverrides: role.getHeartbeatPeriods,
 		clock,
 		logger,
-		onWhole: members.applyChanges,
+		onSnapshot: members.applyChanges,
 		onChanges: members.applyChanges,
 		// Where all that send heartbeats are gone, nothing changes any more.
 		onUnchanged: members.applyChanges,
@@ -441,7 +441,7 @@
 		['daemon', memberFollower],
 	] as const) {
 		metrics.gauge('feed_age_ms', name, () => {
-			const confirmed = follower.getConfirmed();
+			const confirmed = follower.getConfirmedAt();
 			return confirmed && Math.round(now() - confirmed.at);
 		});
 	}
@@ -469,7 +469,7 @@
 			routes,
 			keeper,
 			members,
-			readLeases: leaseFollower.hasten,
+			readLeases: leaseFollower.skipPause,
 			now,
 		});
 		await channel.start(reportFailure);
@@ -499,7 +499,7 @@
 		}
 
 		state.isStarted = true;
-		await heartbeat.beatOnce();
+		await heartbeat.writeNow();
 		await heartbeat.start(report);
 		await keeper.start(report);
 		logger.info('daemon started', {
--- a/packages/daemon/src/jobs/job-world.test.fixture.ts
+++ b/packages/daemon/src/jobs/job-world.test.fixture.ts
@@ -4,7 +4,7 @@
 import * as ports from '@gullstand/ports';
 import winston from 'winston';
 import type {Logger} from '../log/logger.js';
-import type {WaveStatusPort} from './fleet/wave-round.js';
+import type {WaveStatusPort} from './fleet/wave-runner.js';
 import {createJobDaemon, type JobDaemon} from './job-daemon.js';
 import type {RowFaults} from './rows/row-faults.js';
 import type {HeldShard} from './shards/held-shard.js';
@@ -91,7 +91,7 @@
 
 /** Unreadable rows are not what the test is about. */
 export const noRowFaults: RowFaults = {
-	note: () => undefined,
+	report: () => undefined,
 	clear: () => undefined,
 	keepOnly: () => undefined,
 };
--- a/packages/daemon/src/jobs/owner/flusher.ts
+++ b/packages/daemon/src/jobs/owner/flusher.ts
@@ -8,7 +8,7 @@
 import type {Logger} from '../../log/logger.js';
 import {delay, getMoment, type Clock} from '../clock.js';
 import {periods} from '../periods.js';
-import {getLatestStoreMs, type StoreTime} from '../rows/store-time.js';
+import {getLatestStoreMs, type StoreClockReading} from '../rows/store-clock.js';
 import {
 	getLeaseCheck,
 	singleKeys,
@@ -29,7 +29,7 @@
 	readonly flushVersion: number;
 	readonly clock: Clock;
 	/** What the store's clock showed at the takeover. */
-	readonly storeTime: StoreTime;
+	readonly storeTime: StoreClockReading;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	/** Executors to which new ends are to be acknowledged. */
 	readonly onAckable: (executors: readonly scheduler.Executor[]) => void;
--- a/packages/daemon/src/jobs/owner/load-owner.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.ts
@@ -4,8 +4,8 @@
 import type {Logger} from '../../log/logger.js';
 import {periods} from '../periods.js';
 import {getMoment, type Clock} from '../clock.js';
-import type {StoreTime} from '../rows/store-time.js';
-import {readWhole} from '../rows/table-feed.js';
+import type {StoreClockReading} from '../rows/store-clock.js';
+import {readRange} from '../rows/table-feed.js';
 import {decodeRows} from '../rows/decode-rows.js';
 import {
 	jobSchema,
@@ -33,7 +33,7 @@
 	readonly version: number;
 	/** Version of the row that each flush rewrites; 0 if there is none. */
 	readonly flushVersion: number;
-	readonly storeTime: StoreTime;
+	readonly storeTime: StoreClockReading;
 };
 
 type Rows = {
@@ -41,7 +41,7 @@
 	readonly progress: readonly StoredRow[];
 	readonly kept: readonly StoredRow[];
 	readonly version: number;
-	readonly storeTime: StoreTime;
+	readonly storeTime: StoreClockReading;
 };
 
 /**
@@ -56,7 +56,7 @@
 	part: string,
 ): Promise<Result<Rows, RowStoreError>> => {
 	const readTable = async (table: string) =>
-		readWhole(store, {table, part, limit: pageLimit}, periods.storeTimeoutMs);
+		readRange(store, {table, part, limit: pageLimit}, periods.storeTimeoutMs);
 	// One after another: they share one link.
 	const jobs = await readTable(tables.job);
 	if (!jobs.ok) {
--- a/packages/daemon/src/jobs/owner/owned-services.ts
+++ b/packages/daemon/src/jobs/owner/owned-services.ts
@@ -88,7 +88,7 @@
 			periods: followPeriods.executors,
 			clock,
 			logger,
-			onWhole(batch) {
+			onSnapshot(batch) {
 				executorList.applyWhole(batch);
 				noteExecutors(true);
 			},
--- a/packages/daemon/src/jobs/owner/owner-runner.ts
+++ b/packages/daemon/src/jobs/owner/owner-runner.ts
@@ -355,7 +355,7 @@
 			startVersion: loaded.version,
 			clock,
 			logger,
-			onWhole: applyBatch,
+			onSnapshot: applyBatch,
 			onChanges: applyBatch,
 		});
 		logger.info('service taken over', {
--- a/packages/daemon/src/jobs/peer-handlers.ts
+++ b/packages/daemon/src/jobs/peer-handlers.ts
@@ -107,14 +107,14 @@
 	channel.addMethod('depose', jobPeerSchemas.depose, ({shard, token}) => {
 		const mine = keeper.listHeld().find((each) => each.shard === shard);
 		if (mine && mine.token < token) {
-			keeper.noteDeposed(shard);
+			keeper.handleFenced(shard);
 		}
 
 		return {incarnation};
 	});
 	channel.addMethod('shardReleased', jobPeerSchemas.shardReleased, () => {
 		readLeases();
-		keeper.hasten();
+		keeper.checkNow();
 		return {};
 	});
 	channel.addMethod(
--- a/packages/daemon/src/jobs/rows/feed-follower.test.ts
+++ b/packages/daemon/src/jobs/rows/feed-follower.test.ts
@@ -39,7 +39,7 @@
 			periods,
 			clock: {now: () => 5, epochNow: () => 5},
 			logger: {info: note, warn: note},
-			onWhole: () => undefined,
+			onSnapshot: () => undefined,
 			onChanges: () => undefined,
 		});
 		follower.start(reject);
@@ -102,7 +102,7 @@
 				periods,
 				clock: {now: () => 5, epochNow: () => 5},
 				logger: winston.createLogger({silent: true}),
-				onWhole: ({version}) => told.push(`whole ${version}`),
+				onSnapshot: ({version}) => told.push(`whole ${version}`),
 				onChanges: ({version}) => told.push(`changes ${version}`),
 				onUnchanged: ({version}) => told.push(`unchanged ${version}`),
 			});
@@ -130,10 +130,10 @@
 				},
 			},
 			periods,
-			adjust: () => (waits.length === 0 ? {} : {waitMs: 7}),
+			getOverrides: () => (waits.length === 0 ? {} : {waitMs: 7}),
 			clock: {now: () => 5, epochNow: () => 5},
 			logger: winston.createLogger({silent: true}),
-			onWhole: () => undefined,
+			onSnapshot: () => undefined,
 			onChanges: () => undefined,
 		});
 		follower.start(reject);
--- a/packages/daemon/src/jobs/rows/feed-follower.ts
+++ b/packages/daemon/src/jobs/rows/feed-follower.ts
@@ -28,13 +28,13 @@
 	readonly feed: Feed<Value>;
 	readonly periods: FollowPeriods;
 	/** Times that are others for now; asked before each call and pause. */
-	readonly adjust?: () => Partial<FollowPeriods>;
+	readonly getOverrides?: () => Partial<FollowPeriods>;
 	/** Where to begin; absent to read the feed whole first. */
 	readonly startVersion?: number;
 	readonly clock: Clock;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	/** All entries; those missing are gone. */
-	readonly onWhole: (batch: FeedBatch<Value>) => void;
+	readonly onSnapshot: (batch: FeedBatch<Value>) => void;
 	readonly onChanges: (batch: FeedBatch<Value>) => void;
 	/** An answer without changes, for whom it says something that there are none. */
 	readonly onUnchanged?: (batch: FeedBatch<Value>) => void;
@@ -46,11 +46,11 @@
 	readonly start: (reportFailure: ReportFailure) => void;
 	readonly stop: () => void;
 	/** When the last call that succeeded was sent. */
-	readonly getConfirmed: () => Moment | undefined;
+	readonly getConfirmedAt: () => Moment | undefined;
 	/** Whether the latest call failed. */
 	readonly isLost: () => boolean;
 	/** Ends the pause that is under way. */
-	readonly hasten: () => void;
+	readonly skipPause: () => void;
 };
 
 type State = {
@@ -67,7 +67,7 @@
 	const {name, feed, clock, logger} = deps;
 	const getPeriods = (): FollowPeriods => ({
 		...deps.periods,
-		...deps.adjust?.(),
+		...deps.getOverrides?.(),
 	});
 	const state: State = {
 		version: deps.startVersion,
@@ -134,7 +134,7 @@
 		noteSuccess(sent);
 		state.version = result.value.version;
 		if (version === undefined) {
-			deps.onWhole(result.value);
+			deps.onSnapshot(result.value);
 		} else if (result.value.entries.length > 0) {
 			deps.onChanges(result.value);
 		} else {
@@ -162,9 +162,9 @@
 			state.isStopped = true;
 			pause.end();
 		},
-		getConfirmed: () => state.confirmed,
+		getConfirmedAt: () => state.confirmed,
 		isLost: () => state.isLost,
-		hasten() {
+		skipPause() {
 			pause.end();
 		},
 	};
--- a/packages/daemon/src/jobs/rows/row-faults.test.ts
+++ b/packages/daemon/src/jobs/rows/row-faults.test.ts
@@ -14,10 +14,10 @@
 	{
 		name: 'read again and again',
 		steps(faults) {
-			faults.note(row);
-			faults.note(row);
+			faults.report(row);
+			faults.report(row);
 			faults.keepOnly('t', new Set(['k']));
-			faults.note(row);
+			faults.report(row);
 		},
 		lines: 1,
 		count: 1,
@@ -25,8 +25,8 @@
 	{
 		name: 'with another problem',
 		steps(faults) {
-			faults.note(row);
-			faults.note({...row, problem: 'no zone'});
+			faults.report(row);
+			faults.report({...row, problem: 'no zone'});
 		},
 		lines: 2,
 		count: 2,
@@ -34,8 +34,8 @@
 	{
 		name: 'of another key',
 		steps(faults) {
-			faults.note(row);
-			faults.note({...row, key: 'other'});
+			faults.report(row);
+			faults.report({...row, key: 'other'});
 		},
 		lines: 2,
 		count: 2,
@@ -43,9 +43,9 @@
 	{
 		name: 'that could be read meanwhile',
 		steps(faults) {
-			faults.note(row);
+			faults.report(row);
 			faults.clear('t', 'k');
-			faults.note(row);
+			faults.report(row);
 		},
 		lines: 2,
 		count: 2,
@@ -53,9 +53,9 @@
 	{
 		name: 'that was gone meanwhile',
 		steps(faults) {
-			faults.note(row);
+			faults.report(row);
 			faults.keepOnly('t', new Set());
-			faults.note(row);
+			faults.report(row);
 		},
 		lines: 2,
 		count: 2,
@@ -63,9 +63,9 @@
 	{
 		name: 'while another table was read whole',
 		steps(faults) {
-			faults.note(row);
+			faults.report(row);
 			faults.keepOnly('other', new Set());
-			faults.note(row);
+			faults.report(row);
 		},
 		lines: 1,
 		count: 1,
@@ -74,7 +74,7 @@
 		name: 'among more than are remembered',
 		steps(faults) {
 			for (let number = 0; number < 1500; number += 1) {
-				faults.note({...row, key: `k${number}`});
+				faults.report({...row, key: `k${number}`});
 			}
 		},
 		lines: 1000,
--- a/packages/daemon/src/jobs/rows/row-faults.ts
+++ b/packages/daemon/src/jobs/rows/row-faults.ts
@@ -15,7 +15,7 @@
 /** The faults that stand. */
 export type RowFaults = {
 	/** Tells and counts a row, unless it stands with the same problem. */
-	readonly note: (row: UnreadableRow) => void;
+	readonly report: (row: UnreadableRow) => void;
 	/** The row is gone or can be read: the next fault is a new one. */
 	readonly clear: (table: string, key: string) => void;
 	/** The table was read whole: rows of other keys are gone. */
@@ -46,7 +46,7 @@
 	const getId = (table: string, key: string): string => `${table}\n${key}`;
 
 	return {
-		note(row) {
+		report(row) {
 			const id = getId(row.table, row.key);
 			if (faults.get(id)?.problem === row.problem) {
 				return;
--- a/packages/daemon/src/jobs/rows/store-time.ts
+++ b/packages/daemon/src/jobs/rows/store-clock.ts
@@ -3,7 +3,7 @@
 import {getMostElapsedMs, type Clock, type Moment} from '../clock.js';
 
 /** A reading of the store's clock and when it was asked for. */
-export type StoreTime = {readonly nowMs: number; readonly sent: Moment};
+export type StoreClockReading = {readonly nowMs: number; readonly sent: Moment};
 
 /**
  * The latest that the store's clock may have shown at a time of the own one,
@@ -12,7 +12,7 @@
  */
 export const getLatestStoreMs = (
 	clock: Clock,
-	{nowMs, sent}: StoreTime,
+	{nowMs, sent}: StoreClockReading,
 	at: number,
 ): number => {
 	const elapsedMs = getMostElapsedMs(clock, sent);
--- a/packages/daemon/src/jobs/rows/store-health.test.ts
+++ b/packages/daemon/src/jobs/rows/store-health.test.ts
@@ -29,6 +29,6 @@
 			await watched.store.read(range, 10);
 		}
 
-		t.equal(watched.isSuspect(), isSuspect);
+		t.equal(watched.isUnresponsive(), isSuspect);
 	});
 }
--- a/packages/daemon/src/jobs/rows/store-health.ts
+++ b/packages/daemon/src/jobs/rows/store-health.ts
@@ -9,7 +9,7 @@
 	 * A call has had no answer and none has had one since. What is not sent
 	 * then is certainly not done, so that a caller can be told to come back.
 	 */
-	readonly isSuspect: () => boolean;
+	readonly isUnresponsive: () => boolean;
 };
 
 /** Watches a store. */
@@ -37,7 +37,7 @@
 	};
 
 	return {
-		isSuspect: () => lostAt > answeredAt,
+		isUnresponsive: () => lostAt > answeredAt,
 		store: {
 			transact: async (...args) => watch(inner.transact(...args)),
 			read: async (...args) => watch(inner.read(...args)),
--- a/packages/daemon/src/jobs/rows/table-feed.ts
+++ b/packages/daemon/src/jobs/rows/table-feed.ts
@@ -12,7 +12,7 @@
 import {getKeyAfter, sharedPart} from './tables.js';
 
 /** Rows of a range as they were read. */
-export type WholeRange = {
+export type RangeSnapshot = {
 	readonly rows: readonly StoredRow[];
 	/** Version of the first page. */
 	readonly version: number;
@@ -21,11 +21,11 @@
 };
 
 /** All rows of a range, page by page. */
-export const readWhole = async (
+export const readRange = async (
 	store: RowStore,
 	range: RowRange,
 	timeoutMs: number,
-): Promise<Result<WholeRange, RowStoreError>> => {
+): Promise<Result<RangeSnapshot, RowStoreError>> => {
 	const rows: StoredRow[] = [];
 	let version: number | undefined;
 	let from = range.from ?? '';
@@ -74,7 +74,7 @@
 	timeoutMs: number,
 ): Promise<Result<FeedBatch<ChangedRow>, RowStoreError>> => {
 	const pages = await Promise.all(
-		parts.map(async (part) => readWhole(store, {table, part}, timeoutMs)),
+		parts.map(async (part) => readRange(store, {table, part}, timeoutMs)),
 	);
 	const rows: ChangedRow[] = [];
 	let version = Number.POSITIVE_INFINITY;
@@ -133,7 +133,7 @@
  * version comes from one partition, so that the cost does not grow with the
  * table.
  */
-export const createRecentFeed = (
+export const createChangesOnlyFeed = (
 	store: RowStore,
 	table: string,
 ): Feed<ChangedRow> => ({
--- a/packages/daemon/src/jobs/rows/transaction-size.ts
+++ b/packages/daemon/src/jobs/rows/transaction-size.ts
@@ -7,7 +7,7 @@
  * of the 0.8 s that a commit is waited for at 7 Mbit/s, and the store takes
  * 1 MB. A larger one is refused or lost each time that it is tried.
  */
-export const maxValueBytes = 400_000;
+export const maxTransactionBytes = 400_000;
 
 /** Bytes of a value before it is encoded for the wire. */
 export const getValueBytes = (value: string): number =>
@@ -15,4 +15,5 @@
 
 /** Whether a transaction holds no more than it may. */
 export const isWithinSize = ({puts}: RowTransaction): boolean =>
-	puts.reduce((sum, {value}) => sum + getValueBytes(value), 0) <= maxValueBytes;
+	puts.reduce((sum, {value}) => sum + getValueBytes(value), 0) <=
+	maxTransactionBytes;
--- a/packages/daemon/src/jobs/shards/entry-role.ts
+++ b/packages/daemon/src/jobs/shards/entry-role.ts
@@ -7,14 +7,14 @@
 import type {Logger} from '../../log/logger.js';
 import {periods, observerPeriods} from '../periods.js';
 import type {FollowPeriods} from '../rows/feed-follower.js';
-import type {LeaseBook} from './lease-book.js';
+import type {LeaseCache} from './lease-cache.js';
 import {toLiveEntries, type Members} from './members.js';
 
 /** What the role of a daemon follows from. */
 export type EntryRoleDeps = {
 	readonly self: core.shardAssignment.LiveEntry;
 	readonly members: Members;
-	readonly book: Pick<LeaseBook, 'listHolders'>;
+	readonly leases: Pick<LeaseCache, 'listHolders'>;
 	/** Whether this daemon holds a shard or claims one. */
 	readonly isHolding: () => boolean;
 	readonly now: () => number;
@@ -29,17 +29,17 @@
 	/** How the leases are followed for now. */
 	readonly getLeasePeriods: () => Partial<FollowPeriods>;
 	/** How the heartbeats are followed for now. */
-	readonly getDaemonPeriods: () => Partial<FollowPeriods>;
+	readonly getHeartbeatPeriods: () => Partial<FollowPeriods>;
 };
 
 /** Creates the role of a daemon that has just started. */
 export const createEntryRole = (deps: EntryRoleDeps): EntryRole => {
-	const {self, members, book, now, logger} = deps;
+	const {self, members, leases, now, logger} = deps;
 	const startedAt = now();
 	let state = core.candidates.observer;
 
 	const listHolders = (): readonly string[] =>
-		book.listHolders().map(({entry}) => entry);
+		leases.listHolders().map(({entry}) => entry);
 
 	const isStarting = (): boolean =>
 		now() - startedAt < observerPeriods.firstBeatsMs;
@@ -49,7 +49,7 @@
 
 	const isHolderSuspect = (): boolean =>
 		listHolders().some(
-			(entry) => members.getSilentMs(entry) >= observerPeriods.suspectMs,
+			(entry) => members.getUnresponsiveMs(entry) >= observerPeriods.suspectMs,
 		);
 
 	return {
@@ -77,7 +77,7 @@
 		},
 		isCandidate: () => state.isCandidate || isStarting(),
 		getLeasePeriods: () => (isActive() ? {} : observerPeriods.lease),
-		getDaemonPeriods() {
+		getHeartbeatPeriods() {
 			if (isActive()) {
 				return {};
 			}
--- a/packages/daemon/src/jobs/shards/heartbeat.ts
+++ b/packages/daemon/src/jobs/shards/heartbeat.ts
@@ -28,9 +28,9 @@
 /** The heartbeat. */
 export type Heartbeat = Ticker & {
 	/** Writes the first one now; answers whether it is in the store. */
-	readonly beatOnce: () => Promise<boolean>;
+	readonly writeNow: () => Promise<boolean>;
 	/** Sees to it that a young one is in the store; answers whether it is. */
-	readonly ensure: () => Promise<boolean>;
+	readonly ensureRecent: () => Promise<boolean>;
 };
 
 /** Creates the heartbeat. */
@@ -82,8 +82,8 @@
 	return {
 		start: async (reportFailure: ReportFailure) => ticker.start(reportFailure),
 		stop: ticker.stop,
-		beatOnce,
-		async ensure() {
+		writeNow: beatOnce,
+		async ensureRecent() {
 			const isYoung =
 				writtenAt !== undefined && now() - writtenAt < periods.heartbeatMs;
 			return isYoung || beatOnce();
--- a/packages/daemon/src/jobs/shards/lease-book.test.ts
+++ b/packages/daemon/src/jobs/shards/lease-cache.test.ts
@@ -2,7 +2,7 @@
 import * as tap from 'tap';
 import {noLogger, noRowFaults} from '../job-world.test.fixture.js';
 import {getLeaseKey} from '../rows/tables.js';
-import {createLeaseBook, type ShardHolder} from './lease-book.js';
+import {createLeaseCache, type ShardHolder} from './lease-cache.js';
 
 type Lease = readonly [shard: string, holder: string | undefined];
 
@@ -41,7 +41,7 @@
 
 for (const {name, leases, holders} of cases) {
 	tap.t.test(`holders of ${name}`, (t) => {
-		const book = createLeaseBook({
+		const book = createLeaseCache({
 			logger: noLogger,
 			rowFaults: noRowFaults,
 			onChange: () => undefined,
@@ -54,7 +54,7 @@
 				address: `address of ${entry}`,
 			};
 			const value = JSON.stringify(lease);
-			book.note({...getLeaseKey(shard), version: 1, value});
+			book.applyRow({...getLeaseKey(shard), version: 1, value});
 		}
 
 		t.same(book.listHolders(), holders);
--- a/packages/daemon/src/jobs/shards/lease-book.ts
+++ b/packages/daemon/src/jobs/shards/lease-cache.ts
@@ -20,10 +20,10 @@
 export type ShardHolder = {readonly entry: string; readonly address: string};
 
 /** The leases known. */
-export type LeaseBook = {
+export type LeaseCache = {
 	readonly apply: (batch: FeedBatch<ChangedRow>) => void;
 	/** Takes in a row that came with another answer; older ones are dropped. */
-	readonly note: (row: ChangedRow | StoredRow) => void;
+	readonly applyRow: (row: ChangedRow | StoredRow) => void;
 	readonly get: (shard: string) => KnownLease | undefined;
 	/** Who holds shards, and where they are reached; each once. */
 	readonly listHolders: () => readonly ShardHolder[];
@@ -32,7 +32,7 @@
 };
 
 /** What the book needs. */
-export type LeaseBookDeps = {
+export type LeaseCacheDeps = {
 	readonly logger: Pick<Logger, 'info'>;
 	readonly rowFaults: RowFaults;
 	/** The lease of a shard has another version. */
@@ -40,18 +40,18 @@
 };
 
 /** Creates an empty book. */
-export const createLeaseBook = (deps: LeaseBookDeps): LeaseBook => {
+export const createLeaseCache = (deps: LeaseCacheDeps): LeaseCache => {
 	const {logger, rowFaults, onChange} = deps;
 	const known = new Map<string, KnownLease>();
 
-	const note: LeaseBook['note'] = ({part, key, version, value}) => {
+	const note: LeaseCache['applyRow'] = ({part, key, version, value}) => {
 		if (key !== singleKeys.lease || value === undefined) {
 			return;
 		}
 
 		const decoded = decodeRow(leaseSchema, value);
 		if (!decoded.ok) {
-			rowFaults.note({table: tables.lease, key: part, ...decoded.error});
+			rowFaults.report({table: tables.lease, key: part, ...decoded.error});
 			return;
 		}
 
@@ -73,7 +73,7 @@
 	};
 
 	return {
-		note,
+		applyRow: note,
 		apply({entries}) {
 			for (const {value} of entries) {
 				if (value) {
--- a/packages/daemon/src/jobs/shards/members.test.ts
+++ b/packages/daemon/src/jobs/shards/members.test.ts
@@ -13,7 +13,7 @@
 		observationGapMs: gapMs,
 		logger: {info: () => undefined as never},
 		rowFaults: {
-			note({key}) {
+			report({key}) {
 				told.push(key);
 			},
 			clear: () => undefined,
@@ -45,10 +45,10 @@
 		read(0, {a: 1, b: 1});
 		read(500, {b: 2});
 		read(1000, {b: 3});
-		t.equal(members.getSilentMs('a'), 1000);
-		t.equal(members.getSilentMs('b'), 0);
+		t.equal(members.getUnresponsiveMs('a'), 1000);
+		t.equal(members.getUnresponsiveMs('b'), 0);
 		clock.at = 1400;
-		t.equal(members.getSilentMs('a'), 1400);
+		t.equal(members.getUnresponsiveMs('a'), 1400);
 		t.same(members.listLive(1000), ['b']);
 	},
 );
@@ -77,16 +77,20 @@
 	const {clock, members, read} = createWorld();
 	read(0, {a: 1, b: 1});
 	clock.at = 9000;
-	t.equal(members.getSilentMs('a'), 0, 'this daemon may be the one cut off');
+	t.equal(
+		members.getUnresponsiveMs('a'),
+		0,
+		'this daemon may be the one cut off',
+	);
 });
 
 tap.t.test('after a gap silence is measured afresh', async (t) => {
 	const {clock, members, read} = createWorld();
 	read(0, {a: 1, b: 1});
 	read(9000, {b: 2});
-	t.equal(members.getSilentMs('a'), 0);
+	t.equal(members.getUnresponsiveMs('a'), 0);
 	clock.at = 9800;
-	t.equal(members.getSilentMs('a'), 800);
+	t.equal(members.getUnresponsiveMs('a'), 800);
 });
 
 tap.t.test('a daemon is live since its life was first seen', async (t) => {
@@ -149,14 +153,14 @@
 		t.equal(members.get('a'), undefined, 'no other life is known');
 		read(500, {b: 1});
 		clock.at = 900;
-		t.equal(members.getSilentMs('a'), 900, 'its silence does');
+		t.equal(members.getUnresponsiveMs('a'), 900, 'its silence does');
 		read(1000, {a: 1, b: 2});
 		t.equal(members.get('a')?.incarnation, 'i');
-		t.equal(members.getSilentMs('a'), 0);
+		t.equal(members.getUnresponsiveMs('a'), 0);
 		clock.at = 1500;
 		members.applyChanges(heartbeat(1500, 'a', value));
 		t.equal(members.get('a')?.incarnation, 'i', 'the last that was read');
-		t.equal(members.getSilentMs('a'), 500);
+		t.equal(members.getUnresponsiveMs('a'), 500);
 		t.same(told, ['a', 'a']);
 	});
 }
@@ -164,12 +168,12 @@
 tap.t.test('a daemon that is not known is silent since the first read', (t) => {
 	const {clock, members, read} = createWorld();
 	clock.at = 5000;
-	t.equal(members.getSilentMs('a'), 0, 'nothing is read yet');
+	t.equal(members.getUnresponsiveMs('a'), 0, 'nothing is read yet');
 	read(5000, {b: 1});
 	clock.at = 5900;
-	t.equal(members.getSilentMs('a'), 900);
+	t.equal(members.getUnresponsiveMs('a'), 900);
 	read(9000, {b: 2});
-	t.equal(members.getSilentMs('a'), 0, 'afresh after a gap in the reads');
+	t.equal(members.getUnresponsiveMs('a'), 0, 'afresh after a gap in the reads');
 	t.end();
 });
 
@@ -180,7 +184,7 @@
 		read(at, {});
 	}
 
-	t.equal(members.getSilentMs('a'), 2100);
-	t.equal(members.getSilentMs('b'), 2100);
+	t.equal(members.getUnresponsiveMs('a'), 2100);
+	t.equal(members.getUnresponsiveMs('b'), 2100);
 	t.end();
 });
--- a/packages/daemon/src/jobs/shards/members.ts
+++ b/packages/daemon/src/jobs/shards/members.ts
@@ -20,7 +20,7 @@
 	/** When its heartbeat was last seen to change, by the own clock. */
 	readonly changedAt: number;
 	/** Since when this life of it is seen without a break. */
-	readonly seenAt: number;
+	readonly liveSince: number;
 };
 
 /** What is known of all daemons. */
@@ -37,7 +37,7 @@
 	 * of it was read; 0 while nothing is read: then this daemon may be the one
 	 * that is cut off.
 	 */
-	readonly getSilentMs: (name: string) => number;
+	readonly getUnresponsiveMs: (name: string) => number;
 	/** How long a life of a daemon is seen without a break; 0 if unknown. */
 	readonly getLiveForMs: (name: string) => number;
 	/** Takes in that a life of a daemon is stopping. */
@@ -89,7 +89,7 @@
 		const at = now();
 		if (readAt !== undefined && at - readAt > deps.observationGapMs) {
 			for (const [name, member] of known) {
-				known.set(name, {...member, changedAt: at, seenAt: at});
+				known.set(name, {...member, changedAt: at, liveSince: at});
 			}
 
 			readSince = at;
@@ -104,7 +104,7 @@
 			value === undefined ? undefined : decodeRow(daemonSchema, value);
 		if (decoded && !decoded.ok) {
 			// It may be of a newer release: the life that is known counts as going on.
-			rowFaults.note({
+			rowFaults.report({
 				table: tables.daemon,
 				key,
 				problem: decoded.error.problem,
@@ -132,8 +132,13 @@
 		const isSeen =
 			before?.incarnation === incarnation &&
 			at - before.changedAt <= deps.observationGapMs;
-		const seenAt = isSeen ? before.seenAt : at;
-		known.set(key, {...decoded.value, name: key, changedAt: at, seenAt});
+		const seenAt = isSeen ? before.liveSince : at;
+		known.set(key, {
+			...decoded.value,
+			name: key,
+			changedAt: at,
+			liveSince: seenAt,
+		});
 	};
 
 	/** One line for all: many daemons may start at once. */
@@ -163,7 +168,7 @@
 		applyChanges,
 		get: (name) => known.get(name),
 		isReadUpTo: (version) => readVersion >= version,
-		getSilentMs(name) {
+		getUnresponsiveMs(name) {
 			const since = known.get(name)?.changedAt ?? readSince;
 			const isReading =
 				readAt !== undefined && now() - readAt <= deps.observationGapMs;
@@ -171,7 +176,7 @@
 		},
 		getLiveForMs(name) {
 			const member = known.get(name);
-			return member ? now() - member.seenAt : 0;
+			return member ? now() - member.liveSince : 0;
 		},
 		listAll: () =>
 			[...known.values()]
--- a/packages/daemon/src/jobs/shards/shard-keeper.test.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.test.ts
@@ -4,7 +4,7 @@
 import * as tap from 'tap';
 import {getLeaseKey, tables, type DaemonRow} from '../rows/tables.js';
 import {noLogger, noRowFaults} from '../job-world.test.fixture.js';
-import {createLeaseBook} from './lease-book.js';
+import {createLeaseCache} from './lease-cache.js';
 import {createMembers} from './members.js';
 import {createShardKeeper} from './shard-keeper.js';
 
@@ -35,11 +35,11 @@
 		rowFaults: noRowFaults,
 	});
 	const released: string[] = [];
-	const book = createLeaseBook({
+	const book = createLeaseCache({
 		logger: noLogger,
 		rowFaults: noRowFaults,
 		onChange(shard, lease) {
-			keeper.noteLease(shard, lease);
+			keeper.applyLease(shard, lease);
 		},
 	});
 	const keeper = createShardKeeper({
@@ -48,7 +48,7 @@
 		capacity,
 		getAddress: () => 'address',
 		members,
-		book,
+		leases: book,
 		mayClaim: () => true,
 		async ensureHeartbeat() {
 			beats.push(clock.at);
@@ -88,13 +88,13 @@
 
 	const readLeases = () => {
 		for (const row of store.list(tables.lease)) {
-			book.note(row);
+			book.applyRow(row);
 		}
 	};
 
 	/** Looks, and lets what it began end. */
 	const look = async () => {
-		keeper.hasten();
+		keeper.checkNow();
 		for (let turn = 0; turn < 4; turn++) {
 			await setImmediate();
 		}
@@ -209,7 +209,7 @@
 	await pass(2900, {a: large});
 	while (released.length === 0 && clock.at < 9000) {
 		clock.at += lookMs;
-		keeper.hasten();
+		keeper.checkNow();
 		await keeper.stop();
 	}
 
--- a/packages/daemon/src/jobs/shards/shard-keeper.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.ts
@@ -10,8 +10,8 @@
 import {createTicker} from '../../view/ticker.js';
 import {periods} from '../periods.js';
 import type {LeaseRow} from '../rows/tables.js';
-import type {HeldShard, PreviousHolder} from './held-shard.js';
-import type {KnownLease, LeaseBook} from './lease-book.js';
+import type {HeldShard, PreviousHolderState} from './held-shard.js';
+import type {KnownLease, LeaseCache} from './lease-cache.js';
 import {createLeaseTransaction} from './lease-transaction.js';
 import {toLiveEntries, type Members} from './members.js';
 import {maxSpreadShards, shardPeriods} from './shard-periods.js';
@@ -27,7 +27,7 @@
 	readonly capacity: core.shardAssignment.EntryCapacity | undefined;
 	readonly getAddress: () => string;
 	readonly members: Members;
-	readonly book: LeaseBook;
+	readonly leases: LeaseCache;
 	/** Whether this daemon reads the heartbeats, so that it may judge others. */
 	readonly mayClaim: () => boolean;
 	/** Sees to it that its own heartbeat is in the store; answers whether it is. */
@@ -59,16 +59,16 @@
 	/** Whether it holds a shard or is claiming one. */
 	readonly isHolding: () => boolean;
 	/** Takes in that the lease of a shard has changed. */
-	readonly noteLease: (shard: string, lease: KnownLease) => void;
+	readonly applyLease: (shard: string, lease: KnownLease) => void;
 	/** A holder's order was refused for a higher token. */
-	readonly noteDeposed: (shard: string) => void;
+	readonly handleFenced: (shard: string) => void;
 	/** Looks for shards to claim now. */
-	readonly hasten: () => void;
+	readonly checkNow: () => void;
 };
 
 /** Creates a keeper that holds nothing. */
 export const createShardKeeper = (deps: ShardKeeperDeps): ShardKeeper => {
-	const {store, self, members, book, now, logger} = deps;
+	const {store, self, members, leases, now, logger} = deps;
 	const held = new Map<string, HeldShard>();
 	const freeSince = new Map<string, number>();
 	const claiming = new Set<string>();
@@ -102,11 +102,13 @@
 			// A holder whose heartbeat was not read counts as alive until it is silent.
 			registeredIncarnation:
 				members.get(holder.entry)?.incarnation ?? holder.incarnation,
-			silentMs: members.getSilentMs(holder.entry),
+			silentMs: members.getUnresponsiveMs(holder.entry),
 		};
 	};
 
-	const describePrevious = (lease: KnownLease | undefined): PreviousHolder => {
+	const describePrevious = (
+		lease: KnownLease | undefined,
+	): PreviousHolderState => {
 		if (!lease) {
 			return 'none';
 		}
@@ -123,7 +125,7 @@
 
 	const adopt = (
 		lease: KnownLease,
-		previous: PreviousHolder,
+		previous: PreviousHolderState,
 		previousHolder: LeaseRow | undefined,
 	) => {
 		const {shard, token} = lease.value;
@@ -147,7 +149,7 @@
 			return;
 		}
 
-		const lease = book.get(shard);
+		const lease = leases.get(shard);
 		const previous = describePrevious(lease);
 		const write = core.shardLease.acquireShard(shard, lease, {
 			self,
@@ -163,7 +165,7 @@
 		const result = await store.transact(transaction, periods.storeTimeoutMs);
 		if (result.ok) {
 			const {version} = result.value;
-			book.note({...transaction.puts[0]!, version});
+			leases.applyRow({...transaction.puts[0]!, version});
 			adopt({value: row, version}, previous, lease?.value);
 			return;
 		}
@@ -171,7 +173,7 @@
 		logger.info('shard claim failed', {shard, reason: result.error.kind});
 		if (result.error.kind === 'conflict') {
 			for (const current of result.error.rows) {
-				book.note(current);
+				leases.applyRow(current);
 			}
 		}
 	};
@@ -187,7 +189,7 @@
 
 	/** The lease is ours by a claim whose answer was lost. */
 	const isOwnUnadopted = (shard: string): boolean => {
-		const lease = book.get(shard);
+		const lease = leases.get(shard);
 		const holder = lease?.value.holder;
 		return (
 			!held.has(shard) &&
@@ -198,7 +200,7 @@
 	};
 
 	const isFree = (shard: string): boolean => {
-		const lease = book.get(shard);
+		const lease = leases.get(shard);
 		const result = core.shardLease.acquireShard(shard, lease, {
 			self,
 			evidence: getEvidence(lease),
@@ -217,7 +219,7 @@
 	): core.shardAssignment.ShardHolders =>
 		new Map(
 			shards.flatMap((shard) => {
-				const entry = book.get(shard)?.value.holder?.entry;
+				const entry = leases.get(shard)?.value.holder?.entry;
 				return entry === undefined ? [] : [[shard, entry] as const];
 			}),
 		);
@@ -241,7 +243,9 @@
 	const getObserverHeadStartMs = (): number => {
 		const isAnyLive = listLiveOthers().length > 0;
 		const candidateMs = isAnyLive ? shardPeriods.candidateHeadStartMs : 0;
-		const capableMs = isLessCapable() ? shardPeriods.observerCapableMs : 0;
+		const capableMs = isLessCapable()
+			? shardPeriods.observerCapableHeadStartMs
+			: 0;
 		return (
 			candidateMs + capableMs + claimJitter * shardPeriods.observerSpreadMs
 		);
@@ -270,7 +274,7 @@
 		periods.claimSpreadMs;
 
 	const considerShard = (shard: string, getPlan: () => ShardPlan) => {
-		const lease = book.get(shard);
+		const lease = leases.get(shard);
 		if (lease && isOwnUnadopted(shard)) {
 			adopt(lease, 'silent', undefined);
 			return;
@@ -290,7 +294,7 @@
 
 	const releases = createShardReleases({
 		...deps,
-		async letGo(shard) {
+		async stopHolding(shard) {
 			// What the owner does ends before the row says that it is free.
 			await deps.beforeRelease(shard);
 			const mine = held.get(shard);
@@ -303,7 +307,7 @@
 		const at = now();
 		const isPausing =
 			returnedAt !== undefined && at - returnedAt < shardPeriods.returnPauseMs;
-		if (held.size === 0 || isPausing || releases.isBusy()) {
+		if (held.size === 0 || isPausing || releases.isPending()) {
 			return;
 		}
 
@@ -360,22 +364,22 @@
 			await Promise.all(
 				[...held.keys()].map(async (each) => releases.release(each)),
 			);
-			await releases.finish();
+			await releases.waitForAll();
 		},
 		release: releases.release,
 		listHeld: () => [...held.values()],
 		isHolding: () => held.size + claiming.size > 0,
 		isHeld: (shard) => held.has(shard),
-		noteLease(shard, lease) {
+		applyLease(shard, lease) {
 			const mine = held.get(shard);
 			if (mine && lease.version > mine.version) {
 				lose(shard, 'taken over');
 			}
 		},
-		noteDeposed(shard) {
+		handleFenced(shard) {
 			lose(shard, 'a higher fencing token was seen');
 		},
-		hasten() {
+		checkNow() {
 			void considerAll();
 		},
 	};
--- a/packages/daemon/src/jobs/shards/shard-periods.ts
+++ b/packages/daemon/src/jobs/shards/shard-periods.ts
@@ -8,7 +8,7 @@
 	/** Head start of candidates over observers. */
 	candidateHeadStartMs: 300,
 	/** Among observers, head start of the more capable ones. */
-	observerCapableMs: 300,
+	observerCapableHeadStartMs: 300,
 	/** Time over which observers spread their claims. */
 	observerSpreadMs: 200,
 	/** Before a shard moves both daemons have had their part for so long. */
--- a/packages/daemon/src/jobs/shards/shard-releases.ts
+++ b/packages/daemon/src/jobs/shards/shard-releases.ts
@@ -7,17 +7,17 @@
 import type {Logger} from '../../log/logger.js';
 import {periods} from '../periods.js';
 import type {LeaseRow} from '../rows/tables.js';
-import type {LeaseBook} from './lease-book.js';
+import type {LeaseCache} from './lease-cache.js';
 import {createLeaseTransaction} from './lease-transaction.js';
 import type {HeldShard} from './held-shard.js';
 
 /** What releases need. */
 export type ShardReleasesDeps = {
 	readonly store: RowStore;
-	readonly book: LeaseBook;
+	readonly leases: LeaseCache;
 	readonly logger: Pick<Logger, 'info'>;
 	/** Ends what is done under the shard; answers what was held until then. */
-	readonly letGo: (shard: string) => Promise<HeldShard | undefined>;
+	readonly stopHolding: (shard: string) => Promise<HeldShard | undefined>;
 	/** Tells the others that a shard is free. */
 	readonly onReleased: (shard: string) => void;
 };
@@ -29,20 +29,20 @@
 	/** Tries again what could not be written. */
 	readonly retry: () => void;
 	/** Whether one is under way or still has to be written. */
-	readonly isBusy: () => boolean;
+	readonly isPending: () => boolean;
 	/** Waits for those under way. */
-	readonly finish: () => Promise<void>;
+	readonly waitForAll: () => Promise<void>;
 };
 
 /** Creates releases, none under way. */
 export const createShardReleases = (deps: ShardReleasesDeps): ShardReleases => {
-	const {store, book, logger} = deps;
+	const {store, leases, logger} = deps;
 	const underWay = new Map<string, Promise<void>>();
 	/** Shards let go whose row may still name this daemon. */
 	const unwritten = new Map<string, HeldShard>();
 
 	const write = async ({shard, version}: HeldShard): Promise<void> => {
-		const lease = book.get(shard);
+		const lease = leases.get(shard);
 		if (lease?.version !== version) {
 			unwritten.delete(shard);
 			return;
@@ -68,7 +68,7 @@
 	};
 
 	const letGoAndWrite = async (shard: string) => {
-		const mine = await deps.letGo(shard);
+		const mine = await deps.stopHolding(shard);
 		if (mine) {
 			unwritten.set(shard, mine);
 			await write(mine);
@@ -97,8 +97,8 @@
 				void join(shard, async () => write(mine));
 			}
 		},
-		isBusy: () => underWay.size > 0 || unwritten.size > 0,
-		async finish() {
+		isPending: () => underWay.size > 0 || unwritten.size > 0,
+		async waitForAll() {
 			await Promise.all(underWay.values());
 		},
 	};
