--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -39,7 +39,7 @@
 export {createRoutes, type Routes} from './jobs/entry/routes.js';
 export type {JobService} from './jobs/entry/job-service.js';
 export {decodeRow} from './jobs/rows/tables.js';
-export type {WaveStatusPort} from './jobs/fleet/wave-runner.js';
+export type {WaveStatusPort} from './jobs/fleet/machine-wave-runner.js';
 export {createErrorResponse} from './caller/answer.js';
 export {createByteBudget} from './http/byte-budget.js';
 export {readBody} from './http/read-body.js';
--- a/packages/daemon/src/jobs/fleet/fleet-context.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-context.ts
@@ -17,7 +17,7 @@
 	/** How long work may end by itself before it is stopped. */
 	evacuationGraceMs: 1400,
 	/** Time that one machine of a wave takes, emptying included. */
-	machineMaintenanceMs: 4500,
+	machineTurnaroundMs: 4500,
 	/** A machine that is not empty within this time does not move ... */
 	moveEvacuationTimeoutMs: 4000,
 	/** ... and its work is never stopped for a move. */
--- a/packages/daemon/src/jobs/fleet/fleet-runner.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-runner.ts
@@ -20,7 +20,10 @@
 } from './fleet-context.js';
 import {createCommandLog} from './command-log.js';
 import {createPoolMover} from './pool-mover.js';
-import {createWaveRunner, type WaveStatusPort} from './wave-runner.js';
+import {
+	createMachineWaveRunner,
+	type WaveStatusPort,
+} from './machine-wave-runner.js';
 
 /** What the runner needs. */
 export type FleetRunnerDeps = {
@@ -94,7 +97,7 @@
 		isStopped: () => state.isStopped,
 		loseShard: lose,
 	};
-	const waves = createWaveRunner(context, deps.status);
+	const waves = createMachineWaveRunner(context, deps.status);
 	const pools = createPoolMover(context, {
 		cfg: deps.pools,
 		getStandbyPool: deps.getStandbyPool,
--- a/packages/daemon/src/jobs/fleet/wave-runner.test.ts
+++ b/packages/daemon/src/jobs/fleet/machine-wave-runner.test.ts
@@ -4,7 +4,7 @@
 import * as tap from 'tap';
 import {fleetShard} from '../rows/tables.js';
 import type {FleetContext, FleetView} from './fleet-context.js';
-import {createWaveRunner} from './wave-runner.js';
+import {createMachineWaveRunner} from './machine-wave-runner.js';
 
 const noLogger = {
 	info: () => undefined as never,
@@ -110,7 +110,7 @@
 		isStopped: () => false,
 		loseShard: () => undefined,
 	};
-	const rounds = createWaveRunner(context, {write: async () => true});
+	const rounds = createMachineWaveRunner(context, {write: async () => true});
 	return {
 		...world,
 		async begin() {
--- a/packages/daemon/src/jobs/fleet/wave-runner.ts
+++ b/packages/daemon/src/jobs/fleet/machine-wave-runner.ts
@@ -21,7 +21,7 @@
 };
 
 /** Waves under way. */
-export type WaveRunner = {
+export type MachineWaveRunner = {
 	/** Reads the waves that were begun; false if the store does not answer. */
 	readonly load: () => Promise<boolean>;
 	/** Takes in waves that were asked for since. */
@@ -57,10 +57,10 @@
 };
 
 /** Creates the work on waves. */
-export const createWaveRunner = (
+export const createMachineWaveRunner = (
 	context: FleetContext,
 	status: WaveStatusPort,
-): WaveRunner => {
+): MachineWaveRunner => {
 	const {held, store, clock, logger} = context;
 	const waves = new Map<string, fleet.MachineWave>();
 	const emptying = new Set<string>();
@@ -204,14 +204,14 @@
 				machines,
 				emptying,
 				getLoad: (machine) => getLoad(view, machine),
-				turnMs: fleetPeriods.machineMaintenanceMs,
+				turnMs: fleetPeriods.machineTurnaroundMs,
 			},
 			clock.epochNow(),
 		);
 		const isPressed = fleet.isPressed(
 			wave,
 			machines,
-			fleetPeriods.machineMaintenanceMs,
+			fleetPeriods.machineTurnaroundMs,
 			clock.epochNow(),
 		);
 		const patienceMs = isPressed ? 0 : fleetPeriods.evacuationGraceMs;
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -28,7 +28,7 @@
 import {createRoutes, type Routes} from './entry/routes.js';
 import {createSubmissions} from './entry/submissions.js';
 import {createFleetRunner, type FleetRunner} from './fleet/fleet-runner.js';
-import type {WaveStatusPort} from './fleet/wave-runner.js';
+import type {WaveStatusPort} from './fleet/machine-wave-runner.js';
 import {createJobMetrics, type JobMetrics} from './job-metrics.js';
 import {
 	createOwnedServices,
--- a/packages/daemon/src/jobs/job-world.test.fixture.ts
+++ b/packages/daemon/src/jobs/job-world.test.fixture.ts
@@ -4,7 +4,7 @@
 import * as ports from '@gullstand/ports';
 import winston from 'winston';
 import type {Logger} from '../log/logger.js';
-import type {WaveStatusPort} from './fleet/wave-runner.js';
+import type {WaveStatusPort} from './fleet/machine-wave-runner.js';
 import {createJobDaemon, type JobDaemon} from './job-daemon.js';
 import type {RowFaults} from './rows/row-faults.js';
 import type {HeldShard} from './shards/held-shard.js';
