--- a/packages/daemon/src/jobs/shards/entry-role.ts
+++ b/packages/daemon/src/jobs/shards/entry-role.ts
@@ -1,7 +1,7 @@
 /**
- * Whether this daemon is a holder of shards, a candidate or an observer, and
- * how closely it watches the others. All but a few are observers, so that
- * heartbeats and reads of them cost the same in a fleet of any size.
+ * Decides whether this daemon is a holder of shards, a candidate or an observer,
+ * and how often it reads leases and heartbeats. Most daemons are observers, so
+ * that the cost of heartbeats doesn't grow with the size of the fleet.
  */
 import * as core from '@gullstand/core';
 import type {Logger} from '../../log/logger.js';
@@ -10,25 +10,28 @@
 import type {LeaseCache} from './lease-cache.js';
 import {toLiveEntries, type Members} from './members.js';
 
-/** What the role of a daemon follows from. */
+/** Dependencies of the role. */
 export type EntryRoleDeps = {
 	readonly self: core.shardAssignment.LiveEntry;
 	readonly members: Members;
 	readonly leases: Pick<LeaseCache, 'listHolders'>;
-	/** Whether this daemon holds a shard or claims one. */
+	/** Whether this daemon holds a shard or is claiming one. */
 	readonly isHolding: () => boolean;
 	readonly now: () => number;
 	readonly logger: Pick<Logger, 'info'>;
 };
 
-/** The role of a daemon. */
+/** Role of this daemon. */
 export type EntryRole = {
-	/** Looks at the others; answers whether they have to see that it lives. */
+	/**
+	 * Updates the role from the current members and leases; returns whether this
+	 * daemon has to send heartbeats.
+	 */
 	readonly step: () => boolean;
 	readonly isCandidate: () => boolean;
-	/** How the leases are followed for now. */
+	/** Overrides of the periods at which leases are followed. */
 	readonly getLeasePeriods: () => Partial<FollowPeriods>;
-	/** How the heartbeats are followed for now. */
+	/** Overrides of the periods at which heartbeats are followed. */
 	readonly getHeartbeatPeriods: () => Partial<FollowPeriods>;
 };
 
@@ -47,7 +50,7 @@
 	const isActive = (): boolean =>
 		state.isCandidate || deps.isHolding() || isStarting();
 
-	const isHolderSuspect = (): boolean =>
+	const hasSuspectHolder = (): boolean =>
 		listHolders().some(
 			(entry) => members.getUnresponsiveMs(entry) >= observerPeriods.suspectMs,
 		);
@@ -66,7 +69,7 @@
 			};
 			const next = core.candidates.stepCandidate(state, view, now());
 			if (next.isCandidate !== state.isCandidate) {
-				logger.info(next.isCandidate ? 'candidate now' : 'observer now', {
+				logger.info(next.isCandidate ? 'became candidate' : 'became observer', {
 					live: view.live.length,
 					known: view.listKnown().length,
 				});
@@ -82,7 +85,7 @@
 				return {};
 			}
 
-			return isHolderSuspect()
+			return hasSuspectHolder()
 				? observerPeriods.suspectDaemon
 				: observerPeriods.daemon;
 		},
--- a/packages/daemon/src/jobs/shards/heartbeat.ts
+++ b/packages/daemon/src/jobs/shards/heartbeat.ts
@@ -1,6 +1,6 @@
 /**
- * Writes this daemon's heartbeat to the store: while it is a holder or a
- * candidate, and until the first one is stored.
+ * Writes this daemon's heartbeat to the store: until the first write succeeds,
+ * and then while the daemon is a holder or a candidate.
  */
 import type {shardAssignment} from '@gullstand/core';
 import type {RowStore} from '@gullstand/ports';
@@ -10,44 +10,49 @@
 import {periods} from '../periods.js';
 import {tables, type DaemonRow} from '../rows/tables.js';
 
-/** What a heartbeat needs. */
+/** Dependencies of the heartbeat. */
 export type HeartbeatDeps = {
 	readonly store: RowStore;
 	readonly name: string;
 	readonly incarnation: string;
 	readonly getAddress: () => string;
-	/** What this machine has, for the others to know. */
+	/** Capacity of this machine, published to the other daemons. */
 	readonly capacity: shardAssignment.EntryCapacity | undefined;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	readonly now: () => number;
 	readonly random: () => number;
-	/** Whether others have to see that this daemon lives. */
+	/** Whether other daemons need to observe that this one is alive. */
 	readonly isNeeded: () => boolean;
 };
 
-/** The heartbeat. */
+/** Heartbeat that is written periodically. */
 export type Heartbeat = Ticker & {
-	/** Writes the first one now; answers whether it is in the store. */
+	/** Writes a heartbeat now; resolves to whether it was stored. */
 	readonly writeNow: () => Promise<boolean>;
-	/** Sees to it that a young one is in the store; answers whether it is. */
+	/**
+	 * Writes a heartbeat unless the last one is younger than the heartbeat
+	 * interval; resolves to whether a recent one is stored.
+	 */
 	readonly ensureRecent: () => Promise<boolean>;
 };
 
-/** Creates the heartbeat. */
 export const createHeartbeat = (deps: HeartbeatDeps): Heartbeat => {
 	const {store, name, incarnation, logger, now} = deps;
 	let beat = 0;
 	let writtenAt: number | undefined;
-	let isLost = false;
+	let isFailing = false;
 
-	const noteResult = (isWritten: boolean, sentAt: number) => {
+	const recordResult = (isWritten: boolean, sentAt: number) => {
 		if (isWritten) {
 			writtenAt = sentAt;
 		}
 
-		if (isLost === isWritten) {
-			isLost = !isWritten;
-			logger.info(isWritten ? 'heartbeat regained' : 'heartbeat lost', {beat});
+		if (isFailing === isWritten) {
+			isFailing = !isWritten;
+			logger.info(
+				isWritten ? 'heartbeat writes recovered' : 'heartbeat write failed',
+				{beat},
+			);
 		}
 	};
 
@@ -60,13 +65,13 @@
 			capacity: deps.capacity,
 		};
 		const sentAt = now();
-		// A partition of its own: one carries out its writes one after another.
+		// Each daemon has its own partition, since a partition applies writes serially.
 		const key = {table: tables.daemon, part: name, key: name};
 		const result = await store.transact(
 			{checks: [], puts: [{...key, value: JSON.stringify(row)}], removes: []},
 			periods.storeTimeoutMs,
 		);
-		noteResult(result.ok, sentAt);
+		recordResult(result.ok, sentAt);
 		return result.ok;
 	};
 
@@ -84,9 +89,9 @@
 		stop: ticker.stop,
 		writeNow: beatOnce,
 		async ensureRecent() {
-			const isYoung =
+			const isRecent =
 				writtenAt !== undefined && now() - writtenAt < periods.heartbeatMs;
-			return isYoung || beatOnce();
+			return isRecent || beatOnce();
 		},
 	};
 };
--- a/packages/daemon/src/jobs/shards/held-shard.ts
+++ b/packages/daemon/src/jobs/shards/held-shard.ts
@@ -1,7 +1,10 @@
-/** A shard as its holder has it. */
+/** State of a shard that this daemon holds. */
 import type {LeaseRow} from '../rows/tables.js';
 
-/** How the last holder of a shard went, for what may still run. */
+/**
+ * State of the previous holder when the shard was acquired. The new holder uses
+ * it to decide whether runs of the previous one may still be active.
+ */
 export type PreviousHolderState = 'none' | 'released' | 'replaced' | 'silent';
 
 /** A shard that this daemon has acquired. */
@@ -11,6 +14,6 @@
 	/** Version of the lease row; every write of the holder checks it. */
 	readonly version: number;
 	readonly previous: PreviousHolderState;
-	/** The holder before, where it was reached; absent if there was none. */
+	/** Lease of the previous holder, with its address; absent if not known. */
 	readonly previousHolder: LeaseRow | undefined;
 };
--- a/packages/daemon/src/jobs/shards/lease-cache.test.ts
+++ b/packages/daemon/src/jobs/shards/lease-cache.test.ts
@@ -1,4 +1,4 @@
-/** Who holds shards, by the leases as they were read. */
+/** Lists the holders of the cached leases. */
 import * as tap from 'tap';
 import {noLogger, noRowFaults} from '../job-world.test.fixture.js';
 import {getLeaseKey} from '../rows/tables.js';
@@ -13,7 +13,7 @@
 }> = [
 	{name: 'no lease', leases: [], holders: []},
 	{
-		name: 'a shard that was given back',
+		name: 'a released shard',
 		leases: [['s', undefined]],
 		holders: [],
 	},
@@ -41,7 +41,7 @@
 
 for (const {name, leases, holders} of cases) {
 	tap.t.test(`holders of ${name}`, (t) => {
-		const book = createLeaseCache({
+		const cache = createLeaseCache({
 			logger: noLogger,
 			rowFaults: noRowFaults,
 			onChange: () => undefined,
@@ -54,10 +54,10 @@
 				address: `address of ${entry}`,
 			};
 			const value = JSON.stringify(lease);
-			book.applyRow({...getLeaseKey(shard), version: 1, value});
+			cache.applyRow({...getLeaseKey(shard), version: 1, value});
 		}
 
-		t.same(book.listHolders(), holders);
+		t.same(cache.listHolders(), holders);
 		t.end();
 	});
 }
--- a/packages/daemon/src/jobs/shards/lease-cache.ts
+++ b/packages/daemon/src/jobs/shards/lease-cache.ts
@@ -1,4 +1,4 @@
-/** Leases of all shards as last read from the store. */
+/** Caches the leases of all shards as last read from the store. */
 import type {ChangedRow, FeedBatch, StoredRow} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
 import type {RowFaults} from '../rows/row-faults.js';
@@ -10,7 +10,7 @@
 	type LeaseRow,
 } from '../rows/tables.js';
 
-/** A lease and the version of its row. */
+/** A lease with the version of its row. */
 export type KnownLease = {
 	readonly value: LeaseRow;
 	readonly version: number;
@@ -19,32 +19,35 @@
 /** A daemon that holds a shard. */
 export type ShardHolder = {readonly entry: string; readonly address: string};
 
-/** The leases known. */
+/** Latest known lease of each shard. */
 export type LeaseCache = {
 	readonly apply: (batch: FeedBatch<ChangedRow>) => void;
-	/** Takes in a row that came with another answer; older ones are dropped. */
+	/**
+	 * Applies one row, such as a row returned by a transaction. Rows that are
+	 * not newer than the cached one are ignored.
+	 */
 	readonly applyRow: (row: ChangedRow | StoredRow) => void;
 	readonly get: (shard: string) => KnownLease | undefined;
-	/** Who holds shards, and where they are reached; each once. */
+	/** Lists each holder once, with the address of its peer channel. */
 	readonly listHolders: () => readonly ShardHolder[];
-	/** Version for a check: 0 while the shard was never held. */
+	/** Returns the row version to check on a write; 0 if there is no row. */
 	readonly getVersion: (shard: string) => number;
 };
 
-/** What the book needs. */
+/** Dependencies of the lease cache. */
 export type LeaseCacheDeps = {
 	readonly logger: Pick<Logger, 'info'>;
 	readonly rowFaults: RowFaults;
-	/** The lease of a shard has another version. */
+	/** Called when the lease of a shard has a newer version. */
 	readonly onChange: (shard: string, lease: KnownLease) => void;
 };
 
-/** Creates an empty book. */
+/** Creates an empty cache. */
 export const createLeaseCache = (deps: LeaseCacheDeps): LeaseCache => {
 	const {logger, rowFaults, onChange} = deps;
 	const known = new Map<string, KnownLease>();
 
-	const note: LeaseCache['applyRow'] = ({part, key, version, value}) => {
+	const applyRow: LeaseCache['applyRow'] = ({part, key, version, value}) => {
 		if (key !== singleKeys.lease || value === undefined) {
 			return;
 		}
@@ -73,11 +76,11 @@
 	};
 
 	return {
-		applyRow: note,
+		applyRow,
 		apply({entries}) {
 			for (const {value} of entries) {
 				if (value) {
-					note(value);
+					applyRow(value);
 				}
 			}
 		},
--- a/packages/daemon/src/jobs/shards/lease-transaction.ts
+++ b/packages/daemon/src/jobs/shards/lease-transaction.ts
@@ -1,8 +1,8 @@
-/** Writes of a lease row. */
+/** Builds transactions that write a lease row. */
 import type {RowTransaction} from '@gullstand/ports';
 import {getLeaseKey, type LeaseRow} from '../rows/tables.js';
 
-/** Writes a lease row unless it has another version by now. */
+/** Creates a write of a lease row that conflicts unless the stored row has `version`. */
 export const createLeaseTransaction = (
 	row: LeaseRow,
 	version: number,
--- a/packages/daemon/src/jobs/shards/members.ts
+++ b/packages/daemon/src/jobs/shards/members.ts
@@ -1,7 +1,7 @@
 /**
- * Daemons of the fleet by their heartbeats, as one daemon sees them. Only
- * holders of shards and candidates send heartbeats all the time, so that a
- * daemon that is not known may well live.
+ * Tracks the daemons of the fleet by the heartbeats that this daemon reads. Only
+ * holders of shards and candidates send heartbeats continuously, so an unknown
+ * daemon may still be alive.
  */
 import type {shardAssignment} from '@gullstand/core';
 import type {ChangedRow, FeedBatch} from '@gullstand/ports';
@@ -14,44 +14,47 @@
 	type DaemonRow,
 } from '../rows/tables.js';
 
-/** One daemon. */
+/** Latest heartbeat of a daemon. */
 export type Member = DaemonRow & {
 	readonly name: string;
-	/** When its heartbeat was last seen to change, by the own clock. */
+	/** When its heartbeat was last seen to change, by the local clock. */
 	readonly changedAt: number;
-	/** Since when this life of it is seen without a break. */
+	/** Since when heartbeats of this incarnation were seen without a gap. */
 	readonly liveSince: number;
 };
 
-/** What is known of all daemons. */
+/** Known daemons. */
 export type Members = {
 	readonly applyChanges: (batch: FeedBatch<ChangedRow>) => void;
 	readonly get: (name: string) => Member | undefined;
 	/**
-	 * Whether the heartbeats are read as of a version of the store, so that they
-	 * say something about what was written there by then.
+	 * Whether heartbeats were read up to a version of the store. Evidence about a
+	 * lease of that version needs this.
 	 */
 	readonly isReadUpTo: (version: number) => boolean;
 	/**
-	 * How long a daemon's heartbeat has stood still, since the first read if none
-	 * of it was read; 0 while nothing is read: then this daemon may be the one
-	 * that is cut off.
+	 * Time since a daemon's heartbeat last changed, in milliseconds; counted from
+	 * the first read if no heartbeat of it was read. 0 while reads fail, since
+	 * then this daemon may be the one that is disconnected.
 	 */
 	readonly getUnresponsiveMs: (name: string) => number;
-	/** How long a life of a daemon is seen without a break; 0 if unknown. */
+	/**
+	 * Time for which the current incarnation was seen without a gap, in
+	 * milliseconds; 0 for an unknown daemon.
+	 */
 	readonly getLiveForMs: (name: string) => number;
-	/** Takes in that a life of a daemon is stopping. */
+	/** Records that an incarnation of a daemon is stopping. */
 	readonly noteLeaving: (name: string, incarnation: string) => void;
 	/**
-	 * Names of those whose heartbeat is younger than `withinMs`, without those
-	 * that are stopping: these still send heartbeats and claim nothing.
+	 * Lists daemons whose heartbeat changed within `withinMs`. Daemons that are
+	 * stopping are omitted: they still send heartbeats but claim no shards.
 	 */
 	readonly listLive: (withinMs: number) => readonly string[];
-	/** Names of all, the one heard of last in front. */
+	/** Lists the names of all known daemons, latest heartbeat first. */
 	readonly listAll: () => readonly string[];
 };
 
-/** Others of these names, with what their machines have. */
+/** Returns the named daemons other than `self`, with their capacities. */
 export const toLiveEntries = (
 	members: Pick<Members, 'get'>,
 	names: readonly string[],
@@ -61,31 +64,31 @@
 		.filter((entry) => entry !== self)
 		.map((entry) => ({entry, capacity: members.get(entry)?.capacity}));
 
-/** What the members are kept with. */
+/** Dependencies of the members. */
 export type MembersDeps = {
 	readonly now: () => number;
-	/** A longer gap between two reads proves no daemon silent. */
+	/** After a longer gap between two reads no daemon counts as unresponsive. */
 	readonly observationGapMs: number;
 	readonly logger: Pick<Logger, 'info'>;
 	readonly rowFaults: RowFaults;
 };
 
-/** Names in a line about daemons that were seen. */
-const maxNamesTold = 5;
+/** Maximum number of names in a log line about new incarnations. */
+const maxLoggedNames = 5;
 
 /** Creates an empty list of members. */
 export const createMembers = (deps: MembersDeps): Members => {
 	const {now, logger, rowFaults} = deps;
 	const known = new Map<string, Member>();
-	/** Lives that are stopping, by daemon. */
-	const leaving = new Map<string, string>();
+	/** Stopping incarnation of each daemon. */
+	const stopping = new Map<string, string>();
 	let readAt: number | undefined;
-	/** Since when the heartbeats are read without a gap. */
+	/** Since when heartbeats were read without a gap. */
 	let readSince: number | undefined;
 	let readVersion = 0;
 
-	/** The store was away, or this daemon was: nobody's silence counts. */
-	const forgiveGap = () => {
+	/** Restarts all ages after a gap in the reads, which proves nothing about others. */
+	const restartAgesAfterGap = () => {
 		const at = now();
 		if (readAt !== undefined && at - readAt > deps.observationGapMs) {
 			for (const [name, member] of known) {
@@ -99,11 +102,11 @@
 		readSince ??= at;
 	};
 
-	const noteRow = ({key, value}: ChangedRow, newLives: string[]) => {
+	const applyRow = ({key, value}: ChangedRow, newIncarnations: string[]) => {
 		const decoded =
 			value === undefined ? undefined : decodeRow(daemonSchema, value);
 		if (decoded && !decoded.ok) {
-			// It may be of a newer release: the life that is known counts as going on.
+			// A newer release may have written it: the known incarnation stays.
 			rowFaults.report({
 				table: tables.daemon,
 				key,
@@ -118,50 +121,50 @@
 			return;
 		}
 
-		const before = known.get(key);
+		const previous = known.get(key);
 		const {beat, incarnation} = decoded.value;
-		if (before?.beat === beat && before.incarnation === incarnation) {
+		if (previous?.beat === beat && previous.incarnation === incarnation) {
 			return;
 		}
 
-		if (before?.incarnation !== incarnation) {
-			newLives.push(key);
+		if (previous?.incarnation !== incarnation) {
+			newIncarnations.push(key);
 		}
 
 		const at = now();
-		const isSeen =
-			before?.incarnation === incarnation &&
-			at - before.changedAt <= deps.observationGapMs;
-		const seenAt = isSeen ? before.liveSince : at;
+		const isContinuous =
+			previous?.incarnation === incarnation &&
+			at - previous.changedAt <= deps.observationGapMs;
+		const liveSince = isContinuous ? previous.liveSince : at;
 		known.set(key, {
 			...decoded.value,
 			name: key,
 			changedAt: at,
-			liveSince: seenAt,
+			liveSince,
 		});
 	};
 
-	/** One line for all: many daemons may start at once. */
-	const tellSeen = (names: readonly string[]) => {
+	/** Logs one line for all new incarnations, since many daemons may start at once. */
+	const logNewIncarnations = (names: readonly string[]) => {
 		if (names.length > 0) {
-			logger.info('daemons seen', {
+			logger.info('new daemon incarnations', {
 				count: names.length,
-				daemons: names.slice(0, maxNamesTold),
+				daemons: names.slice(0, maxLoggedNames),
 			});
 		}
 	};
 
 	const applyChanges = ({entries, version}: FeedBatch<ChangedRow>) => {
-		forgiveGap();
+		restartAgesAfterGap();
 		readVersion = Math.max(readVersion, version);
-		const newLives: string[] = [];
+		const newIncarnations: string[] = [];
 		for (const {value} of entries) {
 			if (value) {
-				noteRow(value, newLives);
+				applyRow(value, newIncarnations);
 			}
 		}
 
-		tellSeen(newLives);
+		logNewIncarnations(newIncarnations);
 	};
 
 	return {
@@ -183,13 +186,13 @@
 				.toSorted((one, two) => two.changedAt - one.changedAt)
 				.map(({name}) => name),
 		noteLeaving(name, incarnation) {
-			leaving.set(name, incarnation);
+			stopping.set(name, incarnation);
 			logger.info('daemon is stopping', {daemon: name, incarnation});
 		},
 		listLive: (withinMs) =>
 			[...known.values()]
 				.filter(({changedAt}) => now() - changedAt < withinMs)
-				.filter(({name, incarnation}) => leaving.get(name) !== incarnation)
+				.filter(({name, incarnation}) => stopping.get(name) !== incarnation)
 				.map(({name}) => name),
 	};
 };
--- a/packages/daemon/src/jobs/shards/shard-keeper.test.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.test.ts
@@ -13,12 +13,12 @@
 const large: Capacity = {cores: 1.35, linkMbps: 140};
 const small: Capacity = {cores: 0.324, linkMbps: 7};
 
-const beatMs = 500;
-const lookMs = 100;
+const heartbeatMs = 500;
+const checkIntervalMs = 100;
 
-type Others = Readonly<Record<string, Capacity | undefined>>;
+type Peers = Readonly<Record<string, Capacity | undefined>>;
 
-/** A keeper `self` among daemons that only send heartbeats. */
+/** Creates a keeper `self` among daemons that only send heartbeats. */
 const createWorld = (
 	capacity: Capacity | undefined,
 	shards: readonly string[],
@@ -67,14 +67,14 @@
 		},
 	});
 
-	const readMembers = (others: Others) => {
-		const entries = Object.entries({...others, self: capacity}).map(
-			([key, told]) => {
+	const readMembers = (peers: Peers) => {
+		const entries = Object.entries({...peers, self: capacity}).map(
+			([key, peerCapacity]) => {
 				const row: DaemonRow = {
 					incarnation: 'i',
 					address: 'a',
 					beat: clock.at,
-					capacity: told,
+					capacity: peerCapacity,
 				};
 				const value = JSON.stringify(row);
 				return {
@@ -92,8 +92,8 @@
 		}
 	};
 
-	/** Looks, and lets what it began end. */
-	const look = async () => {
+	/** Runs one check and waits for the claims and releases that it starts. */
+	const check = async () => {
 		keeper.checkNow();
 		for (let turn = 0; turn < 4; turn++) {
 			await setImmediate();
@@ -102,96 +102,106 @@
 		readLeases();
 	};
 
-	/** Looks each tenth of a second while the others send heartbeats. */
-	const pass = async (ms: number, others: Others) => {
-		for (const until = clock.at + ms; clock.at < until; clock.at += lookMs) {
-			if (clock.at % beatMs === 0) {
-				readMembers(others);
+	/** Runs checks at their interval while the peers send heartbeats. */
+	const pass = async (ms: number, peers: Peers) => {
+		for (
+			const until = clock.at + ms;
+			clock.at < until;
+			clock.at += checkIntervalMs
+		) {
+			if (clock.at % heartbeatMs === 0) {
+				readMembers(peers);
 			}
 
-			await look();
+			await check();
 		}
 	};
 
-	return {clock, keeper, store, members, released, beats, look, pass};
+	return {clock, keeper, store, members, released, beats, check, pass};
 };
 
 const names = (count: number) =>
 	Array.from({length: count}, (_, index) => `s${index}`);
 
-tap.t.test('one look does not claim all that is free', async (t) => {
+tap.t.test('one check does not claim all free shards', async (t) => {
 	const {keeper, pass} = createWorld(small, names(4));
-	await pass(lookMs, {});
+	await pass(checkIntervalMs, {});
 	t.equal(keeper.listHeld().length, 1);
 	await pass(900, {});
-	t.equal(keeper.listHeld().length, 4, 'within a second it has all');
+	t.equal(keeper.listHeld().length, 4, 'all are claimed within a second');
 });
 
 const claims: ReadonlyArray<
-	readonly [string, Capacity | undefined, Others, number, number]
+	readonly [string, Capacity | undefined, Peers, number, number]
 > = [
 	['alone', small, {}, 1, 1],
 	['a capable daemon', large, {a: small, b: small}, 1, 1],
-	['a less capable daemon at first', small, {a: large}, 0, 800],
-	['a less capable daemon, if nobody else does', small, {a: large}, 1, 1100],
-	['one that tells nothing', undefined, {a: small}, 0, 800],
-	['an equal among those that tell nothing', undefined, {a: undefined}, 1, 600],
+	['a less capable daemon within the head start', small, {a: large}, 0, 800],
+	['a less capable daemon after the head start', small, {a: large}, 1, 1100],
+	['a daemon of unknown capacity', undefined, {a: small}, 0, 800],
+	[
+		'a daemon among peers of unknown capacity',
+		undefined,
+		{a: undefined},
+		1,
+		600,
+	],
 ];
 
-for (const [name, capacity, others, wanted, ms] of claims) {
+for (const [name, capacity, peers, wanted, ms] of claims) {
 	tap.t.test(`claims of ${name}`, async (t) => {
 		const {keeper, pass} = createWorld(capacity, ['s']);
-		await pass(ms, others);
+		await pass(ms, peers);
 		t.equal(keeper.listHeld().length, wanted);
 	});
 }
 
-tap.t.test('a capable daemon that is stopping is none', async (t) => {
+tap.t.test('a stopping daemon does not count as capable', async (t) => {
 	const {keeper, members, pass} = createWorld(small, ['s']);
 	members.noteLeaving('a', 'i');
-	await pass(lookMs, {a: large});
+	await pass(checkIntervalMs, {a: large});
 	t.ok(keeper.isHeld('s'));
 	await pass(9000, {a: large});
-	t.ok(keeper.isHeld('s'), 'nor is a shard given back for it');
+	t.ok(keeper.isHeld('s'), 'no shard is returned for it');
 });
 
 const returns: ReadonlyArray<
-	readonly [string, Capacity | undefined, Others, boolean]
+	readonly [string, Capacity | undefined, Peers, boolean]
 > = [
 	['a capable daemon', small, {a: large}, true],
-	['an equal', small, {a: small}, false],
+	['an equally capable daemon', small, {a: small}, false],
 	['a less capable daemon', large, {a: small}, false],
-	['one that tells nothing', small, {a: undefined}, false],
-	['nobody', small, {}, false],
+	['a daemon of unknown capacity', small, {a: undefined}, false],
+	['no other daemon', small, {}, false],
 ];
 
-for (const [name, capacity, others, isReturned] of returns) {
-	tap.t.test(`gives back or keeps beside ${name}`, async (t) => {
+for (const [name, capacity, peers, isReturned] of returns) {
+	tap.t.test(`returns or keeps a shard beside ${name}`, async (t) => {
 		const {keeper, released, pass} = createWorld(capacity, ['s']);
 		await pass(4000, {});
 		t.ok(keeper.isHeld('s'));
-		await pass(2500, others);
+		await pass(2500, peers);
 		t.same(released, [], 'not at once');
-		await pass(700, others);
+		await pass(700, peers);
 		t.same(released, isReturned ? ['s'] : []);
 		t.equal(keeper.isHeld('s'), !isReturned);
 	});
 }
 
-tap.t.test('one shard goes back at a time, after a pause', async (t) => {
+tap.t.test('shards are returned one at a time, with a pause', async (t) => {
 	const {released, pass} = createWorld(small, names(3));
 	await pass(3000, {});
-	const others = {a: large, b: large, c: large};
-	await pass(3500, others);
+	const peers = {a: large, b: large, c: large};
+	await pass(3500, peers);
 	t.equal(released.length, 1);
-	await pass(4000, others);
+	await pass(4000, peers);
 	t.equal(released.length, 1);
-	await pass(2000, others);
+	await pass(2000, peers);
 	t.equal(released.length, 2);
 });
 
 for (const fault of ['unavailable', 'lost-before', 'lost-after'] as const) {
-	tap.t.test(`a release is written again: ${fault}`, async (t) => {
+	tap.t.test(`a failed release is retried: ${fault}`, async (t) => {
 		const {clock, keeper, store, pass} = createWorld(small, ['s']);
 		await pass(4000, {});
 		store.setFault(() => (clock.at < 7300 ? fault : undefined));
@@ -203,12 +213,12 @@
 	});
 }
 
-tap.t.test('a stop meets a return under way', async (t) => {
+tap.t.test('a stop during a return releases the shard once', async (t) => {
 	const {clock, keeper, released, pass} = createWorld(small, ['s']);
 	await pass(4000, {});
 	await pass(2900, {a: large});
 	while (released.length === 0 && clock.at < 9000) {
-		clock.at += lookMs;
+		clock.at += checkIntervalMs;
 		keeper.checkNow();
 		await keeper.stop();
 	}
@@ -217,26 +227,26 @@
 	t.notOk(keeper.isHeld('s'));
 });
 
-/** Heartbeats as they were read of `a`, whose life `now` holds the shard. */
+/** Heartbeats that were read of daemon `a`, whose incarnation `now` holds the shard. */
 const evidence = [
 	{
-		name: 'one that restarted since its heartbeat was read',
+		name: 'a holder that restarted after its heartbeat was read',
 		isReadSince: false,
-		life: 'before',
+		incarnation: 'before',
 		held: 0,
 	},
 	{
-		name: 'one that another life has replaced',
+		name: 'a holder replaced by another incarnation',
 		isReadSince: true,
-		life: 'after',
+		incarnation: 'after',
 		held: 1,
 	},
-	{name: 'one that lives', isReadSince: true, life: 'now', held: 0},
+	{name: 'a live holder', isReadSince: true, incarnation: 'now', held: 0},
 ] as const;
 
-for (const {name, isReadSince, life, held} of evidence) {
+for (const {name, isReadSince, incarnation, held} of evidence) {
 	tap.t.test(`evidence against ${name}`, async (t) => {
-		const {clock, keeper, members, store, look} = createWorld(small, ['s0']);
+		const {clock, keeper, members, store, check} = createWorld(small, ['s0']);
 		const lease = {
 			shard: 's0',
 			holder: {entry: 'a', incarnation: 'now'},
@@ -253,10 +263,10 @@
 		);
 		const claimedAt = stored.ok ? stored.value.version : 0;
 		const version = isReadSince ? claimedAt : claimedAt - 1;
-		// Its life before has been silent for as long as the restart took.
-		for (clock.at = 0; clock.at < 4000; clock.at += beatMs) {
-			const beat = life === 'now' ? clock.at : 1;
-			const row: DaemonRow = {incarnation: life, address: 'a', beat};
+		// The previous incarnation was unresponsive during the restart.
+		for (clock.at = 0; clock.at < 4000; clock.at += heartbeatMs) {
+			const beat = incarnation === 'now' ? clock.at : 1;
+			const row: DaemonRow = {incarnation, address: 'a', beat};
 			const value = JSON.stringify(row);
 			members.applyChanges({
 				version,
@@ -269,36 +279,36 @@
 			});
 		}
 
-		for (let looks = 0; looks < 12; looks++) {
-			clock.at += lookMs;
-			await look();
+		for (let checks = 0; checks < 12; checks++) {
+			clock.at += checkIntervalMs;
+			await check();
 		}
 
 		t.equal(keeper.listHeld().length, held);
 	});
 }
 
-/** An observer finds a shard free. */
+/** Claims of an observer that finds a shard free. */
 const observerClaims: ReadonlyArray<
-	readonly [string, Capacity, Others, held: number, ms: number]
+	readonly [string, Capacity, Peers, held: number, ms: number]
 > = [
 	['leaves it to the candidates', large, {a: large}, 0, 300],
-	['claims it if they do not', large, {a: large}, 1, 600],
+	['claims it if the candidates do not', large, {a: large}, 1, 600],
 	['leaves it to more capable observers', small, {a: large}, 0, 600],
-	['claims it if nobody else does', small, {a: large}, 1, 900],
-	['claims it at once if nobody is live', small, {}, 1, 200],
+	['claims it if no other observer does', small, {a: large}, 1, 900],
+	['claims it at once if no daemon is live', small, {}, 1, 200],
 ];
 
-for (const [name, capacity, others, wanted, ms] of observerClaims) {
+for (const [name, capacity, peers, wanted, ms] of observerClaims) {
 	tap.t.test(`an observer ${name}`, async (t) => {
 		const {beats, keeper, pass} = createWorld(capacity, ['s'], 'observer');
-		await pass(ms, others);
+		await pass(ms, peers);
 		t.equal(keeper.listHeld().length, wanted);
-		t.equal(beats.length, wanted, 'a heartbeat comes before a claim only');
+		t.equal(beats.length, wanted, 'a heartbeat is stored only before a claim');
 	});
 }
 
-tap.t.test('a holder that was never heard is silent in time', async (t) => {
+tap.t.test('a holder without heartbeats becomes unresponsive', async (t) => {
 	const {keeper, store, pass} = createWorld(large, ['s'], 'observer');
 	const lease = {
 		shard: 's',
@@ -315,7 +325,7 @@
 		100,
 	);
 	await pass(1800, {a: large});
-	t.equal(keeper.listHeld().length, 0, 'it may live');
+	t.equal(keeper.listHeld().length, 0, 'it may be alive');
 	await pass(800, {a: large});
 	t.equal(keeper.listHeld().length, 1);
 });
--- a/packages/daemon/src/jobs/shards/shard-keeper.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.ts
@@ -1,7 +1,7 @@
 /**
- * Claims shards that are free and gives them back at a stop, or when a more
- * capable daemon has room for them. A lease row changes only when a shard
- * changes hands; the daemon's one heartbeat stands for all its shards.
+ * Claims free shards, and releases them at shutdown or when a more capable
+ * daemon has capacity for them. A lease row is written only when the holder
+ * changes; one heartbeat of the daemon keeps all its leases valid.
  */
 import * as core from '@gullstand/core';
 import type {RowStore} from '@gullstand/ports';
@@ -19,54 +19,54 @@
 
 type ShardPlan = core.shardAssignment.ShardPlan;
 
-/** What the keeper needs. */
+/** Dependencies of the keeper. */
 export type ShardKeeperDeps = {
 	readonly store: RowStore;
 	readonly self: core.acknowledgement.EntryLife;
-	/** What this machine has; absent if it is not known. */
+	/** Capacity of this machine; absent if not known. */
 	readonly capacity: core.shardAssignment.EntryCapacity | undefined;
 	readonly getAddress: () => string;
 	readonly members: Members;
 	readonly leases: LeaseCache;
-	/** Whether this daemon reads the heartbeats, so that it may judge others. */
+	/** Whether this daemon reads heartbeats and so may judge others' liveness. */
 	readonly mayClaim: () => boolean;
-	/** Sees to it that its own heartbeat is in the store; answers whether it is. */
+	/** Stores a recent heartbeat of this daemon; resolves to whether it is stored. */
 	readonly ensureHeartbeat: () => Promise<boolean>;
-	/** Whether this daemon is one of those that take over from holders. */
+	/** Whether this daemon is a candidate to take over shards. */
 	readonly isCandidate: () => boolean;
-	/** All shards that somebody should hold, by the configuration. */
+	/** Lists all shards that need a holder by the configuration. */
 	readonly listShards: () => readonly string[];
 	readonly now: () => number;
 	readonly random: () => number;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	readonly onAcquired: (held: HeldShard) => void;
-	/** Stores what is left to store; nothing is ordered any more after it. */
+	/** Stores pending state; no commands are sent under the shard afterwards. */
 	readonly beforeRelease: (shard: string) => Promise<void>;
-	/** The shard is another's, or this daemon gave it up. */
+	/** Called when another daemon holds the shard, or this one has released it. */
 	readonly onLost: (shard: string) => void;
-	/** Tells the others that a shard is free. */
+	/** Called when a shard was released, to notify the other daemons. */
 	readonly onReleased: (shard: string) => void;
 };
 
-/** The keeper. */
+/** Claims and releases shards of this daemon. */
 export type ShardKeeper = {
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
 	readonly stop: () => Promise<void>;
-	/** Gives a shard back, so that the next holder need not wait. */
+	/** Releases a shard, so that the next holder can claim it at once. */
 	readonly release: (shard: string) => Promise<void>;
 	readonly listHeld: () => readonly HeldShard[];
 	readonly isHeld: (shard: string) => boolean;
-	/** Whether it holds a shard or is claiming one. */
+	/** Whether this daemon holds a shard or is claiming one. */
 	readonly isHolding: () => boolean;
-	/** Takes in that the lease of a shard has changed. */
+	/** Applies a changed lease; gives up the shard if the lease is newer. */
 	readonly applyLease: (shard: string, lease: KnownLease) => void;
-	/** A holder's order was refused for a higher token. */
+	/** Gives up a shard after a command was refused for a higher fencing token. */
 	readonly handleFenced: (shard: string) => void;
-	/** Looks for shards to claim now. */
+	/** Checks now for shards to claim. */
 	readonly checkNow: () => void;
 };
 
-/** Creates a keeper that holds nothing. */
+/** Creates a keeper that holds no shards. */
 export const createShardKeeper = (deps: ShardKeeperDeps): ShardKeeper => {
 	const {store, self, members, leases, now, logger} = deps;
 	const held = new Map<string, HeldShard>();
@@ -74,18 +74,18 @@
 	const claiming = new Set<string>();
 	const heldSince = new Map<string, number>();
 	let returnedAt: number | undefined;
-	/** Where this daemon comes among observers, from 0 to 1. */
+	/** Random position of this daemon among observers, from 0 to 1. */
 	const claimJitter = deps.random();
-	/** Versions of leases that this daemon has lost and must not adopt again. */
+	/** Versions of lost leases, which must not be adopted again. */
 	const lostVersions = new Map<string, number>();
 	let isStopping = false;
 
 	const lose = (shard: string, reason: string) => {
-		const mine = held.get(shard);
-		if (mine) {
+		const lost = held.get(shard);
+		if (lost) {
 			held.delete(shard);
 			heldSince.delete(shard);
-			lostVersions.set(shard, mine.version);
+			lostVersions.set(shard, lost.version);
 			logger.info('shard lost', {shard, reason});
 			deps.onLost(shard);
 		}
@@ -93,20 +93,20 @@
 
 	const getEvidence = (lease: KnownLease | undefined) => {
 		const holder = lease?.value.holder;
-		// What was read before it claimed may be of the life before.
+		// Heartbeats read before the claim may be of an earlier incarnation.
 		if (!holder || !members.isReadUpTo(lease?.version ?? 0)) {
 			return {registeredIncarnation: holder?.incarnation, silentMs: 0};
 		}
 
 		return {
-			// A holder whose heartbeat was not read counts as alive until it is silent.
+			// A holder without a heartbeat counts as alive until it is unresponsive.
 			registeredIncarnation:
 				members.get(holder.entry)?.incarnation ?? holder.incarnation,
 			silentMs: members.getUnresponsiveMs(holder.entry),
 		};
 	};
 
-	const describePrevious = (
+	const getPreviousState = (
 		lease: KnownLease | undefined,
 	): PreviousHolderState => {
 		if (!lease) {
@@ -143,14 +143,14 @@
 	};
 
 	const claim = async (shard: string): Promise<void> => {
-		// The others judge a holder by its heartbeats, so one comes first.
+		// Others judge a holder by its heartbeat, which must be stored first.
 		if (!(await deps.ensureHeartbeat())) {
 			logger.info('shard claim failed', {shard, reason: 'no heartbeat'});
 			return;
 		}
 
 		const lease = leases.get(shard);
-		const previous = describePrevious(lease);
+		const previous = getPreviousState(lease);
 		const write = core.shardLease.acquireShard(shard, lease, {
 			self,
 			evidence: getEvidence(lease),
@@ -187,7 +187,7 @@
 		}
 	};
 
-	/** The lease is ours by a claim whose answer was lost. */
+	/** Whether the lease names this daemon after a claim whose answer was lost. */
 	const isOwnUnadopted = (shard: string): boolean => {
 		const lease = leases.get(shard);
 		const holder = lease?.value.holder;
@@ -209,9 +209,9 @@
 		return result.ok;
 	};
 
-	const own = {entry: self.entry, capacity: deps.capacity};
+	const selfEntry = {entry: self.entry, capacity: deps.capacity};
 
-	const listLiveOthers = (): readonly core.shardAssignment.LiveEntry[] =>
+	const listLivePeers = (): readonly core.shardAssignment.LiveEntry[] =>
 		toLiveEntries(members, members.listLive(periods.leaseMs), self.entry);
 
 	const listHolders = (
@@ -227,21 +227,21 @@
 	const planShards = (shards: readonly string[]) =>
 		core.shardAssignment.planShards(
 			shards,
-			[...listLiveOthers(), own],
+			[...listLivePeers(), selfEntry],
 			listHolders(shards),
 		);
 
-	/** Less capable than some that are known, which may have gone meanwhile. */
+	/** Whether a known daemon, which may have terminated, is more capable. */
 	const isLessCapable = (): boolean => {
 		const known = toLiveEntries(members, members.listAll(), self.entry);
 		return !core.shardAssignment
-			.listCapable([...known, own])
+			.listCapable([...known, selfEntry])
 			.includes(self.entry);
 	};
 
-	/** Observers are many and see a free shard at the same time. */
+	/** Spreads the claims of observers, which all find a free shard at once. */
 	const getObserverHeadStartMs = (): number => {
-		const isAnyLive = listLiveOthers().length > 0;
+		const isAnyLive = listLivePeers().length > 0;
 		const candidateMs = isAnyLive ? shardPeriods.candidateHeadStartMs : 0;
 		const capableMs = isLessCapable()
 			? shardPeriods.observerCapableHeadStartMs
@@ -268,7 +268,7 @@
 			: shardPeriods.capableHeadStartMs;
 	};
 
-	/** Claims under way count too: one look may find all shards free. */
+	/** Counts claims in progress too, as one check may find all shards free. */
 	const getSpreadMs = (): number =>
 		Math.min(held.size + claiming.size, maxSpreadShards) *
 		periods.claimSpreadMs;
@@ -295,11 +295,11 @@
 	const releases = createShardReleases({
 		...deps,
 		async stopHolding(shard) {
-			// What the owner does ends before the row says that it is free.
+			// The work of the owner ends before the row says that the shard is free.
 			await deps.beforeRelease(shard);
-			const mine = held.get(shard);
-			lose(shard, 'given back');
-			return mine;
+			const released = held.get(shard);
+			lose(shard, 'returned');
+			return released;
 		},
 	});
 
@@ -324,7 +324,7 @@
 		if (shard !== undefined) {
 			returnedAt = at;
 			const next = plan.assigned.get(shard);
-			logger.info('shard goes to a more capable daemon', {shard, next});
+			logger.info('returning shard for a more capable daemon', {shard, next});
 			void releases.release(shard);
 		}
 	};
@@ -337,7 +337,7 @@
 		releases.retry();
 		const shards = deps.listShards();
 		let plan: ShardPlan | undefined;
-		// Most looks find nothing to decide.
+		// Computed on demand, as most checks need no plan.
 		const getPlan = () => {
 			plan ??= planShards(shards);
 			return plan;
@@ -371,8 +371,8 @@
 		isHolding: () => held.size + claiming.size > 0,
 		isHeld: (shard) => held.has(shard),
 		applyLease(shard, lease) {
-			const mine = held.get(shard);
-			if (mine && lease.version > mine.version) {
+			const current = held.get(shard);
+			if (current && lease.version > current.version) {
 				lose(shard, 'taken over');
 			}
 		},
--- a/packages/daemon/src/jobs/shards/shard-periods.ts
+++ b/packages/daemon/src/jobs/shards/shard-periods.ts
@@ -1,21 +1,25 @@
-/** Times by which shards are claimed and given back, in milliseconds. */
+/** Delays of claiming and returning shards, in milliseconds. */
 export const shardPeriods = {
 	/**
-	 * Head start of the capable daemons over all others: more than theirs
-	 * among each other, so that the others claim only what nobody else does.
+	 * Head start of the most capable daemons over all others. It exceeds the
+	 * head start among the most capable ones, so that others claim only shards
+	 * that none of those claims.
 	 */
 	capableHeadStartMs: 900,
 	/** Head start of candidates over observers. */
 	candidateHeadStartMs: 300,
-	/** Among observers, head start of the more capable ones. */
+	/** Head start of the most capable observers over the other observers. */
 	observerCapableHeadStartMs: 300,
-	/** Time over which observers spread their claims. */
+	/** Interval over which observers spread their claims at random. */
 	observerSpreadMs: 200,
-	/** Before a shard moves both daemons have had their part for so long. */
+	/**
+	 * Minimum time that a shard was held and its next holder was live before the
+	 * shard is returned for that holder.
+	 */
 	settleMs: 3000,
-	/** Between two shards that a daemon gives back. */
+	/** Minimum time between two returns of shards by one daemon. */
 	returnPauseMs: 5000,
 } as const;
 
-/** Shards held after which each more delays a claim no further. */
+/** Number of held shards beyond which further ones add no claim delay. */
 export const maxSpreadShards = 4;
--- a/packages/daemon/src/jobs/shards/shard-releases.ts
+++ b/packages/daemon/src/jobs/shards/shard-releases.ts
@@ -1,7 +1,7 @@
 /**
- * Gives shards back while the daemon lives on. A row that could not be
- * written still names a live daemon, so that nobody else could claim the
- * shard: the write is tried again until the row is another one.
+ * Releases shards while the daemon keeps running. Until the lease row is written
+ * it names a live daemon, and nobody else can claim the shard. So a failed write
+ * is retried until it succeeds or the row has changed.
  */
 import type {RowStore} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
@@ -11,34 +11,34 @@
 import {createLeaseTransaction} from './lease-transaction.js';
 import type {HeldShard} from './held-shard.js';
 
-/** What releases need. */
+/** Dependencies of the releases. */
 export type ShardReleasesDeps = {
 	readonly store: RowStore;
 	readonly leases: LeaseCache;
 	readonly logger: Pick<Logger, 'info'>;
-	/** Ends what is done under the shard; answers what was held until then. */
+	/** Stops all work under the shard; resolves to its state as held before. */
 	readonly stopHolding: (shard: string) => Promise<HeldShard | undefined>;
-	/** Tells the others that a shard is free. */
+	/** Called when a shard was released. */
 	readonly onReleased: (shard: string) => void;
 };
 
-/** The releases of a daemon. */
+/** Releases of this daemon. */
 export type ShardReleases = {
-	/** Gives a shard back; a call that meets one under way waits for it. */
+	/** Releases a shard, or waits for its release that is in progress. */
 	readonly release: (shard: string) => Promise<void>;
-	/** Tries again what could not be written. */
+	/** Retries lease writes that failed. */
 	readonly retry: () => void;
-	/** Whether one is under way or still has to be written. */
+	/** Whether a release is in progress or its lease is still to be written. */
 	readonly isPending: () => boolean;
-	/** Waits for those under way. */
+	/** Waits for the releases in progress. */
 	readonly waitForAll: () => Promise<void>;
 };
 
-/** Creates releases, none under way. */
+/** Creates an empty set of releases. */
 export const createShardReleases = (deps: ShardReleasesDeps): ShardReleases => {
 	const {store, leases, logger} = deps;
-	const underWay = new Map<string, Promise<void>>();
-	/** Shards let go whose row may still name this daemon. */
+	const inProgress = new Map<string, Promise<void>>();
+	/** Shards no longer held whose lease row may still name this daemon. */
 	const unwritten = new Map<string, HeldShard>();
 
 	const write = async ({shard, version}: HeldShard): Promise<void> => {
@@ -57,7 +57,7 @@
 			shard,
 			outcome: result.ok ? 'done' : result.error.kind,
 		});
-		// After a conflict the row is another one; the feed brings it.
+		// After a conflict the row has changed; the feed delivers the new one.
 		if (result.ok || result.error.kind === 'conflict') {
 			unwritten.delete(shard);
 		}
@@ -67,11 +67,11 @@
 		}
 	};
 
-	const letGoAndWrite = async (shard: string) => {
-		const mine = await deps.stopHolding(shard);
-		if (mine) {
-			unwritten.set(shard, mine);
-			await write(mine);
+	const stopHoldingAndWrite = async (shard: string) => {
+		const held = await deps.stopHolding(shard);
+		if (held) {
+			unwritten.set(shard, held);
+			await write(held);
 		}
 	};
 
@@ -79,27 +79,28 @@
 		try {
 			await action();
 		} finally {
-			underWay.delete(shard);
+			inProgress.delete(shard);
 		}
 	};
 
-	/** A stop may meet a release under way. */
+	/** Runs one action a shard at a time; joins one that is in progress. */
 	const join = async (shard: string, action: () => Promise<void>) => {
-		const running = underWay.get(shard) ?? runOnce(shard, action);
-		underWay.set(shard, running);
+		const running = inProgress.get(shard) ?? runOnce(shard, action);
+		inProgress.set(shard, running);
 		return running;
 	};
 
 	return {
-		release: async (shard) => join(shard, async () => letGoAndWrite(shard)),
+		release: async (shard) =>
+			join(shard, async () => stopHoldingAndWrite(shard)),
 		retry() {
-			for (const [shard, mine] of unwritten) {
-				void join(shard, async () => write(mine));
+			for (const [shard, held] of unwritten) {
+				void join(shard, async () => write(held));
 			}
 		},
-		isPending: () => underWay.size > 0 || unwritten.size > 0,
+		isPending: () => inProgress.size > 0 || unwritten.size > 0,
 		async waitForAll() {
-			await Promise.all(underWay.values());
+			await Promise.all(inProgress.values());
 		},
 	};
 };
