--- a/packages/daemon/src/jobs/fleet/command-log.test.ts
+++ b/packages/daemon/src/jobs/fleet/command-log.test.ts
@@ -5,7 +5,7 @@
 
 const turnoverMs = 3000;
 
-/** A store whose clock and that of the books are moved by the test. */
+/** Creates a store and logs whose clocks the test advances. */
 const createWorld = async () => {
 	const clock = {at: 10_000};
 	const inner = ports.createMemoryRowStore();
@@ -23,7 +23,7 @@
 		read: async (...args) => withClock(await inner.read(...args)),
 	};
 	const lease = {table: tables.lease, part: fleetShard, key: singleKeys.lease};
-	const takeLease = async () => {
+	const claimLease = async () => {
 		const result = await inner.transact(
 			{checks: [], puts: [{...lease, value: '{}'}], removes: []},
 			100,
@@ -33,12 +33,12 @@
 
 	const open = async () => {
 		const lost: string[] = [];
-		const book = createCommandLog({
+		const log = createCommandLog({
 			store,
 			held: {
 				shard: fleetShard,
 				token: 1,
-				version: await takeLease(),
+				version: await claimLease(),
 				previous: 'silent',
 				previousHolder: undefined,
 			},
@@ -49,49 +49,49 @@
 				lost.push('lost');
 			},
 		});
-		await book.load();
-		return {book, lost};
+		await log.load();
+		return {log, lost};
 	};
 
 	return {clock, inner, open};
 };
 
 tap.t.test(
-	'a machine ordered by the holder before is left alone for a time',
+	'a machine of the previous holder gets no commands within the turnover time',
 	async (t) => {
 		const world = await createWorld();
 		const first = await world.open();
-		t.ok(await first.book.record(['a']));
-		t.ok(first.book.mayCommand('a'), 'the holder itself may go on');
+		t.ok(await first.log.record(['a']));
+		t.ok(first.log.mayCommand('a'), 'the same holder may continue');
 		world.clock.at += 1000;
 		const second = await world.open();
-		t.notOk(second.book.mayCommand('a'));
-		t.ok(second.book.mayCommand('b'));
+		t.notOk(second.log.mayCommand('a'));
+		t.ok(second.log.mayCommand('b'));
 		world.clock.at += turnoverMs - 1000;
-		t.notOk(second.book.mayCommand('a'), 'the order may have been under way');
+		t.notOk(second.log.mayCommand('a'), 'the command may have been in transit');
 		world.clock.at += 500;
-		t.ok(second.book.mayCommand('a'));
+		t.ok(second.log.mayCommand('a'));
 	},
 );
 
 tap.t.test(
-	'a holder that was replaced notes nothing, and learns it',
+	'a replaced holder records nothing and loses the shard',
 	async (t) => {
 		const world = await createWorld();
 		const first = await world.open();
 		await world.open();
-		t.notOk(await first.book.record(['a']));
+		t.notOk(await first.log.record(['a']));
 		t.same(first.lost, ['lost']);
 	},
 );
 
 tap.t.test(
-	'without an answer of the store nothing may be ordered',
+	'no command may be sent without an answer of the store',
 	async (t) => {
 		const world = await createWorld();
-		const {book} = await world.open();
+		const {log} = await world.open();
 		world.inner.setFault(() => 'lost-after');
-		t.notOk(await book.record(['a']));
-		t.notOk(await book.load());
+		t.notOk(await log.record(['a']));
+		t.notOk(await log.load());
 	},
 );
--- a/packages/daemon/src/jobs/fleet/command-log.ts
+++ b/packages/daemon/src/jobs/fleet/command-log.ts
@@ -1,7 +1,7 @@
 /**
- * When each machine was last ordered, kept for the next holder of the fleet:
- * two holders may not order one machine within the turnover time. Times are
- * those of the store's steady clock.
+ * Stores when each machine last got a command, for the next holder of the
+ * fleet's shard: two holders may not command one machine within the turnover
+ * time. Times are of the store's steady clock.
  */
 import type {RowStore} from '@gullstand/ports';
 import * as z from 'zod';
@@ -10,16 +10,20 @@
 import {decodeRow, fleetShard, getLeaseCheck, tables} from '../rows/tables.js';
 import type {HeldShard} from '../shards/held-shard.js';
 
-/** The book. */
+/** Log of the last command of each machine. */
 export type CommandLog = {
-	/** Reads what the holder before has left; false without an answer. */
+	/** Reads the log of the previous holder; resolves to false without an answer. */
 	readonly load: () => Promise<boolean>;
-	/** Notes machines as ordered; only then may they be. */
+	/**
+	 * Records commands for machines; resolves to whether they were stored. Only
+	 * then may the commands be sent.
+	 */
 	readonly record: (machines: readonly string[]) => Promise<boolean>;
+	/** Whether the turnover time after the previous holder's command is over. */
 	readonly mayCommand: (machine: string) => boolean;
 };
 
-/** What the book needs. */
+/** Dependencies of the log. */
 export type CommandLogDeps = {
 	readonly store: RowStore;
 	readonly held: HeldShard;
@@ -29,41 +33,41 @@
 	readonly onLost: () => void;
 };
 
-const orderKey = 'orders';
+const logKey = 'orders';
 
-const rowKey = {table: tables.owner, part: fleetShard, key: orderKey} as const;
+const rowKey = {table: tables.owner, part: fleetShard, key: logKey} as const;
 
-const bookSchema = z.record(z.string(), z.number());
+const logSchema = z.record(z.string(), z.number());
 
-/** Time between the note and the arrival of an order, milliseconds. */
+/** Maximum time from recording a command to its arrival, in milliseconds. */
 const transitMs = 300;
 
-/** Creates a book that knows nothing. */
+/** Creates an empty log. */
 export const createCommandLog = (deps: CommandLogDeps): CommandLog => {
 	const {store, held, now, turnoverMs, logger} = deps;
-	const lastOrders = new Map<string, number>();
-	/** From when on a machine that the holder before ordered is free. */
+	const lastCommands = new Map<string, number>();
+	/** Local time from which a machine of the previous holder may get commands. */
 	const freeAt = new Map<string, number>();
 	let clock: {readonly storeMs: number; readonly at: number} | undefined;
 
-	const noteClock = (storeMs: number) => {
+	const setClock = (storeMs: number) => {
 		clock = {storeMs, at: now()};
 	};
 
 	const getStoreNow = (): number =>
 		clock ? clock.storeMs + (now() - clock.at) : 0;
 
-	const forgetOld = () => {
+	const removeExpired = () => {
 		const oldest = getStoreNow() - 2 * turnoverMs;
-		for (const [machine, at] of lastOrders) {
+		for (const [machine, at] of lastCommands) {
 			if (at < oldest) {
-				lastOrders.delete(machine);
+				lastCommands.delete(machine);
 			}
 		}
 	};
 
-	const takeRow = (value: string, nowMs: number) => {
-		const decoded = decodeRow(bookSchema, value);
+	const applyRow = (value: string, nowMs: number) => {
+		const decoded = decodeRow(logSchema, value);
 		if (!decoded.ok) {
 			logger.warn('row skipped', {...rowKey, ...decoded.error});
 			return;
@@ -71,7 +75,7 @@
 
 		for (const [machine, at] of Object.entries(decoded.value)) {
 			const leftMs = turnoverMs + transitMs - (nowMs - at);
-			lastOrders.set(machine, at);
+			lastCommands.set(machine, at);
 			freeAt.set(machine, now() + leftMs);
 		}
 	};
@@ -83,21 +87,21 @@
 				return false;
 			}
 
-			noteClock(page.value.nowMs);
-			const row = page.value.rows.find(({key}) => key === orderKey);
+			setClock(page.value.nowMs);
+			const row = page.value.rows.find(({key}) => key === logKey);
 			if (row) {
-				takeRow(row.value, page.value.nowMs);
+				applyRow(row.value, page.value.nowMs);
 			}
 
 			return true;
 		},
 		async record(machines) {
-			forgetOld();
+			removeExpired();
 			for (const machine of machines) {
-				lastOrders.set(machine, getStoreNow());
+				lastCommands.set(machine, getStoreNow());
 			}
 
-			const value = JSON.stringify(Object.fromEntries(lastOrders));
+			const value = JSON.stringify(Object.fromEntries(lastCommands));
 			const result = await store.transact(
 				{
 					checks: [getLeaseCheck(held)],
@@ -107,7 +111,7 @@
 				periods.storeTimeoutMs,
 			);
 			if (result.ok) {
-				noteClock(result.value.nowMs);
+				setClock(result.value.nowMs);
 				return true;
 			}
 
--- a/packages/daemon/src/jobs/fleet/fleet-context.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-context.ts
@@ -1,4 +1,4 @@
-/** What the work on machines shares while this daemon holds the fleet's shard. */
+/** State and calls shared by the work on machines while this daemon holds the fleet's shard. */
 import type {fleet, scheduler} from '@gullstand/core';
 import type {Machine, Machines, RowStore} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
@@ -8,25 +8,25 @@
 import type {HeldShard} from '../shards/held-shard.js';
 import type {CommandLog} from './command-log.js';
 
-/** Times of the fleet's work, in milliseconds. */
+/** Intervals and time-outs of the work on machines, in milliseconds. */
 export const fleetPeriods = {
-	/** Between two rounds. */
+	/** Pause between two rounds. */
 	roundMs: 150,
-	/** A call to the platform. */
+	/** Time-out of a call to the platform. */
 	platformTimeoutMs: 1500,
-	/** How long work may end by itself before it is stopped. */
+	/** Time in which runs may end by themselves before a wave stops them. */
 	evacuationGraceMs: 1400,
-	/** Time that one machine of a wave takes, emptying included. */
+	/** Expected time per machine of a wave, evacuation included. */
 	machineTurnaroundMs: 4500,
-	/** A machine that is not empty within this time does not move ... */
+	/** A move is abandoned if its machine is not evacuated within this time. */
 	moveEvacuationTimeoutMs: 4000,
-	/** ... and its work is never stopped for a move. */
+	/** Exceeds the evacuation time-out, so that no run is stopped for a move. */
 	moveEvacuationGraceMs: 60_000,
-	/** A move that does not show in the list within this time is given up. */
+	/** A move that the list does not show within this time is abandoned. */
 	moveTimeoutMs: 15_000,
 } as const;
 
-/** What a round of work needs. */
+/** Dependencies of a round. */
 export type FleetContext = {
 	readonly held: HeldShard;
 	readonly holder: string;
@@ -35,11 +35,11 @@
 	readonly owners: OwnerChannel;
 	readonly clock: Clock;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
-	/** Services whose owner must agree before a machine goes. */
+	/** Whether a service has an owner, which evacuates its machines. */
 	readonly hasOwner: (service: string) => boolean;
-	/** Whether orders may be given now. */
+	/** Whether commands may be sent now. */
 	readonly mayCommand: () => boolean;
-	/** Machines ordered lately, by this holder and the one before. */
+	/** Recent commands of this holder and the previous one. */
 	readonly commandLog: CommandLog;
 	readonly isStopped: () => boolean;
 	readonly loseShard: (reason: string) => void;
@@ -47,50 +47,50 @@
 
 /** Machines and loads as read at the beginning of a round. */
 export type FleetView = {
-	/** When the list was asked for. */
+	/** When the list was requested. */
 	readonly requestedAt: number;
 	readonly machines: ReadonlyMap<string, Machine>;
-	/** By service; absent where its owner did not answer. */
+	/** Load by service; absent if its owner did not answer. */
 	readonly loads: ReadonlyMap<string, scheduler.ServiceLoad>;
 };
 
-/** Silence before it is asked whether an executor is gone, milliseconds. */
-const silentMs = 200;
+/** Unresponsive time after which an executor may be reported, in milliseconds. */
+const minUnresponsiveMs = 200;
 
 /**
- * Silence after which an executor that no list has shown counts too: the list
- * may be behind by a second when one has just started. In milliseconds.
+ * Unresponsive time after which an executor that was never listed may be
+ * reported, in milliseconds: the list may be a second behind at its start.
  */
-const neverListedMs = 3000;
+const minNeverListedMs = 3000;
 
-/** Executors that the lists have shown so far. */
+/** Ids of the executors listed so far. */
 export type ListedExecutorIds = Set<string>;
 
 /**
- * Tells owners which silent executors are on no machine any more: the platform
- * knows that a machine is down before any lease there is over, and still lists
- * one that is only cut off.
+ * Reports unresponsive executors that are on no machine to their owners. The
+ * platform drops a machine that is down before the leases there expire, and
+ * still lists one that is only disconnected.
  */
 export const reportTerminated = async (
 	{owners, clock, logger}: FleetContext,
 	{machines, loads, requestedAt}: FleetView,
-	seen: ListedExecutorIds,
+	listedIds: ListedExecutorIds,
 ): Promise<void> => {
 	const present = new Set(
 		[...machines.values()].flatMap(({executorId}) => executorId ?? []),
 	);
 	const ageMs = clock.now() - requestedAt;
-	const gone = [...loads].flatMap(([pool, {silent}]) =>
+	const terminated = [...loads].flatMap(([pool, {silent}]) =>
 		Object.entries(silent).flatMap(([id, forMs]) => {
-			const wasListed = seen.has(id) || forMs > neverListedMs + ageMs;
-			return !present.has(id) && wasListed && forMs > silentMs + ageMs
+			const wasListed = listedIds.has(id) || forMs > minNeverListedMs + ageMs;
+			return !present.has(id) && wasListed && forMs > minUnresponsiveMs + ageMs
 				? [{pool, id, forMs}]
 				: [];
 		}),
 	);
 	await Promise.all(
-		gone.map(async ({pool, id, forMs}) => {
-			logger.info('executor is on no machine', {
+		terminated.map(async ({pool, id, forMs}) => {
+			logger.info('executor terminated: on no machine', {
 				executor: id,
 				pool,
 				silentMs: Math.round(forMs),
@@ -99,11 +99,11 @@
 		}),
 	);
 	for (const id of present) {
-		seen.add(id);
+		listedIds.add(id);
 	}
 };
 
-/** Reads machines and loads; `undefined` if the platform does not answer. */
+/** Reads machines and loads; `undefined` if the machines could not be listed. */
 export const readFleetView = async ({
 	machines,
 	owners,
@@ -114,7 +114,7 @@
 	const requestedAt = clock.now();
 	const listed = await machines.list(fleetPeriods.platformTimeoutMs);
 	if (!listed.ok) {
-		logger.warn('machines not read', {reason: listed.error.kind});
+		logger.warn('failed to list machines', {reason: listed.error.kind});
 		return undefined;
 	}
 
@@ -135,18 +135,21 @@
 	};
 };
 
-/** Load of a machine's executor, if its owner has told it. */
+/** Returns the load of a machine's executor, if its owner has reported it. */
 export const getMachineLoad = (
 	{loads}: FleetView,
 	{pool, executorId}: Pick<Machine, 'pool' | 'executorId'>,
 ): scheduler.ExecutorLoad | undefined =>
 	executorId === undefined ? undefined : loads.get(pool)?.executors[executorId];
 
-/** Whether nothing runs on a machine any more, by its pool's owner. */
+/**
+ * Asks the pool's owner to evacuate a machine; resolves to whether nothing runs
+ * there any more. Runs may end by themselves for `graceMs`.
+ */
 export const evacuateMachine = async (
 	{owners, hasOwner}: FleetContext,
 	{pool, executorId}: Pick<fleet.WaveMachine, 'pool' | 'executorId'>,
-	patienceMs: number,
+	graceMs: number,
 ): Promise<boolean> => {
 	if (executorId === undefined || !hasOwner(pool)) {
 		return true;
@@ -155,7 +158,7 @@
 	const state = await owners.evacuate(
 		getServiceShard(pool),
 		executorId,
-		patienceMs,
+		graceMs,
 	);
 	return state?.kind === 'clear';
 };
--- a/packages/daemon/src/jobs/fleet/fleet-runner.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-runner.ts
@@ -1,7 +1,7 @@
 /**
- * Orders what happens to machines while this daemon holds the fleet's shard:
- * waves of maintenance and moves between pools. The owners of services empty
- * the executors; here it is decided which, and the platform is asked.
+ * Runs maintenance waves and moves between pools while this daemon holds the
+ * fleet's shard. It chooses the machines and commands the platform; the owners
+ * of the services evacuate the executors.
  */
 import type {fleet} from '@gullstand/core';
 import type {Machines, RowStore, WaveRequest} from '@gullstand/ports';
@@ -25,7 +25,7 @@
 	type WaveStatusPort,
 } from './machine-wave-runner.js';
 
-/** What the runner needs. */
+/** Dependencies of the runner. */
 export type FleetRunnerDeps = {
 	readonly held: HeldShard;
 	readonly holder: string;
@@ -36,9 +36,9 @@
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly pools: fleet.PoolConfig;
-	/** Time between orders of two holders for one machine, milliseconds. */
+	/** Minimum time between commands of two holders for one machine, in milliseconds. */
 	readonly turnoverMs: number;
-	/** How long the holder acts without having confirmed its lease. */
+	/** How long the holder acts without confirming its lease, in milliseconds. */
 	readonly maxUnconfirmedMs: number;
 	readonly getLeasesConfirmedAt: () => Moment | undefined;
 	readonly listWaves: () => readonly WaveRequest[];
@@ -48,18 +48,18 @@
 	readonly reportFailure: ReportFailure;
 };
 
-/** The runner while the shard is held. */
+/** Runner of the work on machines. */
 export type FleetRunner = {
 	readonly start: () => void;
 	readonly stop: () => void;
 };
 
-/** Creates a runner; it does nothing before `start`. */
+/** Creates a runner; it is idle until `start` is called. */
 export const createFleetRunner = (deps: FleetRunnerDeps): FleetRunner => {
 	const {held, clock} = deps;
 	const logger = deps.logger.child({shard: held.shard});
 	const state = {isStopped: false};
-	const seen: ListedExecutorIds = new Set();
+	const listedIds: ListedExecutorIds = new Set();
 
 	const lose = (reason: string) => {
 		if (!state.isStopped) {
@@ -68,11 +68,11 @@
 		}
 	};
 
-	const isBelieved = (): boolean =>
+	const isLeaseConfirmed = (): boolean =>
 		!state.isStopped &&
 		isWithin(clock, deps.getLeasesConfirmedAt(), deps.maxUnconfirmedMs);
 
-	const orders = createCommandLog({
+	const commandLog = createCommandLog({
 		store: deps.store,
 		held,
 		now: clock.now,
@@ -92,8 +92,8 @@
 		clock,
 		logger,
 		hasOwner: deps.hasOwner,
-		mayCommand: isBelieved,
-		commandLog: orders,
+		mayCommand: isLeaseConfirmed,
+		commandLog,
 		isStopped: () => state.isStopped,
 		loseShard: lose,
 	};
@@ -108,7 +108,7 @@
 		await waves.acceptRequests(deps.listWaves());
 		const view = await readFleetView(context);
 		if (view) {
-			await reportTerminated(context, view, seen);
+			await reportTerminated(context, view, listedIds);
 			await waves.runRound(view);
 			await pools.runRound(view);
 		}
@@ -117,7 +117,7 @@
 	const run = async () => {
 		while (
 			!state.isStopped &&
-			!((await waves.load()) && (await orders.load()))
+			!((await waves.load()) && (await commandLog.load()))
 		) {
 			await delay(fleetPeriods.roundMs);
 		}
@@ -127,7 +127,7 @@
 			previous: held.previous,
 		});
 		while (!state.isStopped) {
-			if (isBelieved()) {
+			if (isLeaseConfirmed()) {
 				await runRound();
 			}
 
--- a/packages/daemon/src/jobs/fleet/machine-wave-runner.test.ts
+++ b/packages/daemon/src/jobs/fleet/machine-wave-runner.test.ts
@@ -1,4 +1,4 @@
-/** Rounds of a wave: what is stored, ordered and ordered again. */
+/** Checks which writes and commands a round of a wave issues, in order. */
 import {type scheduler} from '@gullstand/core';
 import * as ports from '@gullstand/ports';
 import * as tap from 'tap';
@@ -26,12 +26,12 @@
 	readonly answers: Map<string, ports.MachineAnswer>;
 	/** Executors on which something still runs. */
 	readonly busy: Set<string>;
-	/** Executors that were asked to be emptied. */
-	readonly asked: Set<string>;
-	readonly state: {isNoted: boolean; mayOrder: boolean};
+	/** Executors whose evacuation was requested. */
+	readonly evacuated: Set<string>;
+	readonly state: {isRecorded: boolean; mayCommand: boolean};
 };
 
-/** Of an owner with nothing to do. */
+/** Load of an idle owner. */
 const noLoad: scheduler.ServiceLoad = {
 	waitingCpu: 0,
 	usedCpu: 0,
@@ -52,8 +52,8 @@
 		events: [],
 		answers: new Map(),
 		busy: new Set(),
-		asked: new Set(),
-		state: {isNoted: true, mayOrder: true},
+		evacuated: new Set(),
+		state: {isRecorded: true, mayCommand: true},
 	};
 	const inner = ports.createMemoryRowStore();
 	const machines = Array.from({length: count}, (_, index) =>
@@ -91,30 +91,30 @@
 		},
 		owners: {
 			async evacuate(_shard: string, executorId: string) {
-				world.asked.add(executorId);
+				world.evacuated.add(executorId);
 				return world.busy.has(executorId) ? undefined : clear;
 			},
 		} as unknown as FleetContext['owners'],
 		clock: {now: () => 0, epochNow: () => 0},
 		logger: noLogger,
 		hasOwner: () => true,
-		mayCommand: () => world.state.mayOrder,
+		mayCommand: () => world.state.mayCommand,
 		commandLog: {
 			load: async () => true,
-			async record(noted) {
-				world.events.push(`noted ${noted.length}`);
-				return world.state.isNoted;
+			async record(recorded) {
+				world.events.push(`recorded ${recorded.length}`);
+				return world.state.isRecorded;
 			},
 			mayCommand: () => true,
 		},
 		isStopped: () => false,
 		loseShard: () => undefined,
 	};
-	const rounds = createMachineWaveRunner(context, {write: async () => true});
+	const runner = createMachineWaveRunner(context, {write: async () => true});
 	return {
 		...world,
 		async begin() {
-			await rounds.acceptRequests([
+			await runner.acceptRequests([
 				{
 					id: 'w',
 					machines: machines.map(({id}) => id),
@@ -124,8 +124,8 @@
 			]);
 			world.events.length = 0;
 		},
-		run: async () => rounds.runRound(view),
-		isTaken: rounds.isReserved,
+		run: async () => runner.runRound(view),
+		isReserved: runner.isReserved,
 	};
 };
 
@@ -135,74 +135,74 @@
 	readonly maxAway: number;
 	readonly busy?: readonly string[];
 	readonly answers?: Readonly<Record<string, ports.MachineAnswer>>;
-	readonly isNoted?: boolean;
-	readonly mayOrder?: boolean;
-	/** The pool's owner did not tell its load. */
-	readonly isOwnerSilent?: boolean;
-	/** What happens in each round. */
+	readonly isRecorded?: boolean;
+	readonly mayCommand?: boolean;
+	/** The pool's owner did not report its load. */
+	readonly isOwnerUnresponsive?: boolean;
+	/** Expected events of each round. */
 	readonly rounds: ReadonlyArray<readonly string[]>;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'all that are empty are stored at once, then ordered',
+		name: 'all empty machines are stored in one write before their commands',
 		count: 4,
 		maxAway: 4,
-		rounds: [['stored', 'noted 4', 'm0', 'm1', 'm2', 'm3'], []],
+		rounds: [['stored', 'recorded 4', 'm0', 'm1', 'm2', 'm3'], []],
 	},
 	{
-		name: 'no more are ordered than may be away',
+		name: 'no more machines get commands than may be away',
 		count: 4,
 		maxAway: 2,
-		rounds: [['stored', 'noted 2', 'm0', 'm1'], []],
+		rounds: [['stored', 'recorded 2', 'm0', 'm1'], []],
 	},
 	{
-		name: 'one that is not empty holds up no other',
+		name: 'a machine that is not empty blocks no other',
 		count: 3,
 		maxAway: 3,
 		busy: ['e-m0'],
-		rounds: [['stored', 'noted 2', 'm1', 'm2'], []],
+		rounds: [['stored', 'recorded 2', 'm1', 'm2'], []],
 	},
 	{
-		name: 'one that was refused is ordered again',
+		name: 'a refused command is begun again',
 		count: 2,
 		maxAway: 2,
 		answers: {m1: 'busy'},
 		rounds: [
-			['stored', 'noted 2', 'm0', 'm1'],
-			['stored', 'noted 1', 'm1'],
+			['stored', 'recorded 2', 'm0', 'm1'],
+			['stored', 'recorded 1', 'm1'],
 		],
 	},
 	{
-		name: 'one without an answer is ordered again and not begun again',
+		name: 'an unanswered command is repeated without a new start',
 		count: 2,
 		maxAway: 2,
 		answers: {m1: 'no-answer'},
 		rounds: [
-			['stored', 'noted 2', 'm0', 'm1'],
-			['noted 1', 'm1'],
+			['stored', 'recorded 2', 'm0', 'm1'],
+			['recorded 1', 'm1'],
 		],
 	},
 	{
-		name: 'nothing is ordered that was not noted',
+		name: 'no command is sent that was not recorded',
 		count: 2,
 		maxAway: 2,
-		isNoted: false,
-		rounds: [['stored', 'noted 2']],
+		isRecorded: false,
+		rounds: [['stored', 'recorded 2']],
 	},
 	{
-		name: 'nothing is ordered without belief in the lease',
+		name: 'no command is sent without a confirmed lease',
 		count: 2,
 		maxAway: 2,
-		mayOrder: false,
+		mayCommand: false,
 		rounds: [['stored']],
 	},
 	{
-		name: 'machines of an owner that is late are not taken for idle',
+		name: 'machines of an unresponsive owner do not count as idle',
 		count: 4,
 		maxAway: 4,
-		isOwnerSilent: true,
-		rounds: [['stored', 'noted 1', 'm0'], []],
+		isOwnerUnresponsive: true,
+		rounds: [['stored', 'recorded 1', 'm0'], []],
 	},
 ];
 
@@ -211,7 +211,7 @@
 		const world = createWorld(
 			each.count,
 			each.maxAway,
-			each.isOwnerSilent ? 'silent' : noLoad,
+			each.isOwnerUnresponsive ? 'silent' : noLoad,
 		);
 		for (const executor of each.busy ?? []) {
 			world.busy.add(executor);
@@ -221,8 +221,8 @@
 			world.answers.set(machine, answer);
 		}
 
-		world.state.isNoted = each.isNoted ?? true;
-		world.state.mayOrder = each.mayOrder ?? true;
+		world.state.isRecorded = each.isRecorded ?? true;
+		world.state.mayCommand = each.mayCommand ?? true;
 		await world.begin();
 		for (const expected of each.rounds) {
 			world.events.length = 0;
@@ -233,7 +233,7 @@
 }
 
 tap.t.test(
-	'of machines at work no more are emptied than the time asks for',
+	'no more busy machines are evacuated than the deadline requires',
 	async (t) => {
 		const ids = Array.from({length: 20}, (_, index) => `e-m${index}`);
 		const load = {runs: 1, lasting: 0, usedCpu: 1};
@@ -247,6 +247,6 @@
 
 		await world.begin();
 		await world.run();
-		t.equal(world.asked.size, 2, 'at 4.5 s each, 20 in 60 s');
+		t.equal(world.evacuated.size, 2, '20 machines at 4.5 s each in 60 s');
 	},
 );
--- a/packages/daemon/src/jobs/fleet/machine-wave-runner.ts
+++ b/packages/daemon/src/jobs/fleet/machine-wave-runner.ts
@@ -1,4 +1,4 @@
-/** Carries maintenance waves on, a round at a time. */
+/** Runs maintenance waves of machines. */
 import {fleet} from '@gullstand/core';
 import type {MachineAnswer, WaveRequest} from '@gullstand/ports';
 import {match} from 'ts-pattern';
@@ -11,7 +11,7 @@
 } from './fleet-context.js';
 import {readWaves, storeWave} from './wave-rows.js';
 
-/** Writes for operators how far a wave is. */
+/** Publishes the state of a wave to operators. */
 export type WaveStatusPort = {
 	readonly write: (
 		wave: string,
@@ -20,14 +20,15 @@
 	) => Promise<boolean>;
 };
 
-/** Waves under way. */
+/** Runner of the waves. */
 export type MachineWaveRunner = {
-	/** Reads the waves that were begun; false if the store does not answer. */
+	/** Loads the stored waves; resolves to false if the store does not answer. */
 	readonly load: () => Promise<boolean>;
-	/** Takes in waves that were asked for since. */
+	/** Starts the requested waves that are new. */
 	readonly acceptRequests: (requests: readonly WaveRequest[]) => Promise<void>;
+	/** Advances the waves that are not completed. */
 	readonly runRound: (view: FleetView) => Promise<void>;
-	/** Whether a machine is being emptied or maintained for a wave. */
+	/** Whether a machine is being evacuated or maintained for a wave. */
 	readonly isReserved: (machine: string) => boolean;
 };
 
@@ -47,8 +48,8 @@
 	);
 
 /**
- * Of a machine whose owner did not answer: an owner that has much to do is
- * the one that is late, so its machines are not taken for idle ones.
+ * Load of a machine whose owner did not answer. Its machines do not count as
+ * idle, since a busy owner is the likeliest to answer late.
  */
 const unknownLoad: fleet.MachineLoad = {
 	runs: Number.POSITIVE_INFINITY,
@@ -56,7 +57,7 @@
 	usedCpu: 0,
 };
 
-/** Creates the work on waves. */
+/** Creates a runner with no waves. */
 export const createMachineWaveRunner = (
 	context: FleetContext,
 	status: WaveStatusPort,
@@ -65,7 +66,7 @@
 	const waves = new Map<string, fleet.MachineWave>();
 	const emptying = new Set<string>();
 
-	const storeNow = async (wave: fleet.MachineWave): Promise<boolean> => {
+	const saveWave = async (wave: fleet.MachineWave): Promise<boolean> => {
 		const outcome = await storeWave(store, held, wave);
 		if (outcome === 'lost-shard') {
 			context.loseShard('the lease row has changed');
@@ -78,7 +79,7 @@
 		return outcome === 'stored';
 	};
 
-	const takeAnswer = (
+	const applyAnswer = (
 		wave: fleet.MachineWave,
 		id: string,
 		answer: MachineAnswer,
@@ -92,11 +93,11 @@
 				context.loseShard('the platform has seen a higher fencing token');
 				return wave;
 			})
-			// It may be carried out yet: it counts as away until it is back.
+			// It may still take effect: the machine counts as away until it is back.
 			.with('no-answer', () => wave)
 			.exhaustive();
 
-	const order = async (
+	const sendMaintenance = async (
 		wave: fleet.MachineWave,
 		machine: fleet.WaveMachine,
 	): Promise<MachineAnswer> => {
@@ -109,7 +110,7 @@
 			},
 			fleetPeriods.platformTimeoutMs,
 		);
-		logger.info('maintenance ordered', {
+		logger.info('maintenance command sent', {
 			wave: wave.request.id,
 			machine: machine.id,
 			pool: machine.pool,
@@ -119,24 +120,24 @@
 		return answer;
 	};
 
-	/** Orders many at once: a large wave must not hold up the round. */
-	const orderAll = async (
+	/** Sends all commands concurrently, so that a large wave does not delay the round. */
+	const sendAll = async (
 		wave: fleet.MachineWave,
 		machines: readonly fleet.WaveMachine[],
 	): Promise<fleet.MachineWave> => {
 		const answers = await Promise.all(
-			machines.map(async (machine) => order(wave, machine)),
+			machines.map(async (machine) => sendMaintenance(wave, machine)),
 		);
 		let current = wave;
 		for (const [index, answer] of answers.entries()) {
-			current = takeAnswer(current, machines[index]?.id ?? '', answer);
+			current = applyAnswer(current, machines[index]?.id ?? '', answer);
 		}
 
 		return current;
 	};
 
-	/** Notes orders; false unless they may be given after that, too. */
-	const noteOrders = async (
+	/** Records commands; resolves to whether they may be sent afterwards. */
+	const recordCommands = async (
 		machines: readonly fleet.WaveMachine[],
 	): Promise<boolean> =>
 		machines.length > 0 &&
@@ -157,7 +158,7 @@
 			begun = fleet.beginMachine(begun, machine, clock.epochNow());
 		}
 
-		if (!(await storeNow(begun)) || !(await noteOrders(machines))) {
+		if (!(await saveWave(begun)) || !(await recordCommands(machines))) {
 			return wave;
 		}
 
@@ -165,15 +166,15 @@
 			emptying.delete(id);
 		}
 
-		return orderAll(begun, machines);
+		return sendAll(begun, machines);
 	};
 
-	/** Orders again what had no answer; done twice it changes nothing. */
-	const orderUnanswered = async (
+	/** Repeats commands without an answer; they are idempotent. */
+	const repeatUnanswered = async (
 		wave: fleet.MachineWave,
 		machines: ReadonlyMap<string, fleet.WaveMachine>,
 	): Promise<fleet.MachineWave> => {
-		const open = Object.entries(wave.begun).flatMap(([id, entry]) => {
+		const unanswered = Object.entries(wave.begun).flatMap(([id, entry]) => {
 			const machine = machines.get(id);
 			const isStillThere =
 				machine?.isUp && machine.executorId === entry.executorId;
@@ -182,7 +183,9 @@
 				? [machine]
 				: [];
 		});
-		return (await noteOrders(open)) ? orderAll(wave, open) : wave;
+		return (await recordCommands(unanswered))
+			? sendAll(wave, unanswered)
+			: wave;
 	};
 
 	const getLoad = (
@@ -193,7 +196,7 @@
 			? unknownLoad
 			: getMachineLoad(view, machine);
 
-	const emptyAndBegin = async (
+	const evacuateAndBegin = async (
 		wave: fleet.MachineWave,
 		view: FleetView,
 		machines: ReadonlyMap<string, fleet.WaveMachine>,
@@ -214,18 +217,18 @@
 			fleetPeriods.machineTurnaroundMs,
 			clock.epochNow(),
 		);
-		const patienceMs = isPressed ? 0 : fleetPeriods.evacuationGraceMs;
-		const leaving = step.evacuate.flatMap((id) => machines.get(id) ?? []);
-		for (const {id} of leaving) {
+		const graceMs = isPressed ? 0 : fleetPeriods.evacuationGraceMs;
+		const toEvacuate = step.evacuate.flatMap((id) => machines.get(id) ?? []);
+		for (const {id} of toEvacuate) {
 			emptying.add(id);
 		}
 
 		const areClear = await Promise.all(
-			leaving.map(async (machine) =>
-				evacuateMachine(context, machine, patienceMs),
+			toEvacuate.map(async (machine) =>
+				evacuateMachine(context, machine, graceMs),
 			),
 		);
-		const clear = leaving.filter(
+		const clear = toEvacuate.filter(
 			({id}, index) => areClear[index] && context.commandLog.mayCommand(id),
 		);
 		return begin(wave, clear.slice(0, step.mayBegin));
@@ -233,7 +236,7 @@
 
 	const complete = async (wave: fleet.MachineWave) => {
 		const {id, machines} = wave.request;
-		const isTold = await status.write(
+		const isStatusWritten = await status.write(
 			id,
 			'completed',
 			fleetPeriods.platformTimeoutMs,
@@ -242,20 +245,20 @@
 			wave: id,
 			machines: machines.length,
 			tookMs: Math.round(clock.epochNow() - wave.seenAtEpochMs),
-			isTold,
+			isTold: isStatusWritten,
 		});
-		if (isTold) {
+		if (isStatusWritten) {
 			const completed = {...wave, isCompleted: true};
 			waves.set(id, completed);
-			await storeNow(completed);
+			await saveWave(completed);
 		}
 	};
 
 	const runWave = async (wave: fleet.MachineWave, view: FleetView) => {
 		const machines = toWaveMachines(view);
 		let current = fleet.noteMachines(wave, machines, clock.epochNow());
-		current = await orderUnanswered(current, machines);
-		current = await emptyAndBegin(current, view, machines);
+		current = await repeatUnanswered(current, machines);
+		current = await evacuateAndBegin(current, view, machines);
 		waves.set(current.request.id, current);
 		const isCompleted = fleet.isWaveCompleted(current, machines);
 		if (isCompleted && !context.isStopped()) {
@@ -263,17 +266,17 @@
 		}
 	};
 
-	const noteRequest = async (request: WaveRequest) => {
+	const acceptRequest = async (request: WaveRequest) => {
 		const wave = fleet.createMachineWave(request, clock.epochNow());
-		const isTold = await status.write(
+		const isStatusWritten = await status.write(
 			request.id,
 			'running',
 			fleetPeriods.platformTimeoutMs,
 		);
-		if (isTold && (await storeNow(wave))) {
+		if (isStatusWritten && (await saveWave(wave))) {
 			waves.set(request.id, wave);
 			const {id, machines, durationMs, maxAway} = request;
-			logger.info('wave begun', {
+			logger.info('wave started', {
 				wave: id,
 				machines: machines.length,
 				durationMs,
@@ -294,7 +297,7 @@
 		async acceptRequests(requests) {
 			for (const request of requests) {
 				if (!waves.has(request.id)) {
-					await noteRequest(request);
+					await acceptRequest(request);
 				}
 			}
 		},
--- a/packages/daemon/src/jobs/fleet/pool-mover.ts
+++ b/packages/daemon/src/jobs/fleet/pool-mover.ts
@@ -1,4 +1,4 @@
-/** Moves machines between pools, a round at a time. */
+/** Moves machines between pools. */
 import {fleet} from '@gullstand/core';
 import type {Machine, MachineAnswer} from '@gullstand/ports';
 import {match} from 'ts-pattern';
@@ -10,62 +10,63 @@
 	type FleetView,
 } from './fleet-context.js';
 
-/** Moves under way. */
+/** Mover of machines. */
 export type PoolMover = {
+	/** Plans moves and advances those in progress. */
 	readonly runRound: (view: FleetView) => Promise<void>;
 };
 
-/** What the moves need beside the context. */
+/** Dependencies of the mover beside the context. */
 export type PoolMoverDeps = {
 	readonly cfg: fleet.PoolConfig;
-	/** The pool whose machines are off; absent where there is none. */
+	/** Pool whose machines are switched off; `undefined` if there is none. */
 	readonly getStandbyPool: () => string | undefined;
-	/** Whether something else is done with a machine. */
+	/** Whether a machine is reserved for other work, such as a wave. */
 	readonly isReserved: (machine: string) => boolean;
 };
 
-/** Between two lines about all pools, in milliseconds. */
-const tellMs = 1000;
+/** Interval between log lines about all pools, in milliseconds. */
+const logIntervalMs = 1000;
 
 type Phase = 'emptying' | 'ordered';
 
-type MoveUnderWay = {
+type MoveInProgress = {
 	readonly move: fleet.PoolMove;
 	readonly since: number;
 	phase: Phase;
-	/** Nothing ran there when its owner was last asked. */
+	/** Whether nothing ran there at the last request to the pool's owner. */
 	isClear: boolean;
 };
 
-/** Creates the work on moves. */
+/** Creates a mover with no moves in progress. */
 export const createPoolMover = (
 	context: FleetContext,
 	deps: PoolMoverDeps,
 ): PoolMover => {
 	const {clock, logger, held} = context;
-	const underWay = new Map<string, MoveUnderWay>();
-	/** Pools that the platform says a machine cannot join. */
-	const impossible = new Set<string>();
+	const inProgress = new Map<string, MoveInProgress>();
+	/** Pairs of machine and pool that the platform rejected as invalid. */
+	const rejectedMoves = new Set<string>();
 	let memory = fleet.emptyPoolMemory;
-	let toldAt = Number.NEGATIVE_INFINITY;
+	let loggedAt = Number.NEGATIVE_INFINITY;
 
 	const end = (move: fleet.PoolMove, outcome: string) => {
-		underWay.delete(move.machine);
+		inProgress.delete(move.machine);
 		logger.info('move ended', {...move, outcome});
 	};
 
-	const takeAnswer = (entry: MoveUnderWay, answer: MachineAnswer) => {
+	const applyAnswer = (entry: MoveInProgress, answer: MachineAnswer) => {
 		const {move} = entry;
 		match(answer)
 			.with('done', 'no-answer', () => {
-				// Without an answer it may be carried out yet; the list tells.
+				// A command without an answer may still take effect; the list shows it.
 				entry.phase = 'ordered';
 			})
 			.with('busy', 'unavailable', 'not-in-wave', () => {
 				end(move, answer);
 			})
 			.with('invalid', () => {
-				impossible.add(`${move.machine} ${move.to}`);
+				rejectedMoves.add(`${move.machine} ${move.to}`);
 				end(move, answer);
 			})
 			.with('fenced', () => {
@@ -74,7 +75,7 @@
 			.exhaustive();
 	};
 
-	const order = async (entry: MoveUnderWay) => {
+	const sendMove = async (entry: MoveInProgress) => {
 		const {move} = entry;
 		const answer = await context.machines.move(
 			{
@@ -85,22 +86,25 @@
 			},
 			fleetPeriods.platformTimeoutMs,
 		);
-		logger.info('move ordered', {...move, outcome: answer});
-		takeAnswer(entry, answer);
+		logger.info('move command sent', {...move, outcome: answer});
+		applyAnswer(entry, answer);
 	};
 
-	const carryOn = async (entry: MoveUnderWay, machine: Machine | undefined) => {
+	const advance = async (
+		entry: MoveInProgress,
+		machine: Machine | undefined,
+	) => {
 		const {move, since, phase} = entry;
 		if (!machine) {
-			end(move, 'the machine is gone');
+			end(move, 'machine no longer listed');
 			return;
 		}
 
 		const ageMs = clock.now() - since;
 		if (phase === 'ordered') {
-			const isThere = machine.pool === move.to && machine.state === 'up';
-			if (isThere || ageMs > fleetPeriods.moveTimeoutMs) {
-				end(move, isThere ? 'done' : 'not seen');
+			const hasArrived = machine.pool === move.to && machine.state === 'up';
+			if (hasArrived || ageMs > fleetPeriods.moveTimeoutMs) {
+				end(move, hasArrived ? 'done' : 'not arrived in time');
 			}
 
 			return;
@@ -110,7 +114,7 @@
 			machine.state !== 'up' ||
 			ageMs > fleetPeriods.moveEvacuationTimeoutMs
 		) {
-			end(move, 'not empty in time');
+			end(move, 'not evacuated in time');
 			return;
 		}
 
@@ -121,18 +125,18 @@
 		);
 	};
 
-	/** Notes all machines that are empty in one write, then orders them. */
-	const orderClear = async () => {
-		const clear = [...underWay.values()].filter(
+	/** Records all evacuated machines in one write, then sends their moves. */
+	const moveEvacuated = async () => {
+		const clear = [...inProgress.values()].filter(
 			({phase, isClear, move}) =>
 				phase === 'emptying' &&
 				isClear &&
 				context.commandLog.mayCommand(move.machine),
 		);
 		const machines = clear.map(({move}) => move.machine);
-		const mayOrder = machines.length > 0 && context.mayCommand();
-		if (mayOrder && (await context.commandLog.record(machines))) {
-			await Promise.all(clear.map(async (entry) => order(entry)));
+		const mayCommand = machines.length > 0 && context.mayCommand();
+		if (mayCommand && (await context.commandLog.record(machines))) {
+			await Promise.all(clear.map(async (entry) => sendMove(entry)));
 		}
 	};
 
@@ -163,17 +167,17 @@
 			minMachines: load.minExecutors,
 		}));
 
-	/** Told each second, so that on-call sees what a pool lacked when. */
-	const tellPools = (
+	/** Logs demand and capacity of all pools for operators. */
+	const logPools = (
 		demands: readonly fleet.PoolDemand[],
 		targets: ReadonlyMap<string, number>,
 		view: FleetView,
 	) => {
-		if (clock.now() - toldAt < tellMs) {
+		if (clock.now() - loggedAt < logIntervalMs) {
 			return;
 		}
 
-		toldAt = clock.now();
+		loggedAt = clock.now();
 		const machines = [...view.machines.values()];
 		const pools = demands.map(({pool, usedCpu, waitingCpu, late}) => {
 			const own = machines.filter((each) => each.pool === pool);
@@ -203,7 +207,7 @@
 				machines: [...view.machines.values()].map((each) =>
 					toPoolMachine(view, each),
 				),
-				underWay: new Map([...underWay].map(([id, {move}]) => [id, move])),
+				underWay: new Map([...inProgress].map(([id, {move}]) => [id, move])),
 				standbyPool,
 			},
 			memory,
@@ -211,11 +215,11 @@
 			clock.now(),
 		);
 		memory = planned.memory;
-		tellPools(demands, planned.targets, view);
+		logPools(demands, planned.targets, view);
 		for (const move of planned.moves) {
-			if (!impossible.has(`${move.machine} ${move.to}`)) {
+			if (!rejectedMoves.has(`${move.machine} ${move.to}`)) {
 				const since = clock.now();
-				underWay.set(move.machine, {
+				inProgress.set(move.machine, {
 					move,
 					since,
 					phase: 'emptying',
@@ -241,11 +245,11 @@
 			}
 
 			await Promise.all(
-				[...underWay.values()].map(async (entry) =>
-					carryOn(entry, view.machines.get(entry.move.machine)),
+				[...inProgress.values()].map(async (entry) =>
+					advance(entry, view.machines.get(entry.move.machine)),
 				),
 			);
-			await orderClear();
+			await moveEvacuated();
 		},
 	};
 };
--- a/packages/daemon/src/jobs/fleet/wave-rows.ts
+++ b/packages/daemon/src/jobs/fleet/wave-rows.ts
@@ -1,4 +1,4 @@
-/** The rows of waves: what has begun, under the fleet's lease. */
+/** Reads and writes the rows of waves under the fleet's lease. */
 import {type fleet} from '@gullstand/core';
 import type {RowStore} from '@gullstand/ports';
 import * as z from 'zod';
@@ -34,10 +34,10 @@
 	isCompleted: z.boolean(),
 });
 
-/** Outcome of a write: `unknown` may take effect later. */
+/** Outcome of a write; one of `not-stored` may still take effect later. */
 export type WaveWriteOutcome = 'stored' | 'not-stored' | 'lost-shard';
 
-/** Reads all waves that were begun; `undefined` if the store does not answer. */
+/** Reads all stored waves; `undefined` if the store does not answer. */
 export const readWaves = async (
 	store: RowStore,
 	logger: Pick<Logger, 'warn'>,
@@ -55,7 +55,7 @@
 	return [...decoded].map(({value}) => value);
 };
 
-/** Stores a wave while the shard is held. */
+/** Stores a wave, provided that the shard is still held. */
 export const storeWave = async (
 	store: RowStore,
 	held: HeldShard,
