--- a/packages/daemon/src/jobs/fleet/command-log.ts
+++ b/packages/daemon/src/jobs/fleet/command-log.ts
@@ -12,7 +12,9 @@
 
 /** Log of the last command of each machine. */
 export type CommandLog = {
-	/** Reads the log of the previous holder; resolves to false without an answer. */
+	/**
+	 * Reads the log of the previous holder; resolves to false without an answer.
+	 */
 	readonly load: () => Promise<boolean>;
 	/**
 	 * Records commands for machines; resolves to whether they were stored. Only
@@ -46,7 +48,9 @@
 export const createCommandLog = (deps: CommandLogDeps): CommandLog => {
 	const {store, held, now, turnoverMs, logger} = deps;
 	const lastCommands = new Map<string, number>();
-	/** Local time from which a machine of the previous holder may get commands. */
+	/**
+	 * Local time from which a machine of the previous holder may get commands.
+	 */
 	const freeAt = new Map<string, number>();
 	let clock: {readonly storeMs: number; readonly at: number} | undefined;
 
--- a/packages/daemon/src/jobs/fleet/fleet-context.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-context.ts
@@ -1,4 +1,7 @@
-/** State and calls shared by the work on machines while this daemon holds the fleet's shard. */
+/**
+ * State and calls shared by the work on machines while this daemon holds the
+ * fleet's shard.
+ */
 import type {fleet, scheduler} from '@gullstand/core';
 import type {Machine, Machines, RowStore} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
@@ -54,7 +57,9 @@
 	readonly loads: ReadonlyMap<string, scheduler.ServiceLoad>;
 };
 
-/** Unresponsive time after which an executor may be reported, in milliseconds. */
+/**
+ * Unresponsive time after which an executor may be reported, in milliseconds.
+ */
 const minUnresponsiveMs = 200;
 
 /**
@@ -103,7 +108,9 @@
 	}
 };
 
-/** Reads machines and loads; `undefined` if the machines could not be listed. */
+/**
+ * Reads machines and loads; `undefined` if the machines could not be listed.
+ */
 export const readFleetView = async ({
 	machines,
 	owners,
--- a/packages/daemon/src/jobs/fleet/fleet-runner.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-runner.ts
@@ -36,7 +36,10 @@
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly pools: fleet.PoolConfig;
-	/** Minimum time between commands of two holders for one machine, in milliseconds. */
+	/**
+	 * Minimum time between commands of two holders for one machine, in
+	 * milliseconds.
+	 */
 	readonly turnoverMs: number;
 	/** How long the holder acts without confirming its lease, in milliseconds. */
 	readonly maxUnconfirmedMs: number;
--- a/packages/daemon/src/jobs/fleet/machine-wave-runner.ts
+++ b/packages/daemon/src/jobs/fleet/machine-wave-runner.ts
@@ -120,7 +120,10 @@
 		return answer;
 	};
 
-	/** Sends all commands concurrently, so that a large wave does not delay the round. */
+	/**
+	 * Sends all commands concurrently, so that a large wave does not delay the
+	 * round.
+	 */
 	const sendAll = async (
 		wave: fleet.MachineWave,
 		machines: readonly fleet.WaveMachine[],
--- a/packages/daemon/src/jobs/rows/decode-rows.test.ts
+++ b/packages/daemon/src/jobs/rows/decode-rows.test.ts
@@ -1,4 +1,4 @@
-/** Rows that cannot be read are skipped and said; the others are taken in. */
+/** Unreadable rows are skipped and logged; the others are decoded. */
 import type {StoredRow} from '@gullstand/ports';
 import * as tap from 'tap';
 import {decodeRow, jobSchema, progressSchema, tables} from './tables.js';
@@ -12,7 +12,7 @@
 };
 
 const cases: ReadonlyArray<readonly [name: string, value: string]> = [
-	['no text', ''],
+	['an empty text', ''],
 	['text that is not JSON', '{"id":'],
 	['a number', '7'],
 	['null', 'null'],
@@ -22,7 +22,7 @@
 ];
 
 for (const [name, value] of cases) {
-	tap.t.test(`a job row that holds ${name} is skipped`, (t) => {
+	tap.t.test(`a job row with ${name} is skipped`, (t) => {
 		const row: StoredRow = {
 			table: tables.job,
 			part: 'service/s',
@@ -30,25 +30,25 @@
 			value,
 			version: 1,
 		};
-		const said: unknown[] = [];
+		const logged: unknown[] = [];
 		const rows = [
 			...decodeRows([row], jobSchema, {
 				warn(...line: unknown[]) {
-					said.push(line);
+					logged.push(line);
 				},
 			} as never),
 		];
 		t.same(rows, []);
-		t.match(said, [['row skipped', {table: tables.job, key: 'broken'}]]);
+		t.match(logged, [['row skipped', {table: tables.job, key: 'broken'}]]);
 		t.end();
 	});
 }
 
-const taskForms: ReadonlyArray<readonly [name: string, task: object]> = [
+const taskProgress: ReadonlyArray<readonly [name: string, task: object]> = [
 	['counts only', {failures: 1}],
 	['a checkpoint', {failures: 0, checkpoint: 'half'}],
 	[
-		'the runs that they come from',
+		'the runs of its failures and checkpoint',
 		{
 			failures: 1,
 			failedRuns: [10_001],
@@ -58,8 +58,8 @@
 	],
 ];
 
-for (const [name, task] of taskForms) {
-	tap.t.test(`progress of a task with ${name} is read whole`, (t) => {
+for (const [name, task] of taskProgress) {
+	tap.t.test(`decodes all progress of a task with ${name}`, (t) => {
 		const progress = {
 			doneOccurrences: 0,
 			nextOccurrence: 1,
--- a/packages/daemon/src/jobs/rows/decode-rows.ts
+++ b/packages/daemon/src/jobs/rows/decode-rows.ts
@@ -1,9 +1,9 @@
-/** Takes the values of rows that were read, leaving out what is unreadable. */
+/** Decodes rows and skips unreadable ones. */
 import type {StoredRow} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
 import {decodeRow} from './tables.js';
 
-/** Rows that decode; the others are logged and skipped. */
+/** Yields the rows that can be decoded; logs and skips the others. */
 export function* decodeRows<Value>(
 	rows: readonly StoredRow[],
 	schema: Parameters<typeof decodeRow<Value>>[0],
--- a/packages/daemon/src/jobs/rows/feed-follower.ts
+++ b/packages/daemon/src/jobs/rows/feed-follower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows a feed: reads it whole, then its changes, and reads it whole again
- * when the history is gone. Every call is bounded, so that a connection that
- * has gone silent costs one time-out.
+ * Follows a feed: reads all entries, then changes, and all entries again if the
+ * feed no longer keeps the changes since the last read. Every call has a
+ * time-out, so that a dead connection delays the follower by one time-out.
  */
 import type {Feed, FeedBatch, RowStoreError} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
@@ -10,46 +10,52 @@
 import {getMoment, type Clock, type Moment} from '../clock.js';
 import {createPause} from '../pause.js';
 
-/** Times of a follower, in milliseconds. */
+/** Intervals and time-outs of a follower, in milliseconds. */
 export type FollowPeriods = {
 	/** How long the store waits for a change before it answers. */
 	readonly waitMs: number;
 	/** Pause between an answer and the next call. */
 	readonly pauseMs: number;
-	/** Bound on a call, beyond the time that the store waits. */
+	/** Time-out of a call, in addition to `waitMs`. */
 	readonly timeoutMs: number;
 	/** Pause after a call that failed. */
 	readonly retryMs: number;
 };
 
-/** What a follower needs. */
+/** Dependencies of a follower. */
 export type FollowerDeps<Value> = {
 	readonly name: string;
 	readonly feed: Feed<Value>;
 	readonly periods: FollowPeriods;
-	/** Times that are others for now; asked before each call and pause. */
+	/**
+	 * Returns temporary overrides of `periods`; called before each call and
+	 * pause.
+	 */
 	readonly getOverrides?: () => Partial<FollowPeriods>;
-	/** Where to begin; absent to read the feed whole first. */
+	/** Version after which to read changes; absent to read all entries first. */
 	readonly startVersion?: number;
 	readonly clock: Clock;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
-	/** All entries; those missing are gone. */
+	/** Called with all entries; an entry that is missing was removed. */
 	readonly onSnapshot: (batch: FeedBatch<Value>) => void;
 	readonly onChanges: (batch: FeedBatch<Value>) => void;
-	/** An answer without changes, for whom it says something that there are none. */
+	/** Called with an answer that has no changes. */
 	readonly onUnchanged?: (batch: FeedBatch<Value>) => void;
 };
 
-/** A follower at work. */
+/** Follower of a feed. */
 export type FeedFollower = {
-	/** An error of the follower's own is reported; it then stands still. */
+	/**
+	 * Starts following; an exception of it or its callbacks is reported and ends
+	 * it.
+	 */
 	readonly start: (reportFailure: ReportFailure) => void;
 	readonly stop: () => void;
-	/** When the last call that succeeded was sent. */
+	/** When the last successful call was sent. */
 	readonly getConfirmedAt: () => Moment | undefined;
 	/** Whether the latest call failed. */
 	readonly isLost: () => boolean;
-	/** Ends the pause that is under way. */
+	/** Ends the current pause. */
 	readonly skipPause: () => void;
 };
 
@@ -60,7 +66,7 @@
 	isStopped: boolean;
 };
 
-/** Creates a follower; it begins with `start`. */
+/** Creates a follower; it is idle until `start` is called. */
 export const createFeedFollower = <Value>(
 	deps: FollowerDeps<Value>,
 ): FeedFollower => {
@@ -77,9 +83,12 @@
 	};
 	const pause = createPause();
 
-	const noteFailure = (error: RowStoreError) => {
+	const handleFailure = (error: RowStoreError) => {
 		if (error.kind === 'history-lost') {
-			logger.info('feed is read anew', {feed: name, version: state.version});
+			logger.info('feed history lost; reading all entries', {
+				feed: name,
+				version: state.version,
+			});
 			state.version = undefined;
 			return;
 		}
@@ -88,7 +97,7 @@
 			logger.warn('feed lost', {
 				feed: name,
 				reason: error.kind,
-				// Silence, or an answer that was cut off: their mends differ.
+				// Distinguishes no answer from a truncated one.
 				receivedBytes:
 					error.kind === 'timeout' ? error.receivedBytes : undefined,
 			});
@@ -97,7 +106,7 @@
 		state.isLost = true;
 	};
 
-	const noteSuccess = (sent: Moment) => {
+	const handleSuccess = (sent: Moment) => {
 		if (state.isLost) {
 			logger.info('feed regained', {
 				feed: name,
@@ -126,12 +135,12 @@
 		}
 
 		if (!result.ok) {
-			noteFailure(result.error);
+			handleFailure(result.error);
 			await pause.wait(periods.retryMs);
 			return;
 		}
 
-		noteSuccess(sent);
+		handleSuccess(sent);
 		state.version = result.value.version;
 		if (version === undefined) {
 			deps.onSnapshot(result.value);
--- a/packages/daemon/src/jobs/rows/row-faults.test.ts
+++ b/packages/daemon/src/jobs/rows/row-faults.test.ts
@@ -1,4 +1,4 @@
-/** Rows that cannot be read are told once and counted. */
+/** Unreadable rows are logged and counted once. */
 import * as tap from 'tap';
 import {createJobMetrics} from '../job-metrics.js';
 import {createRowFaults, type RowFaults} from './row-faults.js';
@@ -12,7 +12,7 @@
 	readonly count: number;
 }> = [
 	{
-		name: 'read again and again',
+		name: 'read repeatedly',
 		steps(faults) {
 			faults.report(row);
 			faults.report(row);
@@ -41,7 +41,7 @@
 		count: 2,
 	},
 	{
-		name: 'that could be read meanwhile',
+		name: 'that was readable meanwhile',
 		steps(faults) {
 			faults.report(row);
 			faults.clear('t', 'k');
@@ -51,7 +51,7 @@
 		count: 2,
 	},
 	{
-		name: 'that was gone meanwhile',
+		name: 'that was removed meanwhile',
 		steps(faults) {
 			faults.report(row);
 			faults.keepOnly('t', new Set());
@@ -61,7 +61,7 @@
 		count: 2,
 	},
 	{
-		name: 'while another table was read whole',
+		name: 'while another table was read',
 		steps(faults) {
 			faults.report(row);
 			faults.keepOnly('other', new Set());
@@ -71,7 +71,7 @@
 		count: 1,
 	},
 	{
-		name: 'among more than are remembered',
+		name: 'among more rows than are remembered',
 		steps(faults) {
 			for (let number = 0; number < 1500; number += 1) {
 				faults.report({...row, key: `k${number}`});
@@ -84,21 +84,21 @@
 
 for (const {name, steps, lines, count} of cases) {
 	tap.t.test(`a row ${name}`, (t) => {
-		const told: unknown[] = [];
+		const logged: unknown[] = [];
 		const metrics = createJobMetrics();
 		steps(
 			createRowFaults({
 				metrics,
 				logger: {
 					warn(...line: unknown[]) {
-						told.push(line);
+						logged.push(line);
 						return undefined as never;
 					},
 				},
 			}),
 		);
-		t.equal(told.length, lines);
-		t.match(told[0], ['row skipped', {table: 't', problem: row.problem}]);
+		t.equal(logged.length, lines);
+		t.match(logged[0], ['row skipped', {table: 't', problem: row.problem}]);
 		t.match(
 			metrics.formatText(),
 			`gullstand_rows_unreadable{label="t"} ${count}\n`,
--- a/packages/daemon/src/jobs/rows/row-faults.ts
+++ b/packages/daemon/src/jobs/rows/row-faults.ts
@@ -1,43 +1,45 @@
 /**
- * Rows that cannot be read: each is told once and counted, however often it is
- * read, so that a broken writer cannot fill the log.
+ * Logs and counts each unreadable row once, however often it is read, so that a
+ * faulty writer cannot flood the log.
  */
 import type {Logger} from '../../log/logger.js';
 import type {JobMetrics} from '../job-metrics.js';
 
-/** A row that cannot be used, and why. */
+/** Row that cannot be decoded, and why. */
 export type UnreadableRow = {
 	readonly table: string;
 	readonly key: string;
 	readonly problem: string;
 };
 
-/** The faults that stand. */
+/** Unreadable rows that were reported. */
 export type RowFaults = {
-	/** Tells and counts a row, unless it stands with the same problem. */
+	/** Logs and counts a row, unless it was reported with the same problem. */
 	readonly report: (row: UnreadableRow) => void;
-	/** The row is gone or can be read: the next fault is a new one. */
+	/**
+	 * Forgets a row that was removed or is readable; its next fault is reported.
+	 */
 	readonly clear: (table: string, key: string) => void;
-	/** The table was read whole: rows of other keys are gone. */
+	/** Forgets all rows of a table except those with the given keys. */
 	readonly keepOnly: (table: string, keys: ReadonlySet<string>) => void;
 };
 
-/** What the faults are told with. */
+/** Dependencies of the row faults. */
 export type RowFaultsDeps = {
 	readonly logger: Pick<Logger, 'warn'>;
 	readonly metrics: Pick<JobMetrics, 'count'>;
 };
 
 /**
- * Faults remembered. Further ones are counted at each read and not told; with
- * problems of 300 characters, 1,000 take less than 1 MB.
+ * Maximum number of remembered faults, which take less than 1 MB. Further faults
+ * are counted at each read and not logged.
  */
 const maxFaults = 1000;
 
 /** Counter of rows that could not be read, by table. */
 const counterName = 'rows_unreadable';
 
-/** Creates an empty set of faults. */
+/** Creates an empty set of row faults. */
 export const createRowFaults = ({
 	logger,
 	metrics,
--- a/packages/daemon/src/jobs/rows/store-clock.ts
+++ b/packages/daemon/src/jobs/rows/store-clock.ts
@@ -1,14 +1,14 @@
-/** The store's steady clock, seen from a daemon. */
+/** Bounds the store's steady clock by a reading of it. */
 import {scheduler} from '@gullstand/core';
 import {getMostElapsedMs, type Clock, type Moment} from '../clock.js';
 
-/** A reading of the store's clock and when it was asked for. */
+/** Reading of the store's clock, and when it was requested. */
 export type StoreClockReading = {readonly nowMs: number; readonly sent: Moment};
 
 /**
- * The latest that the store's clock may have shown at a time of the own one,
- * in milliseconds: the reading may be as old as its question, the own clock
- * may run slower, and stands still while the daemon is suspended.
+ * Returns an upper bound of the store's clock at the local time `at`, in
+ * milliseconds. It allows for a reading as old as its request, and for a local
+ * clock that runs slower and stops while the daemon is suspended.
  */
 export const getLatestStoreMs = (
 	clock: Clock,
--- a/packages/daemon/src/jobs/rows/store-health.test.ts
+++ b/packages/daemon/src/jobs/rows/store-health.test.ts
@@ -7,18 +7,18 @@
 type Step = ports.StoreFault | 'answered';
 
 const cases: ReadonlyArray<
-	readonly [name: string, steps: readonly Step[], isSuspect: boolean]
+	readonly [name: string, steps: readonly Step[], isUnresponsive: boolean]
 > = [
 	['before any call', [], false],
 	['an answer', ['answered'], false],
 	['no answer', ['lost-before'], true],
-	['an answer after none', ['lost-before', 'answered'], false],
-	['a refusal says nothing', ['lost-after', 'unavailable'], true],
+	['an answer after no answer', ['lost-before', 'answered'], false],
+	['a refusal after no answer', ['lost-after', 'unavailable'], true],
 	['a refusal alone', ['unavailable'], false],
-	['none after an answer', ['answered', 'lost-after'], true],
+	['no answer after an answer', ['answered', 'lost-after'], true],
 ];
 
-for (const [name, steps, isSuspect] of cases) {
+for (const [name, steps, isUnresponsive] of cases) {
 	tap.t.test(`a store: ${name}`, async (t) => {
 		const inner = ports.createMemoryRowStore();
 		let at = 0;
@@ -29,6 +29,6 @@
 			await watched.store.read(range, 10);
 		}
 
-		t.equal(watched.isUnresponsive(), isSuspect);
+		t.equal(watched.isUnresponsive(), isUnresponsive);
 	});
 }
--- a/packages/daemon/src/jobs/rows/store-health.ts
+++ b/packages/daemon/src/jobs/rows/store-health.ts
@@ -1,34 +1,35 @@
-/** Whether the store answers this daemon, by all calls to it. */
+/** Watches whether the store answers the calls of this daemon. */
 import type {Result} from '@gullstand/core';
 import type {RowStore, RowStoreError} from '@gullstand/ports';
 
-/** A store whose calls are watched. */
+/** Store whose calls are watched. */
 export type WatchedStore = {
 	readonly store: RowStore;
 	/**
-	 * A call has had no answer and none has had one since. What is not sent
-	 * then is certainly not done, so that a caller can be told to come back.
+	 * Whether a call got no answer and no later call got one. A request that is
+	 * refused instead of sent then has certainly no effect, so that its caller
+	 * may retry it.
 	 */
 	readonly isUnresponsive: () => boolean;
 };
 
-/** Watches a store. */
+/** Wraps a store to watch its calls. */
 export const watchStore = (
 	inner: RowStore,
 	now: () => number,
 ): WatchedStore => {
 	let answeredAt = now();
-	let lostAt = Number.NEGATIVE_INFINITY;
+	let unansweredAt = Number.NEGATIVE_INFINITY;
 
 	const watch = async <Value>(
 		call: Promise<Result<Value, RowStoreError>>,
 	): Promise<Result<Value, RowStoreError>> => {
 		const sentAt = now();
 		const result = await call;
-		const isLost = !result.ok && result.error.kind === 'timeout';
+		const isUnanswered = !result.ok && result.error.kind === 'timeout';
 		const isRefused = !result.ok && result.error.kind === 'unavailable';
-		if (isLost) {
-			lostAt = Math.max(lostAt, sentAt);
+		if (isUnanswered) {
+			unansweredAt = Math.max(unansweredAt, sentAt);
 		} else if (!isRefused) {
 			answeredAt = Math.max(answeredAt, sentAt);
 		}
@@ -37,7 +38,7 @@
 	};
 
 	return {
-		isUnresponsive: () => lostAt > answeredAt,
+		isUnresponsive: () => unansweredAt > answeredAt,
 		store: {
 			transact: async (...args) => watch(inner.transact(...args)),
 			read: async (...args) => watch(inner.read(...args)),
--- a/packages/daemon/src/jobs/rows/table-feed.ts
+++ b/packages/daemon/src/jobs/rows/table-feed.ts
@@ -1,4 +1,4 @@
-/** Reads tables whole and follows them, as a feed of rows. */
+/** Provides the rows of a table as a feed. */
 import {fail, succeed, type Result} from '@gullstand/core';
 import type {
 	ChangedRow,
@@ -11,16 +11,18 @@
 } from '@gullstand/ports';
 import {getKeyAfter, sharedPart} from './tables.js';
 
-/** Rows of a range as they were read. */
+/** Rows of a range. */
 export type RangeSnapshot = {
 	readonly rows: readonly StoredRow[];
-	/** Version of the first page. */
+	/** Store version at the first page. */
 	readonly version: number;
-	/** The store's clock at the last page. */
+	/** The store's clock at the last page, in milliseconds. */
 	readonly nowMs: number;
 };
 
-/** All rows of a range, page by page. */
+/**
+ * Reads all rows of a range, page by page; `timeoutMs` applies to each page.
+ */
 export const readRange = async (
 	store: RowStore,
 	range: RowRange,
@@ -51,10 +53,10 @@
 	value: row,
 });
 
-/** Which partitions of a table to follow. */
+/** Partitions of a table to follow. */
 export type FollowedParts =
 	| {readonly kind: 'one'; readonly part: string}
-	/** Those that hold rows, as the store lists them. */
+	/** All partitions that have rows. */
 	| {readonly kind: 'all'};
 
 const listParts = async (
@@ -92,7 +94,7 @@
 		: fail({kind: 'history-lost'});
 };
 
-/** A feed of the rows of a table. */
+/** Creates a feed of the rows of a table. */
 export const createTableFeed = (
 	store: RowStore,
 	table: string,
@@ -104,7 +106,7 @@
 			return listed;
 		}
 
-		// With no partition yet, the version comes from the shared one.
+		// If no partition has rows, the shared one provides the version.
 		const names = listed.value.length > 0 ? listed.value : [''];
 		return readParts(store, table, names, timeoutMs);
 	},
@@ -128,10 +130,9 @@
 });
 
 /**
- * A feed of the rows that change from now on, for a table of which only what
- * is written again and again counts. Reading it whole gives no rows; the
- * version comes from one partition, so that the cost does not grow with the
- * table.
+ * Creates a feed of the rows that change from now on, for a table whose live rows
+ * are written repeatedly. Its `readAll` returns no rows, and takes the version
+ * from one partition, so that its cost does not grow with the table.
  */
 export const createChangesOnlyFeed = (
 	store: RowStore,
--- a/packages/daemon/src/jobs/rows/tables.test.ts
+++ b/packages/daemon/src/jobs/rows/tables.test.ts
@@ -6,7 +6,7 @@
 const cases = [
 	['of an older release', row, true],
 	['with a capacity', {...row, capacity: {cores: 1.35, linkMbps: 7}}, true],
-	['with half a capacity', {...row, capacity: {cores: 1.35}}, false],
+	['with an incomplete capacity', {...row, capacity: {cores: 1.35}}, false],
 ] as const;
 
 for (const [name, value, isDecoded] of cases) {
--- a/packages/daemon/src/jobs/rows/tables.ts
+++ b/packages/daemon/src/jobs/rows/tables.ts
@@ -1,6 +1,6 @@
 /**
- * Tables of the jobs side and the forms of their rows. Who writes which row
- * under which condition stands in docs/design/platform-programs.md.
+ * Tables of the jobs side and the schemas of their rows. The writers of each row
+ * and their preconditions are described in docs/design/platform-programs.md.
  */
 import {
 	fail,
@@ -15,21 +15,23 @@
 
 /** Names of the tables. */
 export const tables = {
-	/** Owner of a shard; one row a partition, changed at a takeover only. */
+	/**
+	 * Holder of a shard; one row per partition, written when the holder changes.
+	 */
 	lease: 'lease',
 	/** Heartbeats of daemons. */
 	daemon: 'daemon',
 	/** Accepted jobs and cancellations. */
 	job: 'job',
-	/** What has ended of each job. */
+	/** Progress of each job: its ended tasks and occurrences. */
 	progress: 'progress',
-	/** What else an owner keeps: its roster and the mark of its last flush. */
+	/** Other rows of an owner: its roster and the marker of its last flush. */
 	owner: 'owner',
 	/** The key that seals messages between daemons. */
 	secret: 'secret',
 } as const;
 
-/** Keys of rows that stand alone in their table and partition. */
+/** Keys of rows that are the only one of their kind in a partition. */
 export const singleKeys = {
 	lease: 'lease',
 	flush: 'flush',
@@ -40,14 +42,17 @@
 /** Partition of rows that belong to no shard. */
 export const sharedPart = '';
 
-/** Where the lease of a shard lies. */
+/** Key of the lease row of a shard. */
 export const getLeaseKey = (shard: string): RowKey => ({
 	table: tables.lease,
 	part: shard,
 	key: singleKeys.lease,
 });
 
-/** Holds while nobody else has taken the shard; all its writes check it. */
+/**
+ * Precondition of all writes of a holder: no other daemon has taken over the
+ * shard.
+ */
 export const getLeaseCheck = ({
 	shard,
 	version,
@@ -56,16 +61,16 @@
 	readonly version: number;
 }): RowCheck => ({...getLeaseKey(shard), version});
 
-/** Shard that orders moves and maintenance of machines. */
+/** Shard whose holder controls moves and maintenance of machines. */
 export const fleetShard = 'control/fleet';
 
-/** Partition and shard of a service. */
+/** Shard of a service, which is also the partition of its rows. */
 export const getServiceShard = (service: string): string =>
 	`service/${service}`;
 
 const servicePrefix = getServiceShard('');
 
-/** The service of a shard, if it is one of a service. */
+/** Returns the service of a shard; `undefined` for other shards. */
 export const parseServiceShard = (shard: string): string | undefined =>
 	shard.startsWith(servicePrefix)
 		? shard.slice(servicePrefix.length)
@@ -77,10 +82,10 @@
 export const getCancelKey = (jobId: string): string =>
 	`${jobId}${cancelSuffix}`;
 
-/** The least key above this one. */
+/** Returns the smallest key greater than `key`. */
 export const getKeyAfter = (key: string): string => `${key}\0`;
 
-/** The job that a row of the job table belongs to, and what it is. */
+/** Parses a key of the job table into the job id and the kind of row. */
 export const parseJobKey = (
 	key: string,
 ): {readonly id: string; readonly isCancel: boolean} =>
@@ -88,15 +93,15 @@
 		? {id: key.slice(0, -cancelSuffix.length), isCancel: true}
 		: {id: key, isCancel: false};
 
-const lifeSchema = z.object({entry: z.string(), incarnation: z.string()});
+const holderSchema = z.object({entry: z.string(), incarnation: z.string()});
 
-/** The lease of a shard and where its holder is reached. */
+/** Lease of a shard, with the address of its holder. */
 export type LeaseRow = shardLease.ShardLease & {readonly address: string};
 
-/** Form of the lease of a shard. */
+/** Schema of a lease row. */
 export const leaseSchema: z.ZodType<LeaseRow> = z.object({
 	shard: z.string(),
-	holder: lifeSchema.nullable(),
+	holder: holderSchema.nullable(),
 	token: z.int().min(0),
 	address: z.string(),
 });
@@ -106,9 +111,9 @@
 	readonly incarnation: string;
 	/** Address and port of its peer channel. */
 	readonly address: string;
-	/** Grows with each heartbeat. */
+	/** Sequence number; grows with each heartbeat. */
 	readonly beat: number;
-	/** What its machine has; absent in rows of older releases. */
+	/** Capacity of its machine; absent in rows of older releases. */
 	readonly capacity?: shardAssignment.EntryCapacity | undefined;
 };
 
@@ -117,7 +122,7 @@
 	linkMbps: z.number().min(0),
 });
 
-/** Form of a heartbeat. */
+/** Schema of a heartbeat row. */
 export const daemonSchema: z.ZodType<DaemonRow> = z.object({
 	incarnation: z.string(),
 	address: z.string(),
@@ -177,11 +182,11 @@
 	acceptedAtEpochMs: z.number(),
 });
 
-/** Form of an accepted job. */
+/** Schema of an accepted job. */
 export const jobSchema =
 	acceptedJobSchema as unknown as z.ZodType<scheduler.AcceptedJob>;
 
-/** Form of the progress of a job. */
+/** Schema of the progress of a job. */
 export const progressSchema: z.ZodType<scheduler.JobProgress> = z.object({
 	end: z.enum(['completed', 'failed', 'cancelled']).optional(),
 	doneOccurrences: z.int().min(0),
@@ -214,15 +219,18 @@
 	remainingMs: optional(z.number()),
 });
 
-/** An executor of the roster. */
+/** Executor in the roster. */
 export type RosterRow = scheduler.ListedExecutor & {
-	/** Since when nothing is granted there, by the store's clock. */
+	/**
+	 * When it was marked suspected, after which no leases are granted, by the
+	 * store's clock.
+	 */
 	readonly darkSinceMs?: number | undefined;
-	/** Fencing token of the owner that says so. */
+	/** Fencing token of the owner that marked it. */
 	readonly markedBy?: number | undefined;
 };
 
-/** Form of the executors that may run tasks of a service. */
+/** Schema of the roster: the executors that may run tasks of a service. */
 export const rosterSchema = z.array(
 	listedExecutorSchema.extend({
 		darkSinceMs: z.number().optional(),
@@ -230,18 +238,21 @@
 	}),
 ) as unknown as z.ZodType<readonly RosterRow[]>;
 
-/** Form of the key that seals messages between daemons. */
+/** Schema of the key that seals messages between daemons. */
 export const peerKeySchema = z.object({
 	keyHex: z.string().regex(/^[\da-f]{64}$/v),
 });
 
-/** Why a row cannot be used. */
+/** Reason why a row cannot be decoded. */
 export type RowFault = {readonly problem: string};
 
-/** Characters of a problem that are told: a row may be wrong in many places. */
+/** Maximum length of a reported problem, as a row may have many faults. */
 const maxProblemLength = 300;
 
-/** Decodes the value of a row. */
+/**
+ * Decodes the value of a row; fails on text that is not JSON or not of the
+ * schema.
+ */
 export const decodeRow = <Value>(
 	schema: z.ZodType<Value>,
 	text: string,
--- a/packages/daemon/src/jobs/shards/heartbeat.ts
+++ b/packages/daemon/src/jobs/shards/heartbeat.ts
@@ -65,7 +65,8 @@
 			capacity: deps.capacity,
 		};
 		const sentAt = now();
-		// Each daemon has its own partition, since a partition applies writes serially.
+		// Each daemon has its own partition, since a partition applies writes
+		// serially.
 		const key = {table: tables.daemon, part: name, key: name};
 		const result = await store.transact(
 			{checks: [], puts: [{...key, value: JSON.stringify(row)}], removes: []},
--- a/packages/daemon/src/jobs/shards/lease-transaction.ts
+++ b/packages/daemon/src/jobs/shards/lease-transaction.ts
@@ -2,7 +2,10 @@
 import type {RowTransaction} from '@gullstand/ports';
 import {getLeaseKey, type LeaseRow} from '../rows/tables.js';
 
-/** Creates a write of a lease row that conflicts unless the stored row has `version`. */
+/**
+ * Creates a write of a lease row that conflicts unless the stored row has
+ * `version`.
+ */
 export const createLeaseTransaction = (
 	row: LeaseRow,
 	version: number,
--- a/packages/daemon/src/jobs/shards/members.ts
+++ b/packages/daemon/src/jobs/shards/members.ts
@@ -87,7 +87,10 @@
 	let readSince: number | undefined;
 	let readVersion = 0;
 
-	/** Restarts all ages after a gap in the reads, which proves nothing about others. */
+	/**
+	 * Restarts all ages after a gap in the reads, which proves nothing about
+	 * others.
+	 */
 	const restartAgesAfterGap = () => {
 		const at = now();
 		if (readAt !== undefined && at - readAt > deps.observationGapMs) {
@@ -144,7 +147,10 @@
 		});
 	};
 
-	/** Logs one line for all new incarnations, since many daemons may start at once. */
+	/**
+	 * Logs one line for all new incarnations, since many daemons may start at
+	 * once.
+	 */
 	const logNewIncarnations = (names: readonly string[]) => {
 		if (names.length > 0) {
 			logger.info('new daemon incarnations', {
--- a/packages/daemon/src/jobs/shards/shard-keeper.test.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.test.ts
@@ -227,7 +227,10 @@
 	t.notOk(keeper.isHeld('s'));
 });
 
-/** Heartbeats that were read of daemon `a`, whose incarnation `now` holds the shard. */
+/**
+ * Heartbeats that were read of daemon `a`, whose incarnation `now` holds the
+ * shard.
+ */
 const evidence = [
 	{
 		name: 'a holder that restarted after its heartbeat was read',
--- a/packages/daemon/src/jobs/shards/shard-keeper.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.ts
@@ -30,7 +30,9 @@
 	readonly leases: LeaseCache;
 	/** Whether this daemon reads heartbeats and so may judge others' liveness. */
 	readonly mayClaim: () => boolean;
-	/** Stores a recent heartbeat of this daemon; resolves to whether it is stored. */
+	/**
+	 * Stores a recent heartbeat of this daemon; resolves to whether it is stored.
+	 */
 	readonly ensureHeartbeat: () => Promise<boolean>;
 	/** Whether this daemon is a candidate to take over shards. */
 	readonly isCandidate: () => boolean;
@@ -42,7 +44,9 @@
 	readonly onAcquired: (held: HeldShard) => void;
 	/** Stores pending state; no commands are sent under the shard afterwards. */
 	readonly beforeRelease: (shard: string) => Promise<void>;
-	/** Called when another daemon holds the shard, or this one has released it. */
+	/**
+	 * Called when another daemon holds the shard, or this one has released it.
+	 */
 	readonly onLost: (shard: string) => void;
 	/** Called when a shard was released, to notify the other daemons. */
 	readonly onReleased: (shard: string) => void;
@@ -60,7 +64,9 @@
 	readonly isHolding: () => boolean;
 	/** Applies a changed lease; gives up the shard if the lease is newer. */
 	readonly applyLease: (shard: string, lease: KnownLease) => void;
-	/** Gives up a shard after a command was refused for a higher fencing token. */
+	/**
+	 * Gives up a shard after a command was refused for a higher fencing token.
+	 */
 	readonly handleFenced: (shard: string) => void;
 	/** Checks now for shards to claim. */
 	readonly checkNow: () => void;
@@ -187,7 +193,9 @@
 		}
 	};
 
-	/** Whether the lease names this daemon after a claim whose answer was lost. */
+	/**
+	 * Whether the lease names this daemon after a claim whose answer was lost.
+	 */
 	const isOwnUnadopted = (shard: string): boolean => {
 		const lease = leases.get(shard);
 		const holder = lease?.value.holder;
