--- a/packages/daemon/src/jobs/rows/row-faults.ts
+++ b/packages/daemon/src/jobs/rows/row-faults.ts
@@ -31,8 +31,8 @@
 };
 
 /**
- * Maximum number of remembered faults, which take less than 1 MB. Further faults
- * are counted at each read and not logged.
+ * Maximum number of remembered faults, which take less than 1 MB. Further
+ * faults are counted at each read and not logged.
  */
 const maxFaults = 1000;
 
--- a/packages/daemon/src/jobs/rows/table-feed.ts
+++ b/packages/daemon/src/jobs/rows/table-feed.ts
@@ -130,9 +130,9 @@
 });
 
 /**
- * Creates a feed of the rows that change from now on, for a table whose live rows
- * are written repeatedly. Its `readAll` returns no rows, and takes the version
- * from one partition, so that its cost does not grow with the table.
+ * Creates a feed of the rows that change from now on, for a table whose live
+ * rows are written repeatedly. Its `readAll` returns no rows, and takes the
+ * version from one partition, so that its cost does not grow with the table.
  */
 export const createChangesOnlyFeed = (
 	store: RowStore,
--- a/packages/daemon/src/jobs/rows/tables.ts
+++ b/packages/daemon/src/jobs/rows/tables.ts
@@ -1,6 +1,7 @@
 /**
- * Tables of the jobs side and the schemas of their rows. The writers of each row
- * and their preconditions are described in docs/design/platform-programs.md.
+ * Tables of the jobs side and the schemas of their rows. The writers of each
+ * row and their preconditions are described in docs/design/platform-
+ * programs.md.
  */
 import {
 	fail,
--- a/packages/daemon/src/jobs/shards/entry-role.ts
+++ b/packages/daemon/src/jobs/shards/entry-role.ts
@@ -1,7 +1,8 @@
 /**
- * Decides whether this daemon is a holder of shards, a candidate or an observer,
- * and how often it reads leases and heartbeats. Most daemons are observers, so
- * that the cost of heartbeats doesn't grow with the size of the fleet.
+ * Decides whether this daemon is a holder of shards, a candidate or an
+ * observer, and how often it reads leases and heartbeats. Most daemons are
+ * observers, so that the cost of heartbeats doesn't grow with the size of the
+ * fleet.
  */
 import * as core from '@gullstand/core';
 import type {Logger} from '../../log/logger.js';
--- a/packages/daemon/src/jobs/shards/members.ts
+++ b/packages/daemon/src/jobs/shards/members.ts
@@ -1,7 +1,7 @@
 /**
- * Tracks the daemons of the fleet by the heartbeats that this daemon reads. Only
- * holders of shards and candidates send heartbeats continuously, so an unknown
- * daemon may still be alive.
+ * Tracks the daemons of the fleet by the heartbeats that this daemon reads.
+ * Only holders of shards and candidates send heartbeats continuously, so an
+ * unknown daemon may still be alive.
  */
 import type {shardAssignment} from '@gullstand/core';
 import type {ChangedRow, FeedBatch} from '@gullstand/ports';
--- a/packages/daemon/src/jobs/shards/shard-releases.ts
+++ b/packages/daemon/src/jobs/shards/shard-releases.ts
@@ -1,7 +1,7 @@
 /**
- * Releases shards while the daemon keeps running. Until the lease row is written
- * it names a live daemon, and nobody else can claim the shard. So a failed write
- * is retried until it succeeds or the row has changed.
+ * Releases shards while the daemon keeps running. Until the lease row is
+ * written it names a live daemon, and nobody else can claim the shard. So a
+ * failed write is retried until it succeeds or the row has changed.
  */
 import type {RowStore} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
