--- a/packages/core/src/spec.test.ts
+++ b/packages/core/src/spec.test.ts
@@ -117,7 +117,7 @@
 		const read = store.read<core.shardLease.ShardLease>(tables.shard, 's');
 		const acquired = core.shardLease.acquireShard('s', read, {
 			self: {entry: `d${index}`, incarnation: '1'},
-			evidence: {registeredIncarnation: '1', silentMs: 1},
+			evidence: {registeredIncarnation: '1', unresponsiveMs: 1},
 			leaseMs: 1,
 		});
 		if (acquired.ok && store.commit([acquired.value])) {
@@ -177,7 +177,7 @@
 		const daemon = system.daemons[index]!;
 		const id = ids[age % ids.length]!;
 		const life = system.lives.get(id)!;
-		const change = core.budget.giveBack({
+		const change = core.budget.returnInstance({
 			operationId: 'back',
 			instance: readInstance(system, id),
 			ledgers: readLedgers(system),
@@ -313,12 +313,12 @@
 tap.t.test(
 	'forget_after: bounds with one isolation time are not sound',
 	async (t) => {
-		const settings = core.standing.membershipDefaults;
+		const settings = core.membershipStatus.membershipDefaults;
 		const {isolationMs, listLagMs, stallMarginMs} = settings;
 		const requestMs = settings.longestRequestMs;
 		const shortMs = isolationMs + listLagMs + stallMarginMs + requestMs;
 		const short = {...settings, forgetAfterMs: shortMs};
-		t.notOk(core.standing.isSoundSettings(short));
+		t.notOk(core.membershipStatus.isSafeSettings(short));
 	},
 );
 
@@ -332,7 +332,7 @@
 			probesPassed: core.budget.returnDefaults.probesNeeded,
 		} as const;
 		t.equal(
-			core.budget.getMissingProof(evidence, core.budget.returnDefaults),
+			core.budget.findReturnBlocker(evidence, core.budget.returnDefaults),
 			'not-restarted',
 		);
 	},
--- a/packages/daemon/src/jobs/fleet/fleet-context.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-context.ts
@@ -100,7 +100,7 @@
 				pool,
 				silentMs: Math.round(forMs),
 			});
-			await owners.noteGone(getServiceShard(pool), id);
+			await owners.reportTerminated(getServiceShard(pool), id);
 		}),
 	);
 	for (const id of present) {
--- a/packages/daemon/src/jobs/fleet/machine-wave-runner.ts
+++ b/packages/daemon/src/jobs/fleet/machine-wave-runner.ts
@@ -86,8 +86,8 @@
 	): fleet.MachineWave =>
 		match(answer)
 			.returnType<fleet.MachineWave>()
-			.with('done', () => fleet.noteAnswered(wave, id))
-			.with('busy', 'unavailable', () => fleet.takeBackMachine(wave, id))
+			.with('done', () => fleet.recordCommandAccepted(wave, id))
+			.with('busy', 'unavailable', () => fleet.undoMaintenanceStart(wave, id))
 			.with('not-in-wave', 'invalid', () => fleet.skipMachine(wave, id))
 			.with('fenced', () => {
 				context.loseShard('the platform has seen a higher fencing token');
@@ -158,7 +158,7 @@
 
 		let begun = wave;
 		for (const machine of machines) {
-			begun = fleet.beginMachine(begun, machine, clock.epochNow());
+			begun = fleet.recordMaintenanceStart(begun, machine, clock.epochNow());
 		}
 
 		if (!(await saveWave(begun)) || !(await recordCommands(machines))) {
@@ -208,13 +208,13 @@
 			wave,
 			{
 				machines,
-				emptying,
+				evacuating: emptying,
 				getLoad: (machine) => getLoad(view, machine),
-				turnMs: fleetPeriods.machineTurnaroundMs,
+				turnaroundMs: fleetPeriods.machineTurnaroundMs,
 			},
 			clock.epochNow(),
 		);
-		const isPressed = fleet.isPressed(
+		const isPressed = fleet.isShortOfTime(
 			wave,
 			machines,
 			fleetPeriods.machineTurnaroundMs,
@@ -234,7 +234,7 @@
 		const clear = toEvacuate.filter(
 			({id}, index) => areClear[index] && context.commandLog.mayCommand(id),
 		);
-		return begin(wave, clear.slice(0, step.mayBegin));
+		return begin(wave, clear.slice(0, step.maxStarts));
 	};
 
 	const complete = async (wave: fleet.MachineWave) => {
@@ -259,7 +259,11 @@
 
 	const runWave = async (wave: fleet.MachineWave, view: FleetView) => {
 		const machines = toWaveMachines(view);
-		let current = fleet.noteMachines(wave, machines, clock.epochNow());
+		let current = fleet.recordReturnedMachines(
+			wave,
+			machines,
+			clock.epochNow(),
+		);
 		current = await repeatUnanswered(current, machines);
 		current = await evacuateAndBegin(current, view, machines);
 		waves.set(current.request.id, current);
--- a/packages/daemon/src/jobs/fleet/pool-mover.ts
+++ b/packages/daemon/src/jobs/fleet/pool-mover.ts
@@ -47,7 +47,7 @@
 	const inProgress = new Map<string, MoveInProgress>();
 	/** Pairs of machine and pool that the platform rejected as invalid. */
 	const rejectedMoves = new Set<string>();
-	let memory = fleet.emptyPoolMemory;
+	let memory = fleet.emptyPoolPlanState;
 	let loggedAt = Number.NEGATIVE_INFINITY;
 
 	const end = (move: fleet.PoolMove, outcome: string) => {
@@ -152,8 +152,8 @@
 			isArriving: machine.state === 'moving',
 			cpuMillis: machine.capacity.cpuMillis,
 			runs: load?.runs ?? 0,
-			lasting: load?.lasting ?? 0,
-			isTaken: deps.isReserved(machine.id),
+			longRunning: load?.lasting ?? 0,
+			isReserved: deps.isReserved(machine.id),
 		};
 	};
 
@@ -214,7 +214,7 @@
 			deps.cfg,
 			clock.now(),
 		);
-		memory = planned.memory;
+		memory = planned.state;
 		logPools(demands, planned.targets, view);
 		for (const move of planned.moves) {
 			if (!rejectedMoves.has(`${move.machine} ${move.to}`)) {
--- a/packages/daemon/src/jobs/owner/flusher.ts
+++ b/packages/daemon/src/jobs/owner/flusher.ts
@@ -34,20 +34,23 @@
 	/** Executors to which new ends are to be acknowledged. */
 	readonly onAckable: (executors: readonly scheduler.Executor[]) => void;
 	readonly onStored: (flush: scheduler.Flush) => void;
-	readonly onLost: (reason: string, rows: readonly StoredRow[]) => void;
+	readonly onOwnershipLost: (
+		reason: string,
+		rows: readonly StoredRow[],
+	) => void;
 };
 
 /** The flusher of one ownership. */
 export type Flusher = {
 	/** Notes that something may be to store. */
-	readonly poke: () => void;
+	readonly requestFlush: () => void;
 	readonly stop: () => void;
 	/** Flushes until nothing is left or the store refuses. */
 	readonly drain: () => Promise<void>;
 };
 
-const isUrgent = ({dirty, isRosterDirty}: scheduler.Owner): boolean =>
-	isRosterDirty || [...dirty].some(({end}) => end !== undefined);
+const isUrgent = ({dirtyJobs, isRosterDirty}: scheduler.Owner): boolean =>
+	isRosterDirty || [...dirtyJobs].some(({end}) => end !== undefined);
 
 /** Creates a flusher. */
 export const createFlusher = (deps: FlusherDeps): Flusher => {
@@ -61,13 +64,13 @@
 
 	const toRosterRow = ({
 		listed,
-		darkSince,
+		suspectedSince,
 	}: scheduler.RosterEntry): RosterRow =>
-		darkSince === undefined
+		suspectedSince === undefined
 			? listed
 			: {
 					...listed,
-					darkSinceMs: getLatestStoreMs(clock, storeTime, darkSince),
+					darkSinceMs: getLatestStoreMs(clock, storeTime, suspectedSince),
 					markedBy: owner.token,
 				};
 
@@ -99,7 +102,7 @@
 	const takeConflict = (rows: readonly StoredRow[]): boolean => {
 		const lease = rows.find(({table}) => table === tables.lease);
 		if (lease?.version !== held.version) {
-			deps.onLost('the lease row has changed', rows);
+			deps.onOwnershipLost('the lease row has changed', rows);
 			return false;
 		}
 
@@ -176,7 +179,7 @@
 		}
 
 		if (!scheduler.needsFlush(owner)) {
-			deps.onAckable(scheduler.acknowledgeIdle(owner));
+			deps.onAckable(scheduler.acknowledgeAll(owner));
 			return;
 		}
 
@@ -186,11 +189,11 @@
 			return;
 		}
 
-		timer ??= setTimeout(begin, periods.flushMs);
+		timer ??= setTimeout(begin, periods.flushDelayMs);
 	};
 
 	return {
-		poke,
+		requestFlush: poke,
 		stop() {
 			state.isStopped = true;
 			clearTimeout(timer);
@@ -202,7 +205,7 @@
 			clearTimeout(timer);
 			await running;
 			// The next owner need not wait anew for those that have not answered.
-			scheduler.markDark(owner, 0, clock.now());
+			scheduler.markSuspected(owner, 0, clock.now());
 			while (!state.isStopped && scheduler.needsFlush(owner)) {
 				if (!(await flushOnce())) {
 					return;
--- a/packages/daemon/src/jobs/rows/store-clock.ts
+++ b/packages/daemon/src/jobs/rows/store-clock.ts
@@ -1,6 +1,6 @@
 /** Bounds the store's steady clock by a reading of it. */
 import {scheduler} from '@gullstand/core';
-import {getMostElapsedMs, type Clock, type Moment} from '../clock.js';
+import {getMaxElapsedMs, type Clock, type Moment} from '../clock.js';
 
 /** Reading of the store's clock, and when it was requested. */
 export type StoreClockReading = {readonly nowMs: number; readonly sent: Moment};
@@ -15,6 +15,6 @@
 	{nowMs, sent}: StoreClockReading,
 	at: number,
 ): number => {
-	const elapsedMs = getMostElapsedMs(clock, sent);
-	return nowMs + elapsedMs * (1 + scheduler.maxSlowdown) - (clock.now() - at);
+	const elapsedMs = getMaxElapsedMs(clock, sent);
+	return nowMs + elapsedMs * (1 + scheduler.maxClockDrift) - (clock.now() - at);
 };
--- a/packages/daemon/src/jobs/shards/entry-role.ts
+++ b/packages/daemon/src/jobs/shards/entry-role.ts
@@ -40,13 +40,13 @@
 export const createEntryRole = (deps: EntryRoleDeps): EntryRole => {
 	const {self, members, leases, now, logger} = deps;
 	const startedAt = now();
-	let state = core.candidates.observer;
+	let state = core.candidates.observerState;
 
 	const listHolders = (): readonly string[] =>
 		leases.listHolders().map(({entry}) => entry);
 
 	const isStarting = (): boolean =>
-		now() - startedAt < observerPeriods.firstBeatsMs;
+		now() - startedAt < observerPeriods.startupHeartbeatsMs;
 
 	const isActive = (): boolean =>
 		state.isCandidate || deps.isHolding() || isStarting();
--- a/packages/daemon/src/jobs/shards/heartbeat.ts
+++ b/packages/daemon/src/jobs/shards/heartbeat.ts
@@ -82,7 +82,7 @@
 				await beatOnce();
 			}
 		},
-		periods.heartbeatMs,
+		periods.heartbeatIntervalMs,
 		deps.random,
 	);
 	return {
@@ -91,7 +91,8 @@
 		writeNow: beatOnce,
 		async ensureRecent() {
 			const isRecent =
-				writtenAt !== undefined && now() - writtenAt < periods.heartbeatMs;
+				writtenAt !== undefined &&
+				now() - writtenAt < periods.heartbeatIntervalMs;
 			return isRecent || beatOnce();
 		},
 	};
--- a/packages/daemon/src/jobs/shards/lease-cache.test.ts
+++ b/packages/daemon/src/jobs/shards/lease-cache.test.ts
@@ -1,6 +1,6 @@
 /** Lists the holders of the cached leases. */
 import * as tap from 'tap';
-import {noLogger, noRowFaults} from '../job-world.test.fixture.js';
+import {noLogger, noRowFaults} from '../job-daemon.test.fixture.js';
 import {getLeaseKey} from '../rows/tables.js';
 import {createLeaseCache, type ShardHolder} from './lease-cache.js';
 
--- a/packages/daemon/src/jobs/shards/shard-keeper.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.ts
@@ -22,7 +22,7 @@
 /** Dependencies of the keeper. */
 export type ShardKeeperDeps = {
 	readonly store: RowStore;
-	readonly self: core.acknowledgement.EntryLife;
+	readonly self: core.acknowledgement.EntryIncarnation;
 	/** Capacity of this machine; absent if not known. */
 	readonly capacity: core.shardAssignment.EntryCapacity | undefined;
 	readonly getAddress: () => string;
@@ -101,14 +101,14 @@
 		const holder = lease?.value.holder;
 		// Heartbeats read before the claim may be of an earlier incarnation.
 		if (!holder || !members.isReadUpTo(lease?.version ?? 0)) {
-			return {registeredIncarnation: holder?.incarnation, silentMs: 0};
+			return {registeredIncarnation: holder?.incarnation, unresponsiveMs: 0};
 		}
 
 		return {
 			// A holder without a heartbeat counts as alive until it is unresponsive.
 			registeredIncarnation:
 				members.get(holder.entry)?.incarnation ?? holder.incarnation,
-			silentMs: members.getUnresponsiveMs(holder.entry),
+			unresponsiveMs: members.getUnresponsiveMs(holder.entry),
 		};
 	};
 
@@ -243,7 +243,7 @@
 	const isLessCapable = (): boolean => {
 		const known = toLiveEntries(members, members.listAll(), self.entry);
 		return !core.shardAssignment
-			.listCapable([...known, selfEntry])
+			.listMostCapable([...known, selfEntry])
 			.includes(self.entry);
 	};
 
@@ -320,7 +320,7 @@
 		}
 
 		const plan = getPlan();
-		const shard = core.shardAssignment.chooseReturn({
+		const shard = core.shardAssignment.chooseShardToReturn({
 			self: self.entry,
 			plan,
 			heldForMs: new Map(
@@ -363,7 +363,11 @@
 		}
 	};
 
-	const ticker = createTicker(considerAll, periods.claimMs, deps.random);
+	const ticker = createTicker(
+		considerAll,
+		periods.claimIntervalMs,
+		deps.random,
+	);
 	return {
 		start: ticker.start,
 		async stop() {
--- a/packages/daemon/src/operator/entries/app.ts
+++ b/packages/daemon/src/operator/entries/app.ts
@@ -12,9 +12,16 @@
 	deps: OperatorDeps,
 ) => {
 	const heard = deps.getHeard();
-	const newest = core.lagging.getAcknowledgement(registration, heard);
+	const newest = core.pendingAcknowledgements.getNewestAcknowledgement(
+		registration,
+		heard,
+	);
 	const {revision} = deps.getView();
-	const [lag] = core.lagging.findLagging([registration], heard, {revision});
+	const [lag] = core.pendingAcknowledgements.listPendingAcknowledgements(
+		[registration],
+		heard,
+		{revision},
+	);
 	return {
 		entry: newest.entry,
 		address: registration.address,
--- a/packages/daemon/src/waves/wave-runner.ts
+++ b/packages/daemon/src/waves/wave-runner.ts
@@ -7,7 +7,7 @@
 import {
 	waves,
 	type followedView,
-	type lagging,
+	type pendingAcknowledgements,
 	type move,
 	type viewChange,
 } from '@gullstand/core';
@@ -40,7 +40,7 @@
 	readonly poll: () => Promise<void>;
 	/** Requests in flight from this entry to an instance. */
 	readonly getInFlight: (instance: string) => number;
-	readonly getHeard: () => lagging.HeardAcknowledgements;
+	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	/** Absent: no entry of the fleet starts from the snapshot. */
 	readonly readOutageStart?: () => Promise<move.OutageStart>;
 	/** Present time in milliseconds of the wall clock, as rows keep it. */
@@ -89,7 +89,7 @@
 };
 
 const isRunnable = ({progress}: LoadedWave): boolean =>
-	progress.wave.state === 'running' || progress.active.size > 0;
+	progress.wave.state === 'running' || progress.activeDomains.size > 0;
 
 /** Reads new waves, and the rows of those whose header has changed. */
 const refreshWaves = async (state: State): Promise<boolean> => {
@@ -129,7 +129,7 @@
 };
 
 const getTakenMembers = (loaded: LoadedWave): readonly waves.Member[] =>
-	[...loaded.progress.active].flatMap((domain) =>
+	[...loaded.progress.activeDomains].flatMap((domain) =>
 		(loaded.progress.domains.get(domain) ?? []).filter(
 			({phase}) => phase.kind === 'taken',
 		),
@@ -242,7 +242,8 @@
 			return;
 		}
 
-		const isVisited = (steps + 1) * maxWork >= loaded.progress.active.size;
+		const isVisited =
+			(steps + 1) * maxWork >= loaded.progress.activeDomains.size;
 		if (result === 'idle' && isVisited) {
 			return;
 		}
