--- a/packages/daemon/src/jobs/fleet/command-log.ts
+++ b/packages/daemon/src/jobs/fleet/command-log.ts
@@ -10,7 +10,6 @@
 import {decodeRow, fleetShard, getLeaseCheck, tables} from '../rows/tables.js';
 import type {HeldShard} from '../shards/held-shard.js';
 
-/** Log of the last command of each machine. */
 export type CommandLog = {
 	/**
 	 * Reads the log of the previous holder; resolves to false without an answer.
@@ -25,7 +24,6 @@
 	readonly mayCommand: (machine: string) => boolean;
 };
 
-/** Dependencies of the log. */
 export type CommandLogDeps = {
 	readonly store: RowStore;
 	readonly held: HeldShard;
@@ -44,7 +42,6 @@
 /** Maximum time from recording a command to its arrival, in milliseconds. */
 const transitMs = 300;
 
-/** Creates an empty log. */
 export const createCommandLog = (deps: CommandLogDeps): CommandLog => {
 	const {store, held, now, turnoverMs, logger} = deps;
 	const lastCommands = new Map<string, number>();
--- a/packages/daemon/src/jobs/fleet/fleet-context.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-context.ts
@@ -64,7 +64,7 @@
 
 /**
  * Unresponsive time after which an executor that was never listed may be
- * reported, in milliseconds: the list may be a second behind at its start.
+ * reported, in milliseconds: the list may be a second behind when it starts.
  */
 const minNeverListedMs = 3000;
 
@@ -85,8 +85,8 @@
 		[...machines.values()].flatMap(({executorId}) => executorId ?? []),
 	);
 	const ageMs = clock.now() - requestedAt;
-	const terminated = [...loads].flatMap(([pool, {silent}]) =>
-		Object.entries(silent).flatMap(([id, forMs]) => {
+	const terminated = [...loads].flatMap(([pool, {silent: unresponsive}]) =>
+		Object.entries(unresponsive).flatMap(([id, forMs]) => {
 			const wasListed = listedIds.has(id) || forMs > minNeverListedMs + ageMs;
 			return !present.has(id) && wasListed && forMs > minUnresponsiveMs + ageMs
 				? [{pool, id, forMs}]
--- a/packages/daemon/src/jobs/fleet/fleet-runner.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-runner.ts
@@ -25,7 +25,6 @@
 	type WaveStatusPort,
 } from './machine-wave-runner.js';
 
-/** Dependencies of the runner. */
 export type FleetRunnerDeps = {
 	readonly held: HeldShard;
 	readonly holder: string;
@@ -51,7 +50,6 @@
 	readonly reportFailure: ReportFailure;
 };
 
-/** Runner of the work on machines. */
 export type FleetRunner = {
 	readonly start: () => void;
 	readonly stop: () => void;
--- a/packages/daemon/src/jobs/fleet/machine-wave-runner.ts
+++ b/packages/daemon/src/jobs/fleet/machine-wave-runner.ts
@@ -20,7 +20,6 @@
 	) => Promise<boolean>;
 };
 
-/** Runner of the waves. */
 export type MachineWaveRunner = {
 	/** Loads the stored waves; resolves to false if the store does not answer. */
 	readonly load: () => Promise<boolean>;
@@ -57,14 +56,13 @@
 	usedCpu: 0,
 };
 
-/** Creates a runner with no waves. */
 export const createMachineWaveRunner = (
 	context: FleetContext,
 	status: WaveStatusPort,
 ): MachineWaveRunner => {
 	const {held, store, clock, logger} = context;
 	const waves = new Map<string, fleet.MachineWave>();
-	const emptying = new Set<string>();
+	const evacuating = new Set<string>();
 
 	const saveWave = async (wave: fleet.MachineWave): Promise<boolean> => {
 		const outcome = await storeWave(store, held, wave);
@@ -166,7 +164,7 @@
 		}
 
 		for (const {id} of machines) {
-			emptying.delete(id);
+			evacuating.delete(id);
 		}
 
 		return sendAll(begun, machines);
@@ -208,22 +206,22 @@
 			wave,
 			{
 				machines,
-				evacuating: emptying,
+				evacuating,
 				getLoad: (machine) => getLoad(view, machine),
 				turnaroundMs: fleetPeriods.machineTurnaroundMs,
 			},
 			clock.epochNow(),
 		);
-		const isPressed = fleet.isShortOfTime(
+		const isShortOfTime = fleet.isShortOfTime(
 			wave,
 			machines,
 			fleetPeriods.machineTurnaroundMs,
 			clock.epochNow(),
 		);
-		const graceMs = isPressed ? 0 : fleetPeriods.evacuationGraceMs;
+		const graceMs = isShortOfTime ? 0 : fleetPeriods.evacuationGraceMs;
 		const toEvacuate = step.evacuate.flatMap((id) => machines.get(id) ?? []);
 		for (const {id} of toEvacuate) {
-			emptying.add(id);
+			evacuating.add(id);
 		}
 
 		const areClear = await Promise.all(
@@ -316,7 +314,7 @@
 			}
 		},
 		isReserved: (machine) =>
-			emptying.has(machine) ||
+			evacuating.has(machine) ||
 			[...waves.values()].some(
 				({begun}) => begun[machine] && !begun[machine].isBack,
 			),
--- a/packages/daemon/src/jobs/fleet/pool-mover.ts
+++ b/packages/daemon/src/jobs/fleet/pool-mover.ts
@@ -10,7 +10,6 @@
 	type FleetView,
 } from './fleet-context.js';
 
-/** Mover of machines. */
 export type PoolMover = {
 	/** Plans moves and advances those in progress. */
 	readonly runRound: (view: FleetView) => Promise<void>;
@@ -38,7 +37,6 @@
 	isClear: boolean;
 };
 
-/** Creates a mover with no moves in progress. */
 export const createPoolMover = (
 	context: FleetContext,
 	deps: PoolMoverDeps,
@@ -47,7 +45,7 @@
 	const inProgress = new Map<string, MoveInProgress>();
 	/** Pairs of machine and pool that the platform rejected as invalid. */
 	const rejectedMoves = new Set<string>();
-	let memory = fleet.emptyPoolPlanState;
+	let planState = fleet.emptyPoolPlanState;
 	let loggedAt = Number.NEGATIVE_INFINITY;
 
 	const end = (move: fleet.PoolMove, outcome: string) => {
@@ -210,11 +208,11 @@
 				underWay: new Map([...inProgress].map(([id, {move}]) => [id, move])),
 				standbyPool,
 			},
-			memory,
+			planState,
 			deps.cfg,
 			clock.now(),
 		);
-		memory = planned.state;
+		planState = planned.state;
 		logPools(demands, planned.targets, view);
 		for (const move of planned.moves) {
 			if (!rejectedMoves.has(`${move.machine} ${move.to}`)) {
--- a/packages/daemon/src/jobs/rows/feed-follower.ts
+++ b/packages/daemon/src/jobs/rows/feed-follower.ts
@@ -22,7 +22,6 @@
 	readonly retryMs: number;
 };
 
-/** Dependencies of a follower. */
 export type FollowerDeps<Value> = {
 	readonly name: string;
 	readonly feed: Feed<Value>;
@@ -43,7 +42,6 @@
 	readonly onUnchanged?: (batch: FeedBatch<Value>) => void;
 };
 
-/** Follower of a feed. */
 export type FeedFollower = {
 	/**
 	 * Starts following; an exception of it or its callbacks is reported and ends
--- a/packages/daemon/src/jobs/rows/row-faults.ts
+++ b/packages/daemon/src/jobs/rows/row-faults.ts
@@ -12,7 +12,6 @@
 	readonly problem: string;
 };
 
-/** Unreadable rows that were reported. */
 export type RowFaults = {
 	/** Logs and counts a row, unless it was reported with the same problem. */
 	readonly report: (row: UnreadableRow) => void;
@@ -24,7 +23,6 @@
 	readonly keepOnly: (table: string, keys: ReadonlySet<string>) => void;
 };
 
-/** Dependencies of the row faults. */
 export type RowFaultsDeps = {
 	readonly logger: Pick<Logger, 'warn'>;
 	readonly metrics: Pick<JobMetrics, 'count'>;
@@ -39,7 +37,6 @@
 /** Counter of rows that could not be read, by table. */
 const counterName = 'rows_unreadable';
 
-/** Creates an empty set of row faults. */
 export const createRowFaults = ({
 	logger,
 	metrics,
--- a/packages/daemon/src/jobs/rows/store-health.ts
+++ b/packages/daemon/src/jobs/rows/store-health.ts
@@ -2,7 +2,6 @@
 import type {Result} from '@gullstand/core';
 import type {RowStore, RowStoreError} from '@gullstand/ports';
 
-/** Store whose calls are watched. */
 export type WatchedStore = {
 	readonly store: RowStore;
 	/**
--- a/packages/daemon/src/jobs/rows/table-feed.ts
+++ b/packages/daemon/src/jobs/rows/table-feed.ts
@@ -11,7 +11,6 @@
 } from '@gullstand/ports';
 import {getKeyAfter, sharedPart} from './tables.js';
 
-/** Rows of a range. */
 export type RangeSnapshot = {
 	readonly rows: readonly StoredRow[];
 	/** Store version at the first page. */
@@ -53,7 +52,6 @@
 	value: row,
 });
 
-/** Partitions of a table to follow. */
 export type FollowedParts =
 	| {readonly kind: 'one'; readonly part: string}
 	/** All partitions that have rows. */
--- a/packages/daemon/src/jobs/rows/tables.ts
+++ b/packages/daemon/src/jobs/rows/tables.ts
@@ -1,7 +1,7 @@
 /**
  * Tables of the jobs side and the schemas of their rows. The writers of each
- * row and their preconditions are described in docs/design/platform-
- * programs.md.
+ * row and their preconditions are described in
+ * docs/design/platform-programs.md.
  */
 import {
 	fail,
@@ -14,7 +14,6 @@
 import type {RowCheck, RowKey} from '@gullstand/ports';
 import * as z from 'zod';
 
-/** Names of the tables. */
 export const tables = {
 	/**
 	 * Holder of a shard; one row per partition, written when the holder changes.
@@ -43,7 +42,6 @@
 /** Partition of rows that belong to no shard. */
 export const sharedPart = '';
 
-/** Key of the lease row of a shard. */
 export const getLeaseKey = (shard: string): RowKey => ({
 	table: tables.lease,
 	part: shard,
@@ -79,7 +77,6 @@
 
 const cancelSuffix = '/cancelled';
 
-/** Key of the row that cancels a job. */
 export const getCancelKey = (jobId: string): string =>
 	`${jobId}${cancelSuffix}`;
 
@@ -99,7 +96,6 @@
 /** Lease of a shard, with the address of its holder. */
 export type LeaseRow = shardLease.ShardLease & {readonly address: string};
 
-/** Schema of a lease row. */
 export const leaseSchema: z.ZodType<LeaseRow> = z.object({
 	shard: z.string(),
 	holder: holderSchema.nullable(),
@@ -123,7 +119,6 @@
 	linkMbps: z.number().min(0),
 });
 
-/** Schema of a heartbeat row. */
 export const daemonSchema: z.ZodType<DaemonRow> = z.object({
 	incarnation: z.string(),
 	address: z.string(),
@@ -183,11 +178,9 @@
 	acceptedAtEpochMs: z.number(),
 });
 
-/** Schema of an accepted job. */
 export const jobSchema =
 	acceptedJobSchema as unknown as z.ZodType<scheduler.AcceptedJob>;
 
-/** Schema of the progress of a job. */
 export const progressSchema: z.ZodType<scheduler.JobProgress> = z.object({
 	end: z.enum(['completed', 'failed', 'cancelled']).optional(),
 	doneOccurrences: z.int().min(0),
@@ -220,7 +213,6 @@
 	remainingMs: optional(z.number()),
 });
 
-/** Executor in the roster. */
 export type RosterRow = scheduler.ListedExecutor & {
 	/**
 	 * When it was marked suspected, after which no leases are granted, by the
--- a/packages/daemon/src/jobs/shards/entry-role.ts
+++ b/packages/daemon/src/jobs/shards/entry-role.ts
@@ -11,7 +11,6 @@
 import type {LeaseCache} from './lease-cache.js';
 import {toLiveEntries, type Members} from './members.js';
 
-/** Dependencies of the role. */
 export type EntryRoleDeps = {
 	readonly self: core.shardAssignment.LiveEntry;
 	readonly members: Members;
@@ -22,7 +21,6 @@
 	readonly logger: Pick<Logger, 'info'>;
 };
 
-/** Role of this daemon. */
 export type EntryRole = {
 	/**
 	 * Updates the role from the current members and leases; returns whether this
--- a/packages/daemon/src/jobs/shards/heartbeat.ts
+++ b/packages/daemon/src/jobs/shards/heartbeat.ts
@@ -10,7 +10,6 @@
 import {periods} from '../periods.js';
 import {tables, type DaemonRow} from '../rows/tables.js';
 
-/** Dependencies of the heartbeat. */
 export type HeartbeatDeps = {
 	readonly store: RowStore;
 	readonly name: string;
@@ -25,7 +24,6 @@
 	readonly isNeeded: () => boolean;
 };
 
-/** Heartbeat that is written periodically. */
 export type Heartbeat = Ticker & {
 	/** Writes a heartbeat now; resolves to whether it was stored. */
 	readonly writeNow: () => Promise<boolean>;
--- a/packages/daemon/src/jobs/shards/held-shard.ts
+++ b/packages/daemon/src/jobs/shards/held-shard.ts
@@ -7,7 +7,6 @@
  */
 export type PreviousHolderState = 'none' | 'released' | 'replaced' | 'silent';
 
-/** A shard that this daemon has acquired. */
 export type HeldShard = {
 	readonly shard: string;
 	readonly token: number;
--- a/packages/daemon/src/jobs/shards/lease-cache.ts
+++ b/packages/daemon/src/jobs/shards/lease-cache.ts
@@ -19,7 +19,6 @@
 /** A daemon that holds a shard. */
 export type ShardHolder = {readonly entry: string; readonly address: string};
 
-/** Latest known lease of each shard. */
 export type LeaseCache = {
 	readonly apply: (batch: FeedBatch<ChangedRow>) => void;
 	/**
@@ -34,7 +33,6 @@
 	readonly getVersion: (shard: string) => number;
 };
 
-/** Dependencies of the lease cache. */
 export type LeaseCacheDeps = {
 	readonly logger: Pick<Logger, 'info'>;
 	readonly rowFaults: RowFaults;
@@ -42,7 +40,6 @@
 	readonly onChange: (shard: string, lease: KnownLease) => void;
 };
 
-/** Creates an empty cache. */
 export const createLeaseCache = (deps: LeaseCacheDeps): LeaseCache => {
 	const {logger, rowFaults, onChange} = deps;
 	const known = new Map<string, KnownLease>();
--- a/packages/daemon/src/jobs/shards/members.ts
+++ b/packages/daemon/src/jobs/shards/members.ts
@@ -23,13 +23,12 @@
 	readonly liveSince: number;
 };
 
-/** Known daemons. */
 export type Members = {
 	readonly applyChanges: (batch: FeedBatch<ChangedRow>) => void;
 	readonly get: (name: string) => Member | undefined;
 	/**
-	 * Whether heartbeats were read up to a version of the store. Evidence about a
-	 * lease of that version needs this.
+	 * Whether heartbeats were read up to a version of the store. Only then do
+	 * they tell whether the holder in a lease of that version is alive.
 	 */
 	readonly isReadUpTo: (version: number) => boolean;
 	/**
@@ -64,7 +63,6 @@
 		.filter((entry) => entry !== self)
 		.map((entry) => ({entry, capacity: members.get(entry)?.capacity}));
 
-/** Dependencies of the members. */
 export type MembersDeps = {
 	readonly now: () => number;
 	/** After a longer gap between two reads no daemon counts as unresponsive. */
@@ -76,7 +74,6 @@
 /** Maximum number of names in a log line about new incarnations. */
 const maxLoggedNames = 5;
 
-/** Creates an empty list of members. */
 export const createMembers = (deps: MembersDeps): Members => {
 	const {now, logger, rowFaults} = deps;
 	const known = new Map<string, Member>();
--- a/packages/daemon/src/jobs/shards/shard-keeper.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.ts
@@ -19,7 +19,6 @@
 
 type ShardPlan = core.shardAssignment.ShardPlan;
 
-/** Dependencies of the keeper. */
 export type ShardKeeperDeps = {
 	readonly store: RowStore;
 	readonly self: core.acknowledgement.EntryIncarnation;
@@ -62,17 +61,16 @@
 	readonly isHeld: (shard: string) => boolean;
 	/** Whether this daemon holds a shard or is claiming one. */
 	readonly isHolding: () => boolean;
-	/** Applies a changed lease; gives up the shard if the lease is newer. */
+	/** Applies a changed lease; loses the shard if the lease is newer. */
 	readonly applyLease: (shard: string, lease: KnownLease) => void;
 	/**
-	 * Gives up a shard after a command was refused for a higher fencing token.
+	 * Loses a shard after a command was refused for a higher fencing token.
 	 */
 	readonly handleFenced: (shard: string) => void;
 	/** Checks now for shards to claim. */
 	readonly checkNow: () => void;
 };
 
-/** Creates a keeper that holds no shards. */
 export const createShardKeeper = (deps: ShardKeeperDeps): ShardKeeper => {
 	const {store, self, members, leases, now, logger} = deps;
 	const held = new Map<string, HeldShard>();
--- a/packages/daemon/src/jobs/shards/shard-releases.ts
+++ b/packages/daemon/src/jobs/shards/shard-releases.ts
@@ -11,7 +11,6 @@
 import {createLeaseTransaction} from './lease-transaction.js';
 import type {HeldShard} from './held-shard.js';
 
-/** Dependencies of the releases. */
 export type ShardReleasesDeps = {
 	readonly store: RowStore;
 	readonly leases: LeaseCache;
@@ -22,7 +21,6 @@
 	readonly onReleased: (shard: string) => void;
 };
 
-/** Releases of this daemon. */
 export type ShardReleases = {
 	/** Releases a shard, or waits for its release that is in progress. */
 	readonly release: (shard: string) => Promise<void>;
@@ -34,7 +32,6 @@
 	readonly waitForAll: () => Promise<void>;
 };
 
-/** Creates an empty set of releases. */
 export const createShardReleases = (deps: ShardReleasesDeps): ShardReleases => {
 	const {store, leases, logger} = deps;
 	const inProgress = new Map<string, Promise<void>>();
