--- a/packages/daemon/src/jobs/fleet/fleet-runner.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-runner.ts
@@ -1,7 +1,7 @@
 /**
- * Orders what happens to machines while this daemon holds the fleet's shard:
- * waves of maintenance and moves between pools. The owners of services empty
- * the executors; here it is decided which, and the platform is asked.
+ * Runs maintenance waves and moves between pools while this daemon holds the
+ * fleet's shard. It chooses the machines and commands the platform; the owners
+ * of the services evacuate the executors.
  */
 import type {fleet} from '@gullstand/core';
 import type {Machines, RowStore, WaveRequest} from '@gullstand/ports';
@@ -25,7 +25,6 @@
 	type WaveStatusPort,
 } from './machine-wave-runner.js';
 
-/** What the runner needs. */
 export type FleetRunnerDeps = {
 	readonly held: HeldShard;
 	readonly holder: string;
@@ -36,9 +35,12 @@
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly pools: fleet.PoolConfig;
-	/** Time between orders of two holders for one machine, milliseconds. */
+	/**
+	 * Minimum time between commands of two holders for one machine, in
+	 * milliseconds.
+	 */
 	readonly turnoverMs: number;
-	/** How long the holder acts without having confirmed its lease. */
+	/** How long the holder acts without confirming its lease, in milliseconds. */
 	readonly maxUnconfirmedMs: number;
 	readonly getLeasesConfirmedAt: () => Moment | undefined;
 	readonly listWaves: () => readonly WaveRequest[];
@@ -48,18 +50,17 @@
 	readonly reportFailure: ReportFailure;
 };
 
-/** The runner while the shard is held. */
 export type FleetRunner = {
 	readonly start: () => void;
 	readonly stop: () => void;
 };
 
-/** Creates a runner; it does nothing before `start`. */
+/** Creates a runner; it is idle until `start` is called. */
 export const createFleetRunner = (deps: FleetRunnerDeps): FleetRunner => {
 	const {held, clock} = deps;
 	const logger = deps.logger.child({shard: held.shard});
 	const state = {isStopped: false};
-	const seen: ListedExecutorIds = new Set();
+	const listedIds: ListedExecutorIds = new Set();
 
 	const lose = (reason: string) => {
 		if (!state.isStopped) {
@@ -68,7 +69,7 @@
 		}
 	};
 
-	const isBelieved = (): boolean =>
+	const isLeaseConfirmed = (): boolean =>
 		!state.isStopped &&
 		isConfirmedWithin(
 			clock,
@@ -76,7 +77,7 @@
 			deps.maxUnconfirmedMs,
 		);
 
-	const orders = createCommandLog({
+	const commandLog = createCommandLog({
 		store: deps.store,
 		held,
 		now: clock.now,
@@ -96,8 +97,8 @@
 		clock,
 		logger,
 		hasOwner: deps.hasOwner,
-		mayCommand: isBelieved,
-		commandLog: orders,
+		mayCommand: isLeaseConfirmed,
+		commandLog,
 		isStopped: () => state.isStopped,
 		loseShard: lose,
 	};
@@ -112,7 +113,7 @@
 		await waves.acceptRequests(deps.listWaves());
 		const view = await readFleetView(context);
 		if (view) {
-			await reportTerminated(context, view, seen);
+			await reportTerminated(context, view, listedIds);
 			await waves.runRound(view);
 			await pools.runRound(view);
 		}
@@ -121,7 +122,7 @@
 	const run = async () => {
 		while (
 			!state.isStopped &&
-			!((await waves.load()) && (await orders.load()))
+			!((await waves.load()) && (await commandLog.load()))
 		) {
 			await delay(fleetPeriods.roundMs);
 		}
@@ -131,7 +132,7 @@
 			previous: held.previous,
 		});
 		while (!state.isStopped) {
-			if (isBelieved()) {
+			if (isLeaseConfirmed()) {
 				await runRound();
 			}
 
