--- a/packages/daemon/src/jobs/clock.ts
+++ b/packages/daemon/src/jobs/clock.ts
@@ -21,19 +21,18 @@
  * Time since a moment by the clock that shows more: the steady clock does not
  * count a suspension, the time of day may be set back.
  */
-export const getMostElapsedMs = (clock: Clock, since: Moment): number =>
+export const getMaxElapsedMs = (clock: Clock, since: Moment): number =>
 	Math.max(clock.now() - since.at, clock.epochNow() - since.epochAt);
 
 /**
  * Whether something that was confirmed at a moment may still be counted on.
  * It is not before it was ever confirmed.
  */
-export const isWithin = (
+export const isConfirmedWithin = (
 	clock: Clock,
 	confirmed: Moment | undefined,
 	ms: number,
-): boolean =>
-	confirmed !== undefined && getMostElapsedMs(clock, confirmed) < ms;
+): boolean => confirmed !== undefined && getMaxElapsedMs(clock, confirmed) < ms;
 
 /** Resolves after a time. */
 export const delay = async (ms: number): Promise<void> =>
--- a/packages/daemon/src/jobs/share-calls.ts
+++ b/packages/daemon/src/jobs/coalesce-calls.ts
@@ -4,7 +4,7 @@
  * Shares calls of a function. Whoever asks while one is under way shares the
  * next one: what is under way may not have seen what the asker has.
  */
-export const shareCalls = <Value>(
+export const coalesceCalls = <Value>(
 	call: () => Promise<Value>,
 ): (() => Promise<Value>) => {
 	let running: Promise<Value> | undefined;
--- a/packages/daemon/src/jobs/entry/job-service.ts
+++ b/packages/daemon/src/jobs/entry/job-service.ts
@@ -13,7 +13,11 @@
 import {match} from 'ts-pattern';
 import type {Logger} from '../../log/logger.js';
 import type {Clock} from '../clock.js';
-import {legs, type JobMetrics, type Leg} from '../job-metrics.js';
+import {
+	histogramNames,
+	type JobMetrics,
+	type HistogramName,
+} from '../job-metrics.js';
 import {periods} from '../periods.js';
 import {
 	decodeRow,
@@ -45,13 +49,13 @@
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	readonly metrics: JobMetrics;
 	/** Hands a job in through another entry while the store is away from here. */
-	readonly submitElsewhere: (
+	readonly submitThroughPeer: (
 		job: scheduler.AcceptedJob,
 		shard: string,
 		timeoutMs: number,
 	) => Promise<SubmitOutcome | undefined>;
 	/** Cancels a job through another entry; absent if none answers. */
-	readonly cancelElsewhere: (
+	readonly cancelThroughPeer: (
 		queue: string,
 		id: string,
 		timeoutMs: number,
@@ -152,7 +156,11 @@
 		const outcome = result.ok ? 'ok' : result.error;
 		const tookMs = Math.round(clock.now() - startedAt);
 		metrics.count('calls', `${call}:${outcome}`);
-		metrics.record(legs.call satisfies Leg, call, clock.now() - startedAt);
+		metrics.record(
+			histogramNames.call satisfies HistogramName,
+			call,
+			clock.now() - startedAt,
+		);
 		logger.info('call answered', {
 			call,
 			job: id,
@@ -227,7 +235,7 @@
 
 		const third =
 			clock.now() < deadline
-				? await deps.submitElsewhere(
+				? await deps.submitThroughPeer(
 						job,
 						shard,
 						getTimeoutMs(periods.storeTimeoutMs),
@@ -341,7 +349,7 @@
 			);
 			if (stored.ok) {
 				const rows = [{...put, version: stored.value.version}];
-				void owners.tellRows(shard, rows);
+				void owners.sendRows(shard, rows);
 				return succeed(undefined);
 			}
 
@@ -379,7 +387,7 @@
 		}
 
 		const timeoutMs = Math.min(periods.storeTimeoutMs, deadline - clock.now());
-		const there = await deps.cancelElsewhere(route.name, id, timeoutMs);
+		const there = await deps.cancelThroughPeer(route.name, id, timeoutMs);
 		const result: JobResult<void> =
 			there === 'cancelled' ? succeed(undefined) : fail(there ?? here.error);
 		return answer('cancel', id, startedAt, result);
--- a/packages/daemon/src/jobs/entry/owner-channel.ts
+++ b/packages/daemon/src/jobs/entry/owner-channel.ts
@@ -5,7 +5,7 @@
 import type {scheduler} from '@gullstand/core';
 import type {StoredRow} from '@gullstand/ports';
 import type {PeerChannel} from '../../peers/peer-channel.js';
-import type {JobReading, OwnerRunner} from '../owner/owner-runner.js';
+import type {JobStateAnswer, OwnerRunner} from '../owner/owner-runner.js';
 import type {JobPeerMethods} from '../peer-methods.js';
 import {periods} from '../periods.js';
 import type {LeaseBook} from '../shards/lease-book.js';
@@ -20,7 +20,7 @@
 
 /** Calls to owners. Those that fail say `not-owner` or nothing. */
 export type OwnerChannel = {
-	readonly tellRows: (
+	readonly sendRows: (
 		shard: string,
 		rows: readonly StoredRow[],
 	) => Promise<boolean>;
@@ -28,7 +28,7 @@
 		shard: string,
 		queue: string,
 		id: string,
-	) => Promise<JobReading>;
+	) => Promise<JobStateAnswer>;
 	readonly countPending: (
 		shard: string,
 		queue: string,
@@ -38,7 +38,10 @@
 		executorId: string,
 		patienceMs: number,
 	) => Promise<scheduler.EvacuationState | undefined>;
-	readonly noteGone: (shard: string, executorId: string) => Promise<void>;
+	readonly reportTerminated: (
+		shard: string,
+		executorId: string,
+	) => Promise<void>;
 	/** Hands a job in through the owner, which stores many at once. */
 	readonly submit: (
 		shard: string,
@@ -84,9 +87,9 @@
 	};
 
 	return {
-		async tellRows(shard, rows) {
+		async sendRows(shard, rows) {
 			const answer = await ask('noteRows', {shard, rows}, (local) => {
-				local.noteRows(rows);
+				local.applyRows(rows);
 				return {isOwner: true};
 			});
 			return answer?.isOwner ?? false;
@@ -110,9 +113,9 @@
 			}));
 			return answer?.state;
 		},
-		async noteGone(shard, executorId) {
+		async reportTerminated(shard, executorId) {
 			await ask('noteGone', {shard, executorId}, (local) => {
-				local.noteGone(executorId);
+				local.markTerminated(executorId);
 				return {};
 			});
 		},
--- a/packages/daemon/src/jobs/entry/other-entries.ts
+++ b/packages/daemon/src/jobs/entry/peer-entries.ts
@@ -10,7 +10,7 @@
 import type {SubmitOutcome} from './submissions.js';
 
 /** What is needed to ask. */
-export type OtherEntriesDeps = {
+export type PeerEntriesDeps = {
 	readonly self: acknowledgement.EntryLife;
 	readonly members: Members;
 	/** Those that hold shards by the leases, for a daemon that has just started. */
@@ -20,7 +20,7 @@
 };
 
 /** The other daemons. */
-export type OtherEntries = {
+export type PeerEntries = {
 	/** Absent if none answers, so that it is certainly not stored by them. */
 	readonly submit: (
 		job: scheduler.AcceptedJob,
@@ -34,9 +34,9 @@
 		timeoutMs: number,
 	) => Promise<CancelOutcome | undefined>;
 	/** Tells holders and candidates that a shard may be claimed. */
-	readonly tellReleased: (shard: string) => void;
+	readonly notifyReleased: (shard: string) => void;
 	/** Tells the same that this daemon is stopping and claims nothing. */
-	readonly tellLeaving: () => void;
+	readonly notifyLeaving: () => void;
 };
 
 /** Daemons asked one after another. */
@@ -46,7 +46,7 @@
 const maxTold = 16;
 
 /** Creates the calls. */
-export const createOtherEntries = (deps: OtherEntriesDeps): OtherEntries => {
+export const createPeerEntries = (deps: PeerEntriesDeps): PeerEntries => {
 	const {self, members, peers, logger} = deps;
 
 	/**
@@ -120,10 +120,10 @@
 
 			return undefined;
 		},
-		tellReleased(shard) {
+		notifyReleased(shard) {
 			tellAll('shardReleased', {shard});
 		},
-		tellLeaving() {
+		notifyLeaving() {
 			tellAll('daemonLeaving', self);
 		},
 	};
--- a/packages/daemon/src/jobs/entry/queue-history.test.ts
+++ b/packages/daemon/src/jobs/entry/queue-history.test.ts
@@ -22,7 +22,7 @@
 	testConfiguration,
 	waitUntil,
 	type TestPlatform,
-} from '../job-world.test.fixture.js';
+} from '../job-daemon.test.fixture.js';
 import {createHistoryRow, createQueueHistory} from './queue-history.js';
 
 const moved: QueueRoute = {...route, service: 'other'};
--- a/packages/daemon/src/jobs/entry/queue-history.ts
+++ b/packages/daemon/src/jobs/entry/queue-history.ts
@@ -14,7 +14,7 @@
 import * as z from 'zod';
 import type {Logger} from '../../log/logger.js';
 import {periods} from '../periods.js';
-import {shareCalls} from '../share-calls.js';
+import {coalesceCalls} from '../coalesce-calls.js';
 import {decodeRow, parseServiceShard, sharedPart} from '../rows/tables.js';
 import {readWhole} from '../rows/table-feed.js';
 
@@ -23,7 +23,7 @@
 	/** Reads what all daemons have stored by now; false without an answer. */
 	readonly load: () => Promise<boolean>;
 	/** Takes in a configuration that came into force. */
-	readonly note: (configuration: Configuration) => void;
+	readonly addConfiguration: (configuration: Configuration) => void;
 	/** Services of a queue, the present one in front. */
 	readonly listServices: (queue: string, present: string) => readonly string[];
 };
@@ -98,8 +98,8 @@
 	};
 
 	return {
-		load: shareCalls(readAll),
-		note({routes}) {
+		load: coalesceCalls(readAll),
+		addConfiguration({routes}) {
 			for (const {name, service} of routes) {
 				add(name, [service]);
 			}
--- a/packages/daemon/src/jobs/entry/submission-batch.ts
+++ b/packages/daemon/src/jobs/entry/submission-batch.ts
@@ -26,7 +26,7 @@
 const maxUntold = 100 - 1 - 2 * maxJobs;
 
 /** Queues of a batch that are not told in the store yet. */
-export const listUntold = (
+export const listUnrecordedQueues = (
 	batch: readonly BatchItem[],
 	told: ReadonlySet<string>,
 ): readonly string[] => [
--- a/packages/daemon/src/jobs/entry/submissions.test.ts
+++ b/packages/daemon/src/jobs/entry/submissions.test.ts
@@ -2,17 +2,17 @@
 import * as ports from '@gullstand/ports';
 import * as tap from 'tap';
 import {
-	createAccepted,
-	createSpec,
+	createAcceptedJob,
+	createJobSpec,
 	noLogger,
 	noRowFaults,
 	now,
-} from '../job-world.test.fixture.js';
+} from '../job-daemon.test.fixture.js';
 import {getServiceShard, tables} from '../rows/tables.js';
 import {createLeaseBook} from '../shards/lease-book.js';
 import {createSubmissions, isSameJob} from './submissions.js';
 
-const job = createAccepted('0');
+const job = createAcceptedJob('0');
 
 const [step] = job.spec.steps;
 
@@ -67,7 +67,7 @@
 			rowFaults: noRowFaults,
 			onChange: () => undefined,
 		}),
-		isStoreSuspect: () => false,
+		isStoreUnresponsive: () => false,
 		now,
 		logger: noLogger,
 		onStored: () => undefined,
@@ -148,7 +148,7 @@
 		},
 	});
 	// As many steps, and as much text, as a job may have.
-	const spec = createSpec();
+	const spec = createJobSpec();
 	const {maxSteps, maxPayloadBytes} = scheduler.jobLimits;
 	const large = {
 		...spec,
@@ -159,7 +159,7 @@
 		Array.from({length: 120}, async (_, index) =>
 			submissions.submit(
 				'service/s',
-				createAccepted(String(index), large),
+				createAcceptedJob(String(index), large),
 				now() + 3000,
 			),
 		),
@@ -222,7 +222,7 @@
 			rowFaults: noRowFaults,
 			onChange: () => undefined,
 		}),
-		isStoreSuspect: () => false,
+		isStoreUnresponsive: () => false,
 		now: () => world.state.now,
 		logger: noLogger,
 		onStored: () => undefined,
--- a/packages/daemon/src/jobs/entry/submissions.ts
+++ b/packages/daemon/src/jobs/entry/submissions.ts
@@ -16,7 +16,7 @@
 } from '../rows/tables.js';
 import type {LeaseBook} from '../shards/lease-book.js';
 import {createHistoryRow} from './queue-history.js';
-import {createBatch, listUntold} from './submission-batch.js';
+import {createBatch, listUnrecordedQueues} from './submission-batch.js';
 
 /** What became of a submission. */
 export type SubmitOutcome =
@@ -34,7 +34,7 @@
 	readonly store: RowStore;
 	readonly book: LeaseBook;
 	/** The store does not answer: nothing is sent to it. */
-	readonly isStoreSuspect: () => boolean;
+	readonly isStoreUnresponsive: () => boolean;
 	readonly now: () => number;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	/** Rows that were stored, to be told to the owner. */
@@ -246,7 +246,7 @@
 			value: waiting.text,
 		}));
 		const {told} = getQueue(shard);
-		const untold = listUntold(batch, told);
+		const untold = listUnrecordedQueues(batch, told);
 		const result = await store.transact(
 			{
 				checks: [
@@ -342,7 +342,7 @@
 	const sendBatch = async (shard: string, batch: readonly Waiting[]) => {
 		let left = batch;
 		while (left.length > 0) {
-			if (deps.isStoreSuspect()) {
+			if (deps.isStoreUnresponsive()) {
 				await refuseAll(left);
 				return;
 			}
--- a/packages/daemon/src/jobs/executor-list.test.ts
+++ b/packages/daemon/src/jobs/executor-list.test.ts
@@ -4,16 +4,16 @@
 import * as tap from 'tap';
 import {createExecutorList, type ExecutorList} from './executor-list.js';
 import {createJobMetrics} from './job-metrics.js';
-import {createListed} from './job-world.test.fixture.js';
+import {createListedExecutor} from './job-daemon.test.fixture.js';
 import {createRowFaults, type UnreadableRow} from './rows/row-faults.js';
 
 type Entry = FeedEntry<scheduler.ListedExecutor>;
 
-const sound = (key: string): Entry => ({key, value: createListed(key)});
+const sound = (key: string): Entry => ({key, value: createListedExecutor(key)});
 
 const ofService = (key: string, service: string): Entry => ({
 	key,
-	value: {...createListed(key), service},
+	value: {...createListedExecutor(key), service},
 });
 
 const unreadable = (key: string): Entry => ({
--- a/packages/daemon/src/jobs/fleet/fleet-context.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-context.ts
@@ -95,7 +95,7 @@
 				pool,
 				silentMs: Math.round(forMs),
 			});
-			await owners.noteGone(getServiceShard(pool), id);
+			await owners.reportTerminated(getServiceShard(pool), id);
 		}),
 	);
 	for (const id of present) {
--- a/packages/daemon/src/jobs/fleet/fleet-runner.ts
+++ b/packages/daemon/src/jobs/fleet/fleet-runner.ts
@@ -8,7 +8,7 @@
 import type {Logger} from '../../log/logger.js';
 import type {ReportFailure} from '../../supervisor/supervisor.js';
 import {runInBackground} from '../background.js';
-import {delay, isWithin, type Clock, type Moment} from '../clock.js';
+import {delay, isConfirmedWithin, type Clock, type Moment} from '../clock.js';
 import type {OwnerChannel} from '../entry/owner-channel.js';
 import type {HeldShard} from '../shards/held-shard.js';
 import {
@@ -66,7 +66,8 @@
 	};
 
 	const isBelieved = (): boolean =>
-		!state.isStopped && isWithin(clock, deps.getConfirmed(), deps.beliefMs);
+		!state.isStopped &&
+		isConfirmedWithin(clock, deps.getConfirmed(), deps.beliefMs);
 
 	const orders = createOrderBook({
 		store: deps.store,
--- a/packages/daemon/src/jobs/job-world.test.fixture.ts
+++ b/packages/daemon/src/jobs/job-daemon.test.fixture.ts
@@ -45,7 +45,7 @@
 };
 
 /** An executor of the service `s`. */
-export const createListed = (id: string): scheduler.ListedExecutor => ({
+export const createListedExecutor = (id: string): scheduler.ListedExecutor => ({
 	id,
 	service: 's',
 	address: `address of ${id}`,
@@ -68,8 +68,8 @@
 	const executors = ports.createMemoryExecutors(now);
 	const executorFeed = ports.createMemoryFeed<scheduler.ListedExecutor>();
 	for (const id of executorIds) {
-		executors.add(createListed(id));
-		executorFeed.put(id, createListed(id));
+		executors.add(createListedExecutor(id));
+		executorFeed.put(id, createListedExecutor(id));
 	}
 
 	const waveStates = new Map<string, string>();
@@ -161,7 +161,7 @@
 };
 
 /** A job of one step. */
-export const createSpec = (
+export const createJobSpec = (
 	changes: Partial<scheduler.StepSpec> = {},
 ): scheduler.JobSpec => ({
 	payload: 'payload',
@@ -190,9 +190,9 @@
 });
 
 /** An accepted job of the queue `q`. */
-export const createAccepted = (
+export const createAcceptedJob = (
 	id: string,
-	spec: scheduler.JobSpec = createSpec(),
+	spec: scheduler.JobSpec = createJobSpec(),
 ): scheduler.AcceptedJob => ({
 	id,
 	policy: {
@@ -218,7 +218,7 @@
 export const submit = async (
 	daemon: JobDaemon,
 	id: string,
-	spec: scheduler.JobSpec = createSpec(),
+	spec: scheduler.JobSpec = createJobSpec(),
 ) => daemon.service.submit(route, id, spec, now() + 2000);
 
 /** The state that a caller is shown, or the kind of the error. */
@@ -231,7 +231,7 @@
 };
 
 /** Finishes each task so long after it was started. */
-export const finishAfter = (platform: TestPlatform, ms: number): void => {
+export const finishTasksAfter = (platform: TestPlatform, ms: number): void => {
 	platform.executors.onStart = ({executorId, taskId}) => {
 		setTimeout(() => {
 			platform.executors.finish(executorId, taskId, 'done');
--- a/packages/daemon/src/jobs/job-daemon.test.ts
+++ b/packages/daemon/src/jobs/job-daemon.test.ts
@@ -2,10 +2,10 @@
 import type {JobDaemon} from './job-daemon.js';
 import {
 	createId,
-	createListed,
-	createSpec,
+	createListedExecutor,
+	createJobSpec,
 	createTestPlatform,
-	finishAfter,
+	finishTasksAfter,
 	now,
 	readState,
 	route,
@@ -14,7 +14,7 @@
 	testConfiguration,
 	waitUntil,
 	type TestPlatform,
-} from './job-world.test.fixture.js';
+} from './job-daemon.test.fixture.js';
 
 type Test = Pick<typeof tap.t, 'fail' | 'teardown'>;
 
@@ -46,7 +46,7 @@
 
 tap.t.test('a job runs through any entry, once', async (t) => {
 	const platform = createTestPlatform(['x', 'yy']);
-	finishAfter(platform, 20);
+	finishTasksAfter(platform, 20);
 	const daemons = await createFleet(t, platform, ['a', 'b', 'c']);
 	await waitUntil('an owner', () => holdsLease(platform));
 	const ids = Array.from({length: 12}, (_, index) => createId(index));
@@ -56,7 +56,7 @@
 	t.ok(answers.every((each) => each.ok));
 	const again = await submit(daemons[2]!, ids[0]!);
 	t.same(again, {ok: true, value: {isRepeat: true}});
-	const other = await submit(daemons[1]!, ids[0]!, createSpec({count: 2}));
+	const other = await submit(daemons[1]!, ids[0]!, createJobSpec({count: 2}));
 	t.same(other, {ok: false, error: 'job-conflict'});
 	for (const [index, id] of ids.entries()) {
 		const daemon = daemons[(index + 1) % 3]!;
@@ -157,7 +157,7 @@
 	const daemons = await createFleet(t, platform, ['a', 'b']);
 	await waitUntil('an owner', () => holdsLease(platform));
 	const id = createId(1);
-	await submit(daemons[0]!, id, createSpec({count: 3}));
+	await submit(daemons[0]!, id, createJobSpec({count: 3}));
 	await waitUntil(
 		'the starts',
 		() => platform.executors.listRunning('x').length === 3,
@@ -197,7 +197,7 @@
 		await waitUntil('an owner', () => holdsLease(platform));
 		const first = createId(1);
 		const second = createId(2);
-		await submit(daemon!, first, createSpec({estimateMs: 60_000}));
+		await submit(daemon!, first, createJobSpec({estimateMs: 60_000}));
 		await waitUntil(
 			'the start',
 			() => platform.executors.listRunning('x').length > 0,
@@ -217,7 +217,7 @@
 			async () => (await readState(daemon!, first)) === 'completed',
 		);
 		t.equal(platform.executors.listStarts().length, 1, 'nothing new');
-		platform.executorFeed.put('x', createListed('x'));
+		platform.executorFeed.put('x', createListedExecutor('x'));
 		await waitUntil(
 			'the second start',
 			() => platform.executors.listStarts().length > 1,
@@ -236,7 +236,10 @@
 		() => platform.executors.listRunning('x').length > 0,
 	);
 	platform.executors.remove('x');
-	const next = {...createListed('x2'), address: createListed('x').address};
+	const next = {
+		...createListedExecutor('x2'),
+		address: createListedExecutor('x').address,
+	};
 	platform.executors.add(next);
 	platform.executorFeed.put('x', undefined);
 	platform.executorFeed.put('x2', next);
@@ -261,7 +264,7 @@
 				state: 'up',
 				availabilityZone: 'a',
 				labels: [],
-				capacity: createListed(id).capacity,
+				capacity: createListedExecutor(id).capacity,
 				executorId: id,
 			});
 		}
@@ -279,7 +282,7 @@
 					state: 'up',
 					availabilityZone: 'a',
 					labels: [],
-					capacity: createListed('x').capacity,
+					capacity: createListedExecutor('x').capacity,
 					executorId: `${machine}-again`,
 				});
 			}, 100);
@@ -329,7 +332,7 @@
 		const platform = createTestPlatform(['x', 'yy']);
 		const [daemon] = await createFleet(t, platform, ['a']);
 		await waitUntil('an owner', () => holdsLease(platform));
-		await submit(daemon!, createId(1), createSpec({isLongRunning: true}));
+		await submit(daemon!, createId(1), createJobSpec({isLongRunning: true}));
 		await waitUntil(
 			'the start',
 			() => platform.executors.listStarts().length > 0,
@@ -415,7 +418,7 @@
 	const again = await daemon!.service.submit(
 		moved,
 		id,
-		createSpec(),
+		createJobSpec(),
 		now() + 2000,
 	);
 	t.same(again, {ok: true, value: {isRepeat: true}});
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -22,7 +22,7 @@
 import type {ReportFailure} from '../supervisor/supervisor.js';
 import {delay, type Clock} from './clock.js';
 import {createJobService, type JobService} from './entry/job-service.js';
-import {createOtherEntries} from './entry/other-entries.js';
+import {createPeerEntries} from './entry/peer-entries.js';
 import {createOwnerChannel} from './entry/owner-channel.js';
 import {createQueueHistory} from './entry/queue-history.js';
 import {createRoutes, type Routes} from './entry/routes.js';
@@ -92,7 +92,7 @@
 	/** Resolves once it can answer callers. */
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
 	/** Gives its shards back and is not ready any more; callers are answered. */
-	readonly handOver: () => Promise<void>;
+	readonly handOverShards: () => Promise<void>;
 	/** Lets go of everything. */
 	readonly stop: () => Promise<void>;
 	/** Whether callers should be sent here. */
@@ -183,7 +183,7 @@
 	});
 
 	const tellOwner = async (shard: string, rows: readonly StoredRow[]) => {
-		const isTold = await owners.tellRows(shard, rows);
+		const isTold = await owners.sendRows(shard, rows);
 		if (!isTold) {
 			logger.info('owner not told', {shard, jobs: rows.map(({key}) => key)});
 		}
@@ -191,7 +191,7 @@
 
 	const submissions = createSubmissions({
 		store,
-		isStoreSuspect: watched.isSuspect,
+		isStoreUnresponsive: watched.isSuspect,
 		book,
 		now,
 		logger,
@@ -200,7 +200,7 @@
 		},
 	});
 
-	const others = createOtherEntries({
+	const others = createPeerEntries({
 		self,
 		members,
 		listHolders: book.listHolders,
@@ -219,8 +219,8 @@
 		clock,
 		logger,
 		metrics,
-		submitElsewhere: others.submit,
-		cancelElsewhere: others.cancel,
+		submitThroughPeer: others.submit,
+		cancelThroughPeer: others.cancel,
 	});
 
 	const hasLetGo = async ({
@@ -258,9 +258,9 @@
 		metrics,
 		rowFaults,
 		hasService,
-		getConfirmed: () => leaseFollower.getConfirmed(),
-		hasLetGo,
-		onLost(shard, rows) {
+		getLeasesConfirmedAt: () => leaseFollower.getConfirmed(),
+		hasReleased: hasLetGo,
+		onOwnershipLost(shard, rows) {
 			for (const row of rows) {
 				book.note(row);
 			}
@@ -307,7 +307,7 @@
 
 		const serviceName = parseServiceShard(held.shard);
 		if (serviceName !== undefined && hasService(serviceName)) {
-			owned.take(held, serviceName);
+			owned.start(held, serviceName);
 		}
 	};
 
@@ -339,9 +339,9 @@
 		random: deps.random,
 		logger,
 		onAcquired,
-		beforeRelease: owned.letGo,
+		beforeRelease: owned.release,
 		onLost,
-		onReleased: others.tellReleased,
+		onReleased: others.notifyReleased,
 	});
 
 	const role = createEntryRole({
@@ -382,7 +382,7 @@
 			.with({kind: 'configuration'}, ({value}) => {
 				const isNew = routes.apply(value);
 				if (isNew) {
-					history.note(value);
+					history.addConfiguration(value);
 				}
 
 				logger.info('configuration read', {
@@ -440,13 +440,17 @@
 		['lease', leaseFollower],
 		['daemon', memberFollower],
 	] as const) {
-		metrics.gauge('feed_age_ms', name, () => {
+		metrics.registerGauge('feed_age_ms', name, () => {
 			const confirmed = follower.getConfirmed();
 			return confirmed && Math.round(now() - confirmed.at);
 		});
 	}
 
-	metrics.gauge('configuration', 'version', () => routes.get()?.version);
+	metrics.registerGauge(
+		'configuration',
+		'version',
+		() => routes.get()?.version,
+	);
 
 	const startPeers = async (): Promise<boolean> => {
 		const keyHex = await obtainPeerKey(store, logger, () => state.isLeaving);
@@ -511,7 +515,7 @@
 	const handOver = async () => {
 		if (!state.isLeaving) {
 			state.isLeaving = true;
-			others.tellLeaving();
+			others.notifyLeaving();
 		}
 
 		await keeper.stop();
@@ -537,7 +541,7 @@
 
 	return {
 		start,
-		handOver,
+		handOverShards: handOver,
 		stop,
 		isReady,
 		service,
--- a/packages/daemon/src/jobs/job-metrics.test.ts
+++ b/packages/daemon/src/jobs/job-metrics.test.ts
@@ -14,7 +14,7 @@
 	tap.t.test(`a gauge shows ${name} as it is when asked`, async (t) => {
 		const metrics = createJobMetrics();
 		const state: {value: number | undefined} = {value: undefined};
-		metrics.gauge('age_ms', 'x', () => state.value);
+		metrics.registerGauge('age_ms', 'x', () => state.value);
 		state.value = value;
 		t.equal(metrics.formatText(), text);
 	});
--- a/packages/daemon/src/jobs/job-metrics.ts
+++ b/packages/daemon/src/jobs/job-metrics.ts
@@ -4,7 +4,7 @@
 import * as hdr from 'hdr-histogram-js/dist/HistogramBuilder.js';
 
 /** Histograms kept; times in milliseconds. */
-export const legs = {
+export const histogramNames = {
 	/** From the acceptance of a job to its first start that was confirmed. */
 	firstStart: 'first_start',
 	/** From the order of a start to its answer. */
@@ -16,15 +16,16 @@
 } as const;
 
 /** Name of a histogram. */
-export type Leg = (typeof legs)[keyof typeof legs];
+export type HistogramName =
+	(typeof histogramNames)[keyof typeof histogramNames];
 
 /** Metrics of one daemon. */
 export type JobMetrics = {
 	/** Adds one to a counter with a label, such as a queue or a kind. */
 	readonly count: (name: string, label?: string) => void;
-	readonly record: (leg: Leg, label: string, ms: number) => void;
+	readonly record: (leg: HistogramName, label: string, ms: number) => void;
 	/** Shows a figure as it is when the text is asked for; absent is left out. */
-	readonly gauge: (
+	readonly registerGauge: (
 		name: string,
 		label: string,
 		read: () => number | undefined,
@@ -78,7 +79,7 @@
 		return value === undefined ? [] : [`gullstand_${key} ${value}`];
 	};
 
-	const getHistogram = (leg: Leg, label: string): Histogram => {
+	const getHistogram = (leg: HistogramName, label: string): Histogram => {
 		const wanted = `${leg} ${label}`;
 		const key =
 			histograms.has(wanted) || histograms.size < maxSeries
@@ -103,7 +104,7 @@
 			const bounded = Math.min(highestMicros, Math.max(1, micros));
 			getHistogram(leg, label).recordValue(bounded);
 		},
-		gauge(name, label, read) {
+		registerGauge(name, label, read) {
 			gauges.set(`${name}{label="${label}"}`, read);
 		},
 		formatText: () =>
--- a/packages/daemon/src/jobs/owner/row-intake.ts
+++ b/packages/daemon/src/jobs/owner/apply-job-rows.ts
@@ -8,7 +8,7 @@
 import type {OwnerLog} from './owner-log.js';
 
 /** What the intake needs. */
-export type RowIntakeDeps = {
+export type ApplyJobRowsDeps = {
 	readonly held: HeldShard;
 	readonly clock: Clock;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
@@ -18,7 +18,7 @@
 const takeJob = (
 	owner: scheduler.Owner,
 	row: ChangedRow,
-	{held, clock, logger}: RowIntakeDeps,
+	{held, clock, logger}: ApplyJobRowsDeps,
 ): void => {
 	const decoded = decodeRow(jobSchema, row.value ?? '');
 	if (!decoded.ok) {
@@ -48,20 +48,20 @@
 const takeCancel = (
 	owner: scheduler.Owner,
 	id: string,
-	{clock, log}: RowIntakeDeps,
+	{clock, log}: ApplyJobRowsDeps,
 ): void => {
 	const job = owner.jobs.get(id);
 	if (job && job.end === undefined) {
 		scheduler.cancelJob(owner, job, clock.now());
-		log.noteJobEnd(id, 'cancelled', 'the caller cancelled it');
+		log.logJobEnd(id, 'cancelled', 'the caller cancelled it');
 	}
 };
 
 /** Takes rows in, from a peer or the store; known ones change nothing. */
-export const takeRows = (
+export const applyJobRows = (
 	owner: scheduler.Owner,
 	rows: readonly ChangedRow[],
-	deps: RowIntakeDeps,
+	deps: ApplyJobRowsDeps,
 ): void => {
 	const present = rows.filter(({value}) => value !== undefined);
 	for (const row of present) {
--- a/packages/daemon/src/jobs/owner/executor-link.test.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.test.ts
@@ -1,7 +1,7 @@
 import {scheduler} from '@gullstand/core';
 import type {Executors, LookAnswer} from '@gullstand/ports';
 import * as tap from 'tap';
-import {createListed, now} from '../job-world.test.fixture.js';
+import {createListedExecutor, now} from '../job-daemon.test.fixture.js';
 import {openExecutorLink} from './executor-link.js';
 
 type Waits = number[];
@@ -47,20 +47,20 @@
 	tap.t.test(name, async (t) => {
 		const cfg = scheduler.defaultSchedulerConfig;
 		const owner = scheduler.createOwner('s', 1, cfg, 0);
-		scheduler.listExecutor(owner, createListed('x'));
+		scheduler.listExecutor(owner, createListedExecutor('x'));
 		const waits: Waits = [];
 		const link = openExecutorLink({
 			owner,
 			executor: owner.executors.get('x')!,
 			executors: createExecutors(answer, waits),
 			now,
-			isBelieved: () => true,
+			isOwnershipConfirmed: () => true,
 			logger: {info: () => undefined as never, warn: () => undefined as never},
 			onChange: () => undefined,
-			onLook: () => undefined,
+			onPoll: () => undefined,
 			onFenced: () => undefined,
-			onOtherLife: () => undefined,
-			onStarted: () => undefined,
+			onOtherIncarnation: () => undefined,
+			onStartAnswer: () => undefined,
 		});
 		await new Promise((resolve) => {
 			setTimeout(resolve, 100);
--- a/packages/daemon/src/jobs/owner/executor-link.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.ts
@@ -17,15 +17,15 @@
 	readonly executors: Executors;
 	readonly now: () => number;
 	/** Whether this daemon may count on being the owner. */
-	readonly isBelieved: () => boolean;
+	readonly isOwnershipConfirmed: () => boolean;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	/** Something changed that may allow or call for orders. */
 	readonly onChange: () => void;
-	readonly onLook: (changes: scheduler.LookChanges) => void;
+	readonly onPoll: (changes: scheduler.LookChanges) => void;
 	readonly onFenced: () => void;
-	readonly onOtherLife: () => void;
+	readonly onOtherIncarnation: () => void;
 	/** The answer to a start, for the metrics. */
-	readonly onStarted: (
+	readonly onStartAnswer: (
 		run: scheduler.Run,
 		answer: scheduler.StartAnswer['kind'],
 	) => void;
@@ -37,12 +37,12 @@
 /** A link at work. */
 export type ExecutorLink = {
 	/** Looks now rather than at the next occasion. */
-	readonly poke: () => void;
+	readonly pollNow: () => void;
 	/** Ends may be acknowledged that could not be before. */
-	readonly noteAckable: () => void;
+	readonly notifyAckable: () => void;
 	readonly close: () => void;
 	readonly send: (order: RunOrder) => void;
-	readonly sendPace: (order: scheduler.PaceOrder) => void;
+	readonly sendThrottle: (order: scheduler.PaceOrder) => void;
 };
 
 type State = {
@@ -63,7 +63,7 @@
 		isClosed: false,
 		isPoked: true,
 		ackSent: 0,
-		retryMs: periods.lookRetryMs,
+		retryMs: periods.pollRetryMs,
 	};
 
 	/** Of a link with nothing to look for. */
@@ -95,13 +95,13 @@
 	const pauseForGap = async (seenAt: number) => {
 		const gapMs = scheduler.getLookGapMs(owner.startWindow);
 		const restMs = gapMs - (now() - seenAt);
-		if (restMs >= periods.leastLookGapMs && !state.isPoked) {
+		if (restMs >= periods.minPollGapMs && !state.isPoked) {
 			await lookGap.wait(restMs);
 		}
 	};
 
 	const takeSeen = (answer: LookAnswer & {kind: 'seen'}, sentAt: number) => {
-		state.retryMs = periods.lookRetryMs;
+		state.retryMs = periods.pollRetryMs;
 		const {clockMs, running, ends} = answer;
 		const look = {sentAt, receivedAt: now(), clockMs, running, ends};
 		const wasSilentFrom = executor.silentSince;
@@ -123,12 +123,16 @@
 			void stopStray(taskId, run);
 		}
 
-		deps.onLook(changes);
+		deps.onPoll(changes);
 	};
 
 	const stopStray = async (taskId: string, run: number) => {
 		const order = {taskId, run, fencingToken: owner.token};
-		const answer = await executors.stop(target, order, periods.orderTimeoutMs);
+		const answer = await executors.stop(
+			target,
+			order,
+			periods.commandTimeoutMs,
+		);
 		logger.info('run of no known task stopped', {
 			task: taskId,
 			run,
@@ -149,7 +153,7 @@
 		scheduler.noteSilence(owner, executor.id, now());
 		deps.onChange();
 		await delay(state.retryMs);
-		state.retryMs = Math.min(2 * state.retryMs, periods.lookRetryMaxMs);
+		state.retryMs = Math.min(2 * state.retryMs, periods.pollRetryMaxMs);
 	};
 
 	const lookOnce = async () => {
@@ -157,9 +161,10 @@
 		const {acknowledgedUpto} = executor;
 		const isBusy = executor.runs.size > 0 || executor.strays > 0;
 		const mayWait = isQuiet && !state.isPoked && isBusy;
-		const waitMs = mayWait ? periods.lookWaitMs : 0;
+		const waitMs = mayWait ? periods.pollWaitMs : 0;
 		state.isPoked = false;
-		const mayGrant = scheduler.mayGrantLease(executor) && deps.isBelieved();
+		const mayGrant =
+			scheduler.mayGrantLease(executor) && deps.isOwnershipConfirmed();
 		const leaseEndMs =
 			executor.runs.size > 0 && mayGrant
 				? scheduler.grantLease(executor, owner.cfg.taskLeaseMs, now())
@@ -168,7 +173,7 @@
 		const answer = await executors.look(
 			target,
 			{fencingToken: owner.token, acknowledgedUpto, leaseEndMs, waitMs},
-			waitMs + periods.lookTimeoutMs,
+			waitMs + periods.pollTimeoutMs,
 		);
 		if (state.isClosed) {
 			return;
@@ -186,7 +191,7 @@
 				deps.onFenced();
 			})
 			.with({kind: 'other-life'}, async () => {
-				deps.onOtherLife();
+				deps.onOtherIncarnation();
 			})
 			.with({kind: 'no-answer'}, noteNoAnswer)
 			.exhaustive();
@@ -212,7 +217,7 @@
 				deps.onFenced();
 			})
 			.with('other-life', () => {
-				deps.onOtherLife();
+				deps.onOtherIncarnation();
 			})
 			.with('look-again', poke)
 			.exhaustive();
@@ -234,7 +239,7 @@
 				checkpoint: task.checkpoint,
 				ticket: order.ticket,
 			},
-			periods.orderTimeoutMs,
+			periods.commandTimeoutMs,
 		);
 		if (state.isClosed) {
 			return;
@@ -250,7 +255,7 @@
 			failures: task.failures,
 			tookMs: Math.round(now() - started.askedAt),
 		});
-		deps.onStarted(started, answer.kind);
+		deps.onStartAnswer(started, answer.kind);
 		follow(scheduler.takeStartAnswer(owner, started, answer, now()));
 	};
 
@@ -260,7 +265,7 @@
 		const answer = await executors.stop(
 			target,
 			{taskId: task.id, run: number, fencingToken: owner.token},
-			periods.orderTimeoutMs,
+			periods.commandTimeoutMs,
 		);
 		if (state.isClosed) {
 			return;
@@ -288,7 +293,7 @@
 		const answer = await executors.pace(
 			target,
 			{taskId: task.id, run: number, fencingToken: owner.token, percent},
-			periods.orderTimeoutMs,
+			periods.commandTimeoutMs,
 		);
 		logger.info('task paced', {
 			task: task.id,
@@ -306,8 +311,8 @@
 
 	void run();
 	return {
-		poke,
-		noteAckable() {
+		pollNow: poke,
+		notifyAckable() {
 			sleep.end();
 			ackPause.end();
 		},
@@ -323,7 +328,7 @@
 			// A look that brings its end must be under way.
 			sleep.end();
 		},
-		sendPace(order) {
+		sendThrottle(order) {
 			void sendPace(order);
 		},
 	};
--- a/packages/daemon/src/jobs/owner/executor-links.test.ts
+++ b/packages/daemon/src/jobs/owner/executor-links.test.ts
@@ -1,12 +1,12 @@
 import {scheduler} from '@gullstand/core';
 import * as tap from 'tap';
-import {createListed} from '../job-world.test.fixture.js';
+import {createListedExecutor} from '../job-daemon.test.fixture.js';
 import {createExecutorLinks} from './executor-links.js';
 
 /** Two executors of one id differ, as after it was forgotten. */
-const x1 = scheduler.createExecutor(createListed('x'));
-const x2 = scheduler.createExecutor(createListed('x'));
-const yy = scheduler.createExecutor(createListed('yy'));
+const x1 = scheduler.createExecutor(createListedExecutor('x'));
+const x2 = scheduler.createExecutor(createListedExecutor('x'));
+const yy = scheduler.createExecutor(createListedExecutor('yy'));
 
 type Case = {
 	readonly name: string;
@@ -52,7 +52,7 @@
 			};
 		});
 		const answers = rounds.map((executors) =>
-			links.match(new Map(executors.map((each) => [each.id, each]))),
+			links.reconcile(new Map(executors.map((each) => [each.id, each]))),
 		);
 		t.same(seen, done);
 		t.same(answers.at(-1), closed);
--- a/packages/daemon/src/jobs/owner/executor-links.ts
+++ b/packages/daemon/src/jobs/owner/executor-links.ts
@@ -11,7 +11,7 @@
 	 * Opens links to new executors and closes those to forgotten ones; answers
 	 * the ids of these.
 	 */
-	readonly match: (
+	readonly reconcile: (
 		executors: ReadonlyMap<string, scheduler.Executor>,
 	) => readonly string[];
 	readonly closeAll: () => void;
@@ -42,7 +42,7 @@
 
 	return {
 		get: (executorId) => links.get(executorId)?.link,
-		match(executors) {
+		reconcile(executors) {
 			const closed = closeOutdated(executors);
 			for (const [id, executor] of executors) {
 				if (!links.has(id)) {
--- a/packages/daemon/src/jobs/owner/flusher.test.ts
+++ b/packages/daemon/src/jobs/owner/flusher.test.ts
@@ -4,13 +4,13 @@
 import * as ports from '@gullstand/ports';
 import * as tap from 'tap';
 import {
-	createAccepted,
+	createAcceptedJob,
 	createId,
-	createSpec,
+	createJobSpec,
 	heldShard,
 	noLogger,
 	waitUntil,
-} from '../job-world.test.fixture.js';
+} from '../job-daemon.test.fixture.js';
 import {getMoment} from '../clock.js';
 import {createFlusher} from './flusher.js';
 
@@ -57,7 +57,7 @@
 			acknowledged.push(...executors.map(({id}) => id));
 		},
 		onStored: () => undefined,
-		onLost: () => undefined,
+		onOwnershipLost: () => undefined,
 	});
 	return {owner, pending, acknowledged, flusher};
 };
@@ -72,7 +72,7 @@
 	const drained = flusher.drain();
 	await turn();
 	t.equal(pending.length, 1);
-	flusher.poke();
+	flusher.requestFlush();
 	t.same(acknowledged, []);
 	pending[0]!(succeed({version: 2, nowMs: 0}));
 	await drained;
@@ -81,7 +81,7 @@
 
 tap.t.test('no second flush begins beside the last one', async (t) => {
 	const {owner, pending, flusher} = createWorld();
-	flusher.poke();
+	flusher.requestFlush();
 	await turn();
 	const drained = flusher.drain();
 	owner.isRosterDirty = true;
@@ -90,7 +90,7 @@
 	await turn();
 	t.equal(pending.length, 2);
 	owner.isRosterDirty = true;
-	flusher.poke();
+	flusher.requestFlush();
 	await turn();
 	t.equal(pending.length, 2);
 	pending[1]!(succeed({version: 3, nowMs: 0}));
@@ -116,8 +116,8 @@
  */
 tap.t.test('a flush holds no more bytes than the store takes', async (t) => {
 	const jobs = 90;
-	const {steps} = createSpec({count: scheduler.jobLimits.maxTasksPerStep});
-	const spec = {...createSpec(), steps: [...steps, ...steps]};
+	const {steps} = createJobSpec({count: scheduler.jobLimits.maxTasksPerStep});
+	const spec = {...createJobSpec(), steps: [...steps, ...steps]};
 	const owner = scheduler.createOwner(
 		's',
 		1,
@@ -127,7 +127,7 @@
 	for (let index = 0; index < jobs; index += 1) {
 		const job = scheduler.addJob(
 			owner,
-			createAccepted(createId(index), spec),
+			createAcceptedJob(createId(index), spec),
 			false,
 		);
 		scheduler.addOccurrence(job);
@@ -157,10 +157,10 @@
 				stored.add(job.accepted.id);
 			}
 		},
-		onLost: () => undefined,
+		onOwnershipLost: () => undefined,
 	});
 	t.teardown(flusher.stop);
-	flusher.poke();
+	flusher.requestFlush();
 	await waitUntil('all progress is stored', () => stored.size === jobs, 5000);
 	t.equal(stored.size, jobs);
 });
--- a/packages/daemon/src/jobs/owner/flusher.ts
+++ b/packages/daemon/src/jobs/owner/flusher.ts
@@ -34,13 +34,16 @@
 	/** Executors to which new ends are to be acknowledged. */
 	readonly onAckable: (executors: readonly scheduler.Executor[]) => void;
 	readonly onStored: (flush: scheduler.Flush) => void;
-	readonly onLost: (reason: string, rows: readonly StoredRow[]) => void;
+	readonly onOwnershipLost: (
+		reason: string,
+		rows: readonly StoredRow[],
+	) => void;
 };
 
 /** The flusher of one ownership. */
 export type Flusher = {
 	/** Notes that something may be to store. */
-	readonly poke: () => void;
+	readonly requestFlush: () => void;
 	readonly stop: () => void;
 	/** Flushes until nothing is left or the store refuses. */
 	readonly drain: () => Promise<void>;
@@ -99,7 +102,7 @@
 	const takeConflict = (rows: readonly StoredRow[]): boolean => {
 		const lease = rows.find(({table}) => table === tables.lease);
 		if (lease?.version !== held.version) {
-			deps.onLost('the lease row has changed', rows);
+			deps.onOwnershipLost('the lease row has changed', rows);
 			return false;
 		}
 
@@ -186,11 +189,11 @@
 			return;
 		}
 
-		timer ??= setTimeout(begin, periods.flushMs);
+		timer ??= setTimeout(begin, periods.flushDelayMs);
 	};
 
 	return {
-		poke,
+		requestFlush: poke,
 		stop() {
 			state.isStopped = true;
 			clearTimeout(timer);
--- a/packages/daemon/src/jobs/owner/job-remover.test.ts
+++ b/packages/daemon/src/jobs/owner/job-remover.test.ts
@@ -6,10 +6,10 @@
 import * as ports from '@gullstand/ports';
 import * as tap from 'tap';
 import {
-	createAccepted,
+	createAcceptedJob,
 	heldShard,
 	noLogger,
-} from '../job-world.test.fixture.js';
+} from '../job-daemon.test.fixture.js';
 import {createJobRemover} from './job-remover.js';
 
 const jobsPerSecond = 20;
@@ -36,13 +36,13 @@
 		at = second * 1000;
 		for (let index = 0; index < jobsPerSecond; index++) {
 			const id = `${second}-${index}`;
-			const job = scheduler.addJob(owner, createAccepted(id), false, at);
+			const job = scheduler.addJob(owner, createAcceptedJob(id), false, at);
 			scheduler.cancelJob(owner, job, at);
 		}
 
 		for (let turn = 0; turn < 10; turn++) {
 			at = second * 1000 + turn * 100;
-			await remover.run(owner);
+			await remover.removeDueJobs(owner);
 		}
 	}
 
--- a/packages/daemon/src/jobs/owner/job-remover.ts
+++ b/packages/daemon/src/jobs/owner/job-remover.ts
@@ -28,7 +28,7 @@
 
 /** Removes what is due, at most once in a period. */
 export type JobRemover = {
-	readonly run: (owner: scheduler.Owner) => Promise<void>;
+	readonly removeDueJobs: (owner: scheduler.Owner) => Promise<void>;
 };
 
 /** Creates a remover. */
@@ -60,7 +60,7 @@
 	};
 
 	return {
-		async run(owner) {
+		async removeDueJobs(owner) {
 			if (now() - ranAt < periodMs) {
 				return;
 			}
--- a/packages/daemon/src/jobs/owner/load-owner.test.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.test.ts
@@ -8,11 +8,11 @@
 import * as ports from '@gullstand/ports';
 import * as tap from 'tap';
 import {
-	createAccepted,
-	createSpec,
+	createAcceptedJob,
+	createJobSpec,
 	heldShard,
 	noLogger,
-} from '../job-world.test.fixture.js';
+} from '../job-daemon.test.fixture.js';
 import {loadOwner} from './load-owner.js';
 
 /** A link of 7 Mbit/s, in bytes a millisecond. */
@@ -68,7 +68,7 @@
 	Array.from({length: jobs}, (_, index) => {
 		const id = index.toString(16).padStart(16, '0');
 		const payload = 'x'.repeat(payloadBytes);
-		const accepted = createAccepted(id, {...createSpec(), payload});
+		const accepted = createAcceptedJob(id, {...createJobSpec(), payload});
 		const progress: scheduler.JobProgress = {
 			end: 'completed',
 			doneOccurrences: 1,
--- a/packages/daemon/src/jobs/owner/load-owner.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.ts
@@ -19,7 +19,7 @@
 import type {HeldShard} from '../shards/held-shard.js';
 
 /** What a load needs. */
-export type LoadDeps = {
+export type LoadOwnerDeps = {
 	readonly store: RowStore;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	readonly cfg: scheduler.SchedulerConfig;
@@ -52,7 +52,7 @@
 const pageLimit = 100;
 
 const readRows = async (
-	{store, clock}: LoadDeps,
+	{store, clock}: LoadOwnerDeps,
 	part: string,
 ): Promise<Result<Rows, RowStoreError>> => {
 	const readTable = async (table: string) =>
@@ -88,7 +88,7 @@
  * back, or whose process is replaced, grants nothing more; a silent one may
  * go on for as long as it believes in its lease.
  */
-export const getInheritedMs = (
+export const getInheritedGrantMs = (
 	{previous}: Pick<HeldShard, 'previous'>,
 	cfg: scheduler.SchedulerConfig,
 ): number => {
@@ -99,7 +99,7 @@
 const addJobs = (
 	owner: scheduler.Owner,
 	rows: Rows,
-	{logger, clock: {now}}: LoadDeps,
+	{logger, clock: {now}}: LoadOwnerDeps,
 ): void => {
 	const jobRows = rows.jobs.filter(({key}) => !parseJobKey(key).isCancel);
 	for (const {value} of decodeRows(jobRows, jobSchema, logger)) {
@@ -150,11 +150,11 @@
 	owner: scheduler.Owner,
 	held: HeldShard,
 	rows: Rows,
-	{logger, cfg, clock}: LoadDeps,
+	{logger, cfg, clock}: LoadOwnerDeps,
 ): void => {
 	const rosters = rows.kept.filter(({key}) => key === singleKeys.roster);
 	const now = clock.now();
-	const inheritedMs = getInheritedMs(held, cfg);
+	const inheritedMs = getInheritedGrantMs(held, cfg);
 	for (const {value} of decodeRows(rosters, rosterSchema, logger)) {
 		for (const {darkSinceMs, markedBy, ...listed} of value) {
 			const darkMs = getDarkMs({darkSinceMs, markedBy}, held, rows);
@@ -175,7 +175,7 @@
 export const loadOwner = async (
 	service: string,
 	held: HeldShard,
-	deps: LoadDeps,
+	deps: LoadOwnerDeps,
 ): Promise<Result<LoadedOwner, RowStoreError>> => {
 	const rows = await readRows(deps, held.shard);
 	if (!rows.ok) {
--- a/packages/daemon/src/jobs/owner/load-report.test.ts
+++ b/packages/daemon/src/jobs/owner/load-report.test.ts
@@ -1,7 +1,10 @@
 import {scheduler} from '@gullstand/core';
 import * as tap from 'tap';
 import winston from 'winston';
-import {createAccepted, createListed} from '../job-world.test.fixture.js';
+import {
+	createAcceptedJob,
+	createListedExecutor,
+} from '../job-daemon.test.fixture.js';
 import {createLoadReport} from './load-report.js';
 
 const createOwner = (): scheduler.Owner => {
@@ -11,8 +14,8 @@
 		scheduler.defaultSchedulerConfig,
 		0,
 	);
-	scheduler.listExecutor(owner, createListed('x'));
-	scheduler.addJob(owner, createAccepted('a'), false);
+	scheduler.listExecutor(owner, createListedExecutor('x'));
+	scheduler.addJob(owner, createAcceptedJob('a'), false);
 	return owner;
 };
 
@@ -26,11 +29,11 @@
 	}) as typeof logger.info;
 	const report = createLoadReport({now: () => at, logger});
 	const owner = createOwner();
-	report.notePlan(4);
-	report.notePlan(6);
-	report.noteStart(30, true);
-	report.noteStart(600, false);
-	report.noteLateTimer(12);
+	report.recordPlan(4);
+	report.recordPlan(6);
+	report.recordStart(30, true);
+	report.recordStart(600, false);
+	report.recordTimerDelay(12);
 	at = 1999;
 	report.writeIfDue(owner);
 	t.same(lines, []);
--- a/packages/daemon/src/jobs/owner/load-report.ts
+++ b/packages/daemon/src/jobs/owner/load-report.ts
@@ -19,11 +19,11 @@
 /** Figures of one owner between two lines. */
 export type LoadReport = {
 	/** A plan was made, in so many milliseconds. */
-	readonly notePlan: (tookMs: number) => void;
+	readonly recordPlan: (tookMs: number) => void;
 	/** A start was answered, or given up, after so many milliseconds. */
-	readonly noteStart: (tookMs: number, isAnswered: boolean) => void;
+	readonly recordStart: (tookMs: number, isAnswered: boolean) => void;
 	/** A timer ran so many milliseconds after its time. */
-	readonly noteLateTimer: (lateMs: number) => void;
+	readonly recordTimerDelay: (lateMs: number) => void;
 	/** Writes the line if it is due. */
 	readonly writeIfDue: (owner: scheduler.Owner) => void;
 };
@@ -55,18 +55,18 @@
 	let figures = createFigures();
 	let since = now();
 	return {
-		notePlan(tookMs) {
+		recordPlan(tookMs) {
 			figures.plans += 1;
 			figures.planMs += tookMs;
 			figures.longestPlanMs = Math.max(figures.longestPlanMs, tookMs);
 		},
-		noteStart(tookMs, isAnswered) {
+		recordStart(tookMs, isAnswered) {
 			figures.starts += 1;
 			figures.startMs += tookMs;
 			figures.longestStartMs = Math.max(figures.longestStartMs, tookMs);
 			figures.unansweredStarts += isAnswered ? 0 : 1;
 		},
-		noteLateTimer(lateMs) {
+		recordTimerDelay(lateMs) {
 			figures.longestTimerLagMs = Math.max(figures.longestTimerLagMs, lateMs);
 		},
 		writeIfDue(owner) {
--- a/packages/daemon/src/jobs/owner/owned-services.ts
+++ b/packages/daemon/src/jobs/owner/owned-services.ts
@@ -34,10 +34,10 @@
 	readonly rowFaults: RowFaults;
 	/** Whether the configuration in force names the service. */
 	readonly hasService: (service: string) => boolean;
-	readonly getConfirmed: () => Moment | undefined;
-	readonly hasLetGo: (previous: LeaseRow) => Promise<boolean>;
+	readonly getLeasesConfirmedAt: () => Moment | undefined;
+	readonly hasReleased: (previous: LeaseRow) => Promise<boolean>;
 	/** A service turned out to be another's; `rows` may say whose. */
-	readonly onLost: (shard: string, rows: readonly StoredRow[]) => void;
+	readonly onOwnershipLost: (shard: string, rows: readonly StoredRow[]) => void;
 	readonly reportFailure: ReportFailure;
 };
 
@@ -53,9 +53,9 @@
 export type OwnedServices = {
 	readonly get: (shard: string) => OwnerRunner | undefined;
 	/** Begins to run a service that was just acquired. */
-	readonly take: (held: HeldShard, service: string) => void;
+	readonly start: (held: HeldShard, service: string) => void;
 	/** Stores what is left and orders nothing more. */
-	readonly letGo: (shard: string) => Promise<void>;
+	readonly release: (shard: string) => Promise<void>;
 	/** Drops a service that is another's. */
 	readonly drop: (shard: string) => void;
 	readonly dropAll: () => void;
@@ -76,7 +76,7 @@
 
 	const noteExecutors = (isWhole: boolean) => {
 		for (const runner of runners.values()) {
-			runner.noteExecutors(isWhole);
+			runner.updateExecutors(isWhole);
 		}
 	};
 
@@ -115,15 +115,15 @@
 
 	return {
 		get: (shard) => runners.get(shard),
-		take(held, service) {
+		start(held, service) {
 			const runner = createOwnerRunner({
 				...deps,
 				held,
 				service,
 				listExecutors: executorList.list,
-				onLost(reason, rows) {
+				onOwnershipLost(reason, rows) {
 					logger.warn('service lost', {shard: held.shard, reason});
-					deps.onLost(held.shard, rows);
+					deps.onOwnershipLost(held.shard, rows);
 				},
 			});
 			runners.set(held.shard, runner);
@@ -133,7 +133,7 @@
 
 			runInBackground(runner.start, reportFailure);
 		},
-		async letGo(shard) {
+		async release(shard) {
 			await runners.get(shard)?.stop();
 		},
 		drop,
--- a/packages/daemon/src/jobs/owner/owner-log.ts
+++ b/packages/daemon/src/jobs/owner/owner-log.ts
@@ -2,20 +2,23 @@
 import type {scheduler} from '@gullstand/core';
 import type {Logger} from '../../log/logger.js';
 import type {Clock} from '../clock.js';
-import {legs, type JobMetrics} from '../job-metrics.js';
+import {histogramNames, type JobMetrics} from '../job-metrics.js';
 
 /** The log of one ownership. */
 export type OwnerLog = {
-	readonly noteJobEnd: (job: string, end: string, reason: string) => void;
-	readonly noteLook: (
+	readonly logJobEnd: (job: string, end: string, reason: string) => void;
+	readonly logPoll: (
 		executor: scheduler.Executor,
 		changes: scheduler.LookChanges,
 	) => void;
 	/** Runs that are certainly over without an end. */
-	readonly noteFreed: (runs: readonly scheduler.Run[], reason: string) => void;
+	readonly logFreedRuns: (
+		runs: readonly scheduler.Run[],
+		reason: string,
+	) => void;
 	/** The answer to a start. */
-	readonly noteStarted: (run: scheduler.Run, isStarted: boolean) => void;
-	readonly noteStored: (flush: scheduler.Flush) => void;
+	readonly logStart: (run: scheduler.Run, isStarted: boolean) => void;
+	readonly logFlush: (flush: scheduler.Flush) => void;
 };
 
 /** What the log writes to. */
@@ -30,14 +33,14 @@
 export const createOwnerLog = (deps: OwnerLogDeps): OwnerLog => {
 	const {service, logger, metrics, clock} = deps;
 
-	const noteJobEnd: OwnerLog['noteJobEnd'] = (job, end, reason) => {
+	const noteJobEnd: OwnerLog['logJobEnd'] = (job, end, reason) => {
 		metrics.count('jobs_ended', end);
 		logger.info('job ended', {job, end, reason});
 	};
 
 	return {
-		noteJobEnd,
-		noteLook(executor, changes) {
+		logJobEnd: noteJobEnd,
+		logPoll(executor, changes) {
 			for (const {taskId, run, how, failures} of changes.ends) {
 				metrics.count('runs_ended', how);
 				logger.info('task end', {
@@ -57,7 +60,7 @@
 				noteJobEnd(job, end, reason);
 			}
 		},
-		noteFreed(runs, reason) {
+		logFreedRuns(runs, reason) {
 			for (const {task, number, executorId} of runs) {
 				logger.warn('run given up', {
 					task: task.id,
@@ -67,20 +70,24 @@
 				});
 			}
 		},
-		noteStarted(run, isStarted) {
+		logStart(run, isStarted) {
 			const {accepted, hasStarted} = run.task.step.occurrence.job;
 			metrics.count('starts', isStarted ? 'started' : 'not-started');
-			metrics.record(legs.start, service, clock.now() - run.askedAt);
+			metrics.record(histogramNames.start, service, clock.now() - run.askedAt);
 			if (isStarted && !hasStarted) {
 				const waitedMs = clock.epochNow() - accepted.acceptedAtEpochMs;
-				metrics.record(legs.firstStart, accepted.policy.queue, waitedMs);
+				metrics.record(
+					histogramNames.firstStart,
+					accepted.policy.queue,
+					waitedMs,
+				);
 			}
 		},
-		noteStored({jobs}) {
+		logFlush({jobs}) {
 			for (const {job, end} of jobs) {
 				if (end === 'completed') {
 					const tookMs = clock.epochNow() - job.accepted.acceptedAtEpochMs;
-					metrics.record(legs.job, job.accepted.policy.queue, tookMs);
+					metrics.record(histogramNames.job, job.accepted.policy.queue, tookMs);
 					noteJobEnd(
 						job.accepted.id,
 						end,
--- a/packages/daemon/src/jobs/owner/owner-runner.ts
+++ b/packages/daemon/src/jobs/owner/owner-runner.ts
@@ -13,7 +13,7 @@
 } from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
 import type {ReportFailure} from '../../supervisor/supervisor.js';
-import {delay, isWithin, type Clock, type Moment} from '../clock.js';
+import {delay, isConfirmedWithin, type Clock, type Moment} from '../clock.js';
 import type {JobMetrics} from '../job-metrics.js';
 import {followPeriods, periods} from '../periods.js';
 import {createFeedFollower, type FeedFollower} from '../rows/feed-follower.js';
@@ -26,9 +26,9 @@
 import {createJobRemover} from './job-remover.js';
 import {createLoadReport} from './load-report.js';
 import {createOwnerLog} from './owner-log.js';
-import {getPlanPauseMs} from './plan-pacer.js';
-import {takeRows} from './row-intake.js';
-import {getInheritedMs, loadOwner} from './load-owner.js';
+import {getPlanPauseMs} from './plan-pause.js';
+import {applyJobRows} from './apply-job-rows.js';
+import {getInheritedGrantMs, loadOwner} from './load-owner.js';
 
 /** What an owner's runner needs. */
 export type OwnerRunnerDeps = {
@@ -43,18 +43,21 @@
 	readonly logger: Logger;
 	readonly metrics: JobMetrics;
 	/** When the leases were last confirmed by the store. */
-	readonly getConfirmed: () => Moment | undefined;
+	readonly getLeasesConfirmedAt: () => Moment | undefined;
 	/** Executors listed now, of all services. */
 	readonly listExecutors: () => readonly scheduler.ListedExecutor[];
 	/** Whether the holder before has let go: it says so, or is another life. */
-	readonly hasLetGo: (previous: LeaseRow) => Promise<boolean>;
+	readonly hasReleased: (previous: LeaseRow) => Promise<boolean>;
 	/** The service is another's; `rows` may say whose. */
-	readonly onLost: (reason: string, rows: readonly StoredRow[]) => void;
+	readonly onOwnershipLost: (
+		reason: string,
+		rows: readonly StoredRow[],
+	) => void;
 	readonly reportFailure: ReportFailure;
 };
 
 /** What a caller learns of a job from its owner. */
-export type JobReading =
+export type JobStateAnswer =
 	| {readonly kind: 'state'; readonly state: scheduler.JobState}
 	| {readonly kind: 'unknown'}
 	| {readonly kind: 'not-owner'};
@@ -67,17 +70,17 @@
 	readonly stop: () => Promise<void>;
 	/** Lets go at once: the service is another's. */
 	readonly abandon: () => void;
-	readonly noteExecutors: (isWhole: boolean) => void;
+	readonly updateExecutors: (isWhole: boolean) => void;
 	/** Takes in rows of the job table, from a peer or the store. */
-	readonly noteRows: (rows: readonly ChangedRow[]) => void;
-	readonly readJob: (id: string, queue: string) => JobReading;
+	readonly applyRows: (rows: readonly ChangedRow[]) => void;
+	readonly readJob: (id: string, queue: string) => JobStateAnswer;
 	readonly countPending: (queue: string) => number | undefined;
 	readonly evacuate: (
 		executorId: string,
 		patienceMs: number,
 	) => scheduler.EvacuationState;
 	/** The platform says that an executor's life is over. */
-	readonly noteGone: (executorId: string) => void;
+	readonly markTerminated: (executorId: string) => void;
 	readonly getLoad: () => scheduler.ServiceLoad | undefined;
 	readonly getOwner: () => scheduler.Owner | undefined;
 };
@@ -103,17 +106,18 @@
 	const pacedAt = new Map<string, number>();
 
 	const isBelieved = (): boolean =>
-		!state.isStopped && isWithin(clock, deps.getConfirmed(), cfg.ownerBeliefMs);
+		!state.isStopped &&
+		isConfirmedWithin(clock, deps.getLeasesConfirmedAt(), cfg.ownerBeliefMs);
 
 	const lose = (reason: string, rows: readonly StoredRow[] = []) => {
 		if (!state.isStopped) {
 			abandon();
-			deps.onLost(reason, rows);
+			deps.onOwnershipLost(reason, rows);
 		}
 	};
 
 	const onChange = () => {
-		flusher?.poke();
+		flusher?.requestFlush();
 		if (!state.isStopped) {
 			const pauseMs = Math.max(0, planNotBefore - clock.now());
 			dueTimer ??= setTimeout(runPlan, pauseMs);
@@ -124,7 +128,7 @@
 		executor: scheduler.Executor,
 		changes: scheduler.LookChanges,
 	) => {
-		log.noteLook(executor, changes);
+		log.logPoll(executor, changes);
 		planPaces(executor);
 		onChange();
 	};
@@ -137,7 +141,7 @@
 
 		const orders = scheduler.planPaces(executor);
 		for (const order of orders) {
-			links?.get(executor.id)?.sendPace(order);
+			links?.get(executor.id)?.sendThrottle(order);
 		}
 
 		if (orders.length > 0) {
@@ -147,7 +151,7 @@
 
 	const noteGone = (id: string, reason: string) => {
 		if (owner) {
-			log.noteFreed(scheduler.noteGone(owner, id), reason);
+			log.logFreedRuns(scheduler.noteGone(owner, id), reason);
 			onChange();
 		}
 	};
@@ -158,27 +162,27 @@
 			executor,
 			executors: deps.executors,
 			now: clock.now,
-			isBelieved,
+			isOwnershipConfirmed: isBelieved,
 			logger,
 			onChange,
-			onLook(changes) {
+			onPoll(changes) {
 				takeLookChanges(executor, changes);
 			},
 			onFenced() {
 				lose('an executor has seen a higher fencing token');
 			},
-			onOtherLife() {
+			onOtherIncarnation() {
 				noteGone(executor.id, 'another life answers at the address');
 			},
-			onStarted(run, answer) {
-				log.noteStarted(run, answer === 'started');
-				report.noteStart(clock.now() - run.askedAt, answer !== 'no-answer');
+			onStartAnswer(run, answer) {
+				log.logStart(run, answer === 'started');
+				report.recordStart(clock.now() - run.askedAt, answer !== 'no-answer');
 			},
 		});
 
 	const matchLinks = (current: scheduler.Owner) => {
 		links ??= createExecutorLinks((executor) => openLink(current, executor));
-		for (const id of links.match(current.executors)) {
+		for (const id of links.reconcile(current.executors)) {
 			pacedAt.delete(id);
 		}
 	};
@@ -209,7 +213,7 @@
 		}
 
 		const now = clock.now();
-		log.noteFreed(scheduler.expireLeases(owner, now), 'its lease is over');
+		log.logFreedRuns(scheduler.expireLeases(owner, now), 'its lease is over');
 		scheduler.markDark(owner, scheduler.darkAfterMs, now);
 		matchLinks(owner);
 		if (isBelieved() && !state.isLettingGo) {
@@ -226,27 +230,27 @@
 
 		const tookMs = clock.now() - now;
 		planNotBefore = clock.now() + getPlanPauseMs(tookMs);
-		report.notePlan(tookMs);
-		flusher?.poke();
+		report.recordPlan(tookMs);
+		flusher?.requestFlush();
 	};
 
 	const planAgain = () => {
-		const dueAt = clock.now() + periods.planMs;
+		const dueAt = clock.now() + periods.planIntervalMs;
 		planTimer = setTimeout(() => {
-			report.noteLateTimer(clock.now() - dueAt);
+			report.recordTimerDelay(clock.now() - dueAt);
 			if (clock.now() >= planNotBefore) {
 				runPlan();
 			}
 
 			if (owner) {
 				report.writeIfDue(owner);
-				void remover.run(owner);
+				void remover.removeDueJobs(owner);
 			}
 
 			if (!state.isStopped) {
 				planAgain();
 			}
-		}, periods.planMs);
+		}, periods.planIntervalMs);
 	};
 
 	const noteExecutors = (isWhole: boolean) => {
@@ -277,7 +281,7 @@
 			return;
 		}
 
-		takeRows(owner, rows, {held, clock, logger, log});
+		applyJobRows(owner, rows, {held, clock, logger, log});
 		onChange();
 	};
 
@@ -312,8 +316,8 @@
 		}
 
 		while (!state.isStopped && current.unresolved.size > 0) {
-			if (await deps.hasLetGo(previousHolder)) {
-				const grantedMs = getInheritedMs({previous: 'released'}, cfg);
+			if (await deps.hasReleased(previousHolder)) {
+				const grantedMs = getInheritedGrantMs({previous: 'released'}, cfg);
 				scheduler.shortenInheritance(current, clock.now() + grantedMs);
 				logger.info('the owner before has let go', {
 					holder: previousHolder.holder?.entry,
@@ -321,7 +325,7 @@
 				return;
 			}
 
-			await delay(periods.previousHolderMs);
+			await delay(periods.previousHolderRetryMs);
 		}
 	};
 
@@ -342,11 +346,11 @@
 			logger,
 			onAckable(executors) {
 				for (const {id} of executors) {
-					links?.get(id)?.noteAckable();
+					links?.get(id)?.notifyAckable();
 				}
 			},
-			onStored: log.noteStored,
-			onLost: lose,
+			onStored: log.logFlush,
+			onOwnershipLost: lose,
 		});
 		follower = createFeedFollower({
 			name: 'job',
@@ -393,8 +397,8 @@
 			abandon();
 		},
 		abandon,
-		noteExecutors,
-		noteRows,
+		updateExecutors: noteExecutors,
+		applyRows: noteRows,
 		readJob(id, queue) {
 			if (!owner || !isBelieved()) {
 				return {kind: 'not-owner'};
@@ -421,7 +425,7 @@
 			onChange();
 			return evacuation;
 		},
-		noteGone(executorId) {
+		markTerminated(executorId) {
 			noteGone(executorId, 'the platform lists it no more');
 		},
 		getLoad,
--- a/packages/daemon/src/jobs/owner/plan-pacer.test.ts
+++ b/packages/daemon/src/jobs/owner/plan-pause.test.ts
@@ -1,5 +1,5 @@
 import * as tap from 'tap';
-import {getPlanPauseMs} from './plan-pacer.js';
+import {getPlanPauseMs} from './plan-pause.js';
 
 const cases = [
 	{tookMs: 0, pauseMs: 10},
--- a/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
+++ b/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
@@ -16,16 +16,16 @@
 import * as ports from '@gullstand/ports';
 import * as tap from 'tap';
 import {
-	createAccepted,
+	createAcceptedJob,
 	createId,
-	createListed,
+	createListedExecutor,
 	heldShard,
 	noLogger,
-} from '../job-world.test.fixture.js';
+} from '../job-daemon.test.fixture.js';
 import {getLeaseKey} from '../rows/tables.js';
 import type {HeldShard} from '../shards/held-shard.js';
 import {createFlusher} from './flusher.js';
-import {getInheritedMs, loadOwner} from './load-owner.js';
+import {getInheritedGrantMs, loadOwner} from './load-owner.js';
 
 const cfg = scheduler.defaultSchedulerConfig;
 
@@ -83,7 +83,7 @@
 		const {owner, flushVersion, storeTime} = loaded.value;
 		prepare(owner);
 		// An owner that finds another executor stores its roster.
-		scheduler.listExecutor(owner, createListed(`new-${held.token}`));
+		scheduler.listExecutor(owner, createListedExecutor(`new-${held.token}`));
 		const flusher = createFlusher({
 			store,
 			owner,
@@ -94,7 +94,7 @@
 			logger: noLogger,
 			onAckable: () => undefined,
 			onStored: () => undefined,
-			onLost: () => undefined,
+			onOwnershipLost: () => undefined,
 		});
 		await flusher.drain();
 		return owner;
@@ -110,13 +110,17 @@
 	for (const intervalMs of intervals) {
 		const {state, own} = createWorld();
 		await own((owner) => {
-			scheduler.listExecutor(owner, createListed('dark'));
-			const job = scheduler.addJob(owner, createAccepted(createId(1)), false);
+			scheduler.listExecutor(owner, createListedExecutor('dark'));
+			const job = scheduler.addJob(
+				owner,
+				createAcceptedJob(createId(1)),
+				false,
+			);
 			owner.dirty.add(job);
 		});
 		// Nobody reaches it any more; what it was granted is over by then, with a
 		// second to spare.
-		const overAt = getInheritedMs({previous: 'released'}, cfg) + 1000;
+		const overAt = getInheritedGrantMs({previous: 'released'}, cfg) + 1000;
 		let isWaitedFor = true;
 		while (state.now <= overAt) {
 			state.now += intervalMs;
@@ -135,10 +139,10 @@
 	for (const strangers of [0, 1]) {
 		const {state, own, takeOver} = createWorld();
 		await own((owner) => {
-			scheduler.listExecutor(owner, createListed('dark'));
+			scheduler.listExecutor(owner, createListedExecutor('dark'));
 		});
 		await own(() => undefined);
-		state.now += getInheritedMs({previous: 'released'}, cfg) + 1;
+		state.now += getInheritedGrantMs({previous: 'released'}, cfg) + 1;
 		// Of a release that knows no marks; it may have granted something since.
 		for (let count = 0; count < strangers; count++) {
 			await takeOver();
--- a/packages/daemon/src/jobs/peer-handlers.ts
+++ b/packages/daemon/src/jobs/peer-handlers.ts
@@ -53,7 +53,7 @@
 	const {owned, submissions, now} = deps;
 	channel.addMethod('noteRows', jobPeerSchemas.noteRows, ({shard, rows}) => {
 		const runner = owned.get(shard);
-		runner?.noteRows(rows);
+		runner?.applyRows(rows);
 		return {isOwner: runner !== undefined};
 	});
 	channel.addMethod(
@@ -100,7 +100,7 @@
 		'noteGone',
 		jobPeerSchemas.noteGone,
 		({shard, executorId}) => {
-			owned.get(shard)?.noteGone(executorId);
+			owned.get(shard)?.markTerminated(executorId);
 			return {};
 		},
 	);
--- a/packages/daemon/src/jobs/peer-methods.ts
+++ b/packages/daemon/src/jobs/peer-methods.ts
@@ -4,7 +4,7 @@
 import * as z from 'zod';
 import type {CancelOutcome} from './entry/cancel-outcome.js';
 import type {SubmitOutcome} from './entry/submissions.js';
-import type {JobReading} from './owner/owner-runner.js';
+import type {JobStateAnswer} from './owner/owner-runner.js';
 import {jobSchema} from './rows/tables.js';
 
 /** What each method takes and answers. */
@@ -23,7 +23,7 @@
 			readonly queue: string;
 			readonly id: string;
 		};
-		readonly result: JobReading;
+		readonly result: JobStateAnswer;
 	};
 	readonly countPending: {
 		readonly params: {readonly shard: string; readonly queue: string};
--- a/packages/daemon/src/jobs/periods.ts
+++ b/packages/daemon/src/jobs/periods.ts
@@ -7,13 +7,13 @@
 	 * Between heartbeats. With the lease below, three may be lost before a
 	 * daemon's shards are taken over.
 	 */
-	heartbeatMs: 500,
+	heartbeatIntervalMs: 500,
 	/** Silence of a heartbeat after which its daemon's shards are free. */
 	leaseMs: 1800,
 	/** A gap in the own reads after which silence is measured afresh. */
 	observationGapMs: 1500,
 	/** Between two looks at which shards to claim. */
-	claimMs: 100,
+	claimIntervalMs: 100,
 	/** Head start of the daemon that a shard is assigned to. */
 	claimHeadStartMs: 500,
 	/** More for each shard that a daemon holds already, to spread them. */
@@ -23,32 +23,32 @@
 	/** A call to another daemon on behalf of a caller. */
 	peerTimeoutMs: 400,
 	/** Between two flushes of progress while no job has ended. */
-	flushMs: 15,
+	flushDelayMs: 15,
 	/** Pause after a flush that failed. */
 	flushRetryMs: 100,
 	/** Between two plans while nothing happens. */
-	planMs: 100,
+	planIntervalMs: 100,
 	/** How long an executor holds a look back for a new end. */
-	lookWaitMs: 800,
+	pollWaitMs: 800,
 	/** Bound on the rest of a look. */
-	lookTimeoutMs: 600,
+	pollTimeoutMs: 600,
 	/** Bound on a start, a stop or a change of pace. */
-	orderTimeoutMs: 600,
+	commandTimeoutMs: 600,
 	/**
 	 * A look is answered at once while it lists ends that are not acknowledged:
 	 * the next one waits for their flush, which takes 15 to 30 ms.
 	 */
 	ackPauseMs: 35,
 	/** A shorter gap between two looks is not worth a timer. */
-	leastLookGapMs: 10,
+	minPollGapMs: 10,
 	/** A question to the advice service, which takes them one at a time. */
 	adviceTimeoutMs: 3000,
 	/** Between two questions whether the owner before has let go. */
-	previousHolderMs: 300,
+	previousHolderRetryMs: 300,
 	/** First pause after a look that was not answered; it doubles ... */
-	lookRetryMs: 50,
+	pollRetryMs: 50,
 	/** ... up to this. */
-	lookRetryMaxMs: 400,
+	pollRetryMaxMs: 400,
 } as const;
 
 /** How each feed is followed. */
@@ -75,5 +75,5 @@
 	/** A holder's heartbeat that stands still for longer may be missing. */
 	suspectMs: 650,
 	/** A daemon that has just started sends heartbeats, for the others to see. */
-	firstBeatsMs: 2000,
+	startupHeartbeatsMs: 2000,
 } as const;
--- a/packages/daemon/src/jobs/rows/store-time.ts
+++ b/packages/daemon/src/jobs/rows/store-time.ts
@@ -1,6 +1,6 @@
 /** The store's steady clock, seen from a daemon. */
 import {scheduler} from '@gullstand/core';
-import {getMostElapsedMs, type Clock, type Moment} from '../clock.js';
+import {getMaxElapsedMs, type Clock, type Moment} from '../clock.js';
 
 /** A reading of the store's clock and when it was asked for. */
 export type StoreTime = {readonly nowMs: number; readonly sent: Moment};
@@ -15,6 +15,6 @@
 	{nowMs, sent}: StoreTime,
 	at: number,
 ): number => {
-	const elapsedMs = getMostElapsedMs(clock, sent);
+	const elapsedMs = getMaxElapsedMs(clock, sent);
 	return nowMs + elapsedMs * (1 + scheduler.maxSlowdown) - (clock.now() - at);
 };
--- a/packages/daemon/src/jobs/run-entry.ts
+++ b/packages/daemon/src/jobs/run-entry.ts
@@ -96,7 +96,7 @@
 			process.exit(code); // eslint-disable-line unicorn/no-process-exit
 		}, graceMs * lastShare);
 		logger.info('stopping', {code});
-		await daemon.handOver();
+		await daemon.handOverShards();
 		const servedMs = clock.now() - stoppedAt;
 		await delay(Math.max(0, graceMs * servingShare - servedMs));
 		await callers.stop(stoppedAt + graceMs * cutOffShare);
--- a/packages/daemon/src/jobs/shards/entry-role.ts
+++ b/packages/daemon/src/jobs/shards/entry-role.ts
@@ -42,7 +42,7 @@
 		book.listHolders().map(({entry}) => entry);
 
 	const isStarting = (): boolean =>
-		now() - startedAt < observerPeriods.firstBeatsMs;
+		now() - startedAt < observerPeriods.startupHeartbeatsMs;
 
 	const isActive = (): boolean =>
 		state.isCandidate || deps.isHolding() || isStarting();
--- a/packages/daemon/src/jobs/shards/heartbeat.ts
+++ b/packages/daemon/src/jobs/shards/heartbeat.ts
@@ -76,7 +76,7 @@
 				await beatOnce();
 			}
 		},
-		periods.heartbeatMs,
+		periods.heartbeatIntervalMs,
 		deps.random,
 	);
 	return {
@@ -85,7 +85,8 @@
 		beatOnce,
 		async ensure() {
 			const isYoung =
-				writtenAt !== undefined && now() - writtenAt < periods.heartbeatMs;
+				writtenAt !== undefined &&
+				now() - writtenAt < periods.heartbeatIntervalMs;
 			return isYoung || beatOnce();
 		},
 	};
--- a/packages/daemon/src/jobs/shards/lease-book.test.ts
+++ b/packages/daemon/src/jobs/shards/lease-book.test.ts
@@ -1,6 +1,6 @@
 /** Who holds shards, by the leases as they were read. */
 import * as tap from 'tap';
-import {noLogger, noRowFaults} from '../job-world.test.fixture.js';
+import {noLogger, noRowFaults} from '../job-daemon.test.fixture.js';
 import {getLeaseKey} from '../rows/tables.js';
 import {createLeaseBook, type ShardHolder} from './lease-book.js';
 
--- a/packages/daemon/src/jobs/shards/shard-keeper.test.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.test.ts
@@ -3,7 +3,7 @@
 import {createMemoryRowStore} from '@gullstand/ports';
 import * as tap from 'tap';
 import {getLeaseKey, tables, type DaemonRow} from '../rows/tables.js';
-import {noLogger, noRowFaults} from '../job-world.test.fixture.js';
+import {noLogger, noRowFaults} from '../job-daemon.test.fixture.js';
 import {createLeaseBook} from './lease-book.js';
 import {createMembers} from './members.js';
 import {createShardKeeper} from './shard-keeper.js';
--- a/packages/daemon/src/jobs/shards/shard-keeper.ts
+++ b/packages/daemon/src/jobs/shards/shard-keeper.ts
@@ -351,7 +351,11 @@
 		}
 	};
 
-	const ticker = createTicker(considerAll, periods.claimMs, deps.random);
+	const ticker = createTicker(
+		considerAll,
+		periods.claimIntervalMs,
+		deps.random,
+	);
 	return {
 		start: ticker.start,
 		async stop() {
