--- a/packages/daemon/src/jobs/owner/executor-link.test.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.test.ts
@@ -6,7 +6,7 @@
 
 type Waits = number[];
 
-/** Executors whose looks all answer the same, after the time asked for. */
+/** Answers every poll with `answer`, after the requested wait. */
 const createExecutors = (answer: LookAnswer, waits: Waits): Executors => {
 	const done = async () => ({kind: 'done', clockMs: now()}) as const;
 	return {
@@ -26,7 +26,7 @@
 
 const seen = {kind: 'seen', clockMs: 1, running: [], ends: []} as const;
 
-const stray = {
+const orphanedRun = {
 	taskId: 'gone.0.0.0',
 	run: 1,
 	checkpoint: '',
@@ -35,10 +35,10 @@
 };
 
 const cases = [
-	['an idle executor is looked at once', seen, [0]],
+	['an idle executor is polled once', seen, [0]],
 	[
-		'one with a run of no known job is waited for',
-		{...seen, running: [stray]},
+		'a poll of an executor with an orphaned run waits for its end',
+		{...seen, running: [orphanedRun]},
 		[0, 800],
 	],
 ] as const;
--- a/packages/daemon/src/jobs/owner/executor-link.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.ts
@@ -1,6 +1,6 @@
 /**
- * The calls of one owner to one executor: looks, one after another, which
- * renew the leases and bring what has ended, and the orders between them.
+ * Communication of one owner with one executor: sequential polls, which renew
+ * the leases and list runs and ends, and commands sent in between.
  */
 import {scheduler} from '@gullstand/core';
 import type {Executors, ExecutorTarget, LookAnswer} from '@gullstand/ports';
@@ -10,49 +10,50 @@
 import {createPause} from '../pause.js';
 import {periods} from '../periods.js';
 
-/** What a link needs. */
+/** Dependencies of a link. */
 export type ExecutorLinkDeps = {
 	readonly owner: scheduler.Owner;
 	readonly executor: scheduler.Executor;
 	readonly executors: Executors;
 	readonly now: () => number;
-	/** Whether this daemon may count on being the owner. */
+	/** Whether the store has recently confirmed that this daemon is the owner. */
 	readonly isOwnershipConfirmed: () => boolean;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
-	/** Something changed that may allow or call for orders. */
+	/** Called when the owner's state changed, to store it and plan again. */
 	readonly onChange: () => void;
 	readonly onPoll: (changes: scheduler.LookChanges) => void;
 	readonly onFenced: () => void;
 	readonly onOtherIncarnation: () => void;
-	/** The answer to a start, for the metrics. */
+	/** Called with the answer to a start, for the log and the metrics. */
 	readonly onStartAnswer: (
 		run: scheduler.Run,
 		answer: scheduler.StartAnswer['kind'],
 	) => void;
 };
 
-/** An order about one run. */
-type RunOrder = Exclude<scheduler.Order, {readonly kind: 'advise'}>;
+/** A command that starts or stops a run. */
+type RunCommand = Exclude<scheduler.Order, {readonly kind: 'advise'}>;
 
-/** A link at work. */
+/** An open link. */
 export type ExecutorLink = {
-	/** Looks now rather than at the next occasion. */
+	/** Polls without waiting for the current pause to end. */
 	readonly pollNow: () => void;
-	/** Ends may be acknowledged that could not be before. */
+	/** Ends a pause: more ends of runs may be acknowledged. */
 	readonly notifyAckable: () => void;
 	readonly close: () => void;
-	readonly send: (order: RunOrder) => void;
-	readonly sendThrottle: (order: scheduler.PaceOrder) => void;
+	readonly send: (command: RunCommand) => void;
+	readonly sendThrottle: (command: scheduler.PaceOrder) => void;
 };
 
 type State = {
 	isClosed: boolean;
-	isPoked: boolean;
+	isPollRequested: boolean;
+	/** Highest end number acknowledged by a poll that was answered. */
 	ackSent: number;
 	retryMs: number;
 };
 
-/** Opens a link; it looks at once. */
+/** Opens a link and sends the first poll. */
 export const openExecutorLink = (deps: ExecutorLinkDeps): ExecutorLink => {
 	const {owner, executor, executors, now, logger} = deps;
 	const target: ExecutorTarget = {
@@ -61,79 +62,79 @@
 	};
 	const state: State = {
 		isClosed: false,
-		isPoked: true,
+		isPollRequested: true,
 		ackSent: 0,
 		retryMs: periods.pollRetryMs,
 	};
 
-	/** Of a link with nothing to look for. */
-	const sleep = createPause();
-	/** Until ends may be acknowledged. */
+	/** While there is nothing to poll for. */
+	const idlePause = createPause();
+	/** Until the listed ends may be acknowledged. */
 	const ackPause = createPause();
-	/** Between two looks. */
-	const lookGap = createPause();
+	/** Between two polls. */
+	const pollGap = createPause();
 
-	const needsLook = (): boolean =>
+	const needsPoll = (): boolean =>
 		!executor.isAdopted ||
 		executor.runs.size > 0 ||
 		executor.strays > 0 ||
 		executor.acknowledgedUpto > state.ackSent ||
 		executor.silentSince !== undefined ||
-		state.isPoked;
+		state.isPollRequested;
 
-	/** Ends that the executor lists again until they are acknowledged. */
+	/** Whether the executor would list ends again in the next poll. */
 	const hasUnacked = (): boolean =>
 		executor.lastEnd > executor.acknowledgedUpto;
 
 	const pauseForAck = async () => {
-		if (hasUnacked() && !state.isPoked) {
+		if (hasUnacked() && !state.isPollRequested) {
 			await ackPause.wait(periods.ackPauseMs);
 		}
 	};
 
-	/** Ends that come meanwhile are listed together by the next look. */
-	const pauseForGap = async (seenAt: number) => {
+	/** Waits, so that one poll lists several ends. */
+	const pauseForGap = async (answeredAt: number) => {
 		const gapMs = scheduler.getLookGapMs(owner.startWindow);
-		const restMs = gapMs - (now() - seenAt);
-		if (restMs >= periods.minPollGapMs && !state.isPoked) {
-			await lookGap.wait(restMs);
+		const remainingMs = gapMs - (now() - answeredAt);
+		if (remainingMs >= periods.minPollGapMs && !state.isPollRequested) {
+			await pollGap.wait(remainingMs);
 		}
 	};
 
-	const takeSeen = (answer: LookAnswer & {kind: 'seen'}, sentAt: number) => {
+	const applyAnswer = (answer: LookAnswer & {kind: 'seen'}, sentAt: number) => {
 		state.retryMs = periods.pollRetryMs;
 		const {clockMs, running, ends} = answer;
-		const look = {sentAt, receivedAt: now(), clockMs, running, ends};
-		const wasSilentFrom = executor.silentSince;
-		const changes = scheduler.takeLook(owner, executor, look);
-		if (changes.isFirst || wasSilentFrom !== undefined) {
-			logger.info('executor answers', {
+		const poll = {sentAt, receivedAt: now(), clockMs, running, ends};
+		const unresponsiveSince = executor.silentSince;
+		const changes = scheduler.takeLook(owner, executor, poll);
+		if (changes.isFirst || unresponsiveSince !== undefined) {
+			logger.info('executor responded', {
 				executor: executor.id,
 				address: target.address,
 				running: running.length,
 				ends: ends.length,
 				silentMs:
-					wasSilentFrom === undefined
+					unresponsiveSince === undefined
 						? undefined
-						: Math.round(now() - wasSilentFrom),
+						: Math.round(now() - unresponsiveSince),
 			});
 		}
 
 		for (const {taskId, run} of changes.strays) {
-			void stopStray(taskId, run);
+			void stopOrphanedRun(taskId, run);
 		}
 
 		deps.onPoll(changes);
 	};
 
-	const stopStray = async (taskId: string, run: number) => {
-		const order = {taskId, run, fencingToken: owner.token};
+	const stopOrphanedRun = async (taskId: string, run: number) => {
+		const command = {taskId, run, fencingToken: owner.token};
 		const answer = await executors.stop(
 			target,
-			order,
+			command,
 			periods.commandTimeoutMs,
 		);
-		logger.info('run of no known task stopped', {
+		logger.info('orphaned run stopped', {
 			task: taskId,
 			run,
 			executor: executor.id,
@@ -141,9 +142,9 @@
 		});
 	};
 
-	const noteNoAnswer = async () => {
+	const handleNoAnswer = async () => {
 		if (executor.silentSince === undefined) {
-			logger.warn('executor does not answer', {
+			logger.warn('executor not responding', {
 				executor: executor.id,
 				address: target.address,
 				runs: executor.runs.size,
@@ -156,13 +157,14 @@
 		state.retryMs = Math.min(2 * state.retryMs, periods.pollRetryMaxMs);
 	};
 
-	const lookOnce = async () => {
-		const isQuiet = executor.isAdopted && executor.silentSince === undefined;
+	const pollOnce = async () => {
+		const isResponsive =
+			executor.isAdopted && executor.silentSince === undefined;
 		const {acknowledgedUpto} = executor;
 		const isBusy = executor.runs.size > 0 || executor.strays > 0;
-		const mayWait = isQuiet && !state.isPoked && isBusy;
+		const mayWait = isResponsive && !state.isPollRequested && isBusy;
 		const waitMs = mayWait ? periods.pollWaitMs : 0;
-		state.isPoked = false;
+		state.isPollRequested = false;
 		const mayGrant =
 			scheduler.mayGrantLease(executor) && deps.isOwnershipConfirmed();
 		const leaseEndMs =
@@ -182,10 +184,10 @@
 		await match(answer)
 			.with({kind: 'seen'}, async (seen) => {
 				state.ackSent = Math.max(state.ackSent, acknowledgedUpto);
-				takeSeen(seen, sentAt);
-				const seenAt = now();
+				applyAnswer(seen, sentAt);
+				const answeredAt = now();
 				await pauseForAck();
-				await pauseForGap(seenAt);
+				await pauseForGap(answeredAt);
 			})
 			.with({kind: 'fenced'}, async () => {
 				deps.onFenced();
@@ -193,24 +195,24 @@
 			.with({kind: 'other-life'}, async () => {
 				deps.onOtherIncarnation();
 			})
-			.with({kind: 'no-answer'}, noteNoAnswer)
+			.with({kind: 'no-answer'}, handleNoAnswer)
 			.exhaustive();
 	};
 
 	const run = async () => {
 		while (!state.isClosed) {
-			await (needsLook() ? lookOnce() : sleep.wait());
+			await (needsPoll() ? pollOnce() : idlePause.wait());
 		}
 	};
 
-	const poke = () => {
-		state.isPoked = true;
-		sleep.end();
+	const pollNow = () => {
+		state.isPollRequested = true;
+		idlePause.end();
 		ackPause.end();
-		lookGap.end();
+		pollGap.end();
 	};
 
-	const follow = (effect: scheduler.AnswerEffect) => {
+	const applyEffect = (effect: scheduler.AnswerEffect) => {
 		match(effect)
 			.with('none', () => undefined)
 			.with('fenced', () => {
@@ -219,14 +221,14 @@
 			.with('other-life', () => {
 				deps.onOtherIncarnation();
 			})
-			.with('look-again', poke)
+			.with('look-again', pollNow)
 			.exhaustive();
-		sleep.end();
+		idlePause.end();
 		deps.onChange();
 	};
 
-	const sendStart = async (order: scheduler.Order & {kind: 'start'}) => {
-		const {run: started, leaseEndMs} = order;
+	const sendStart = async (command: scheduler.Order & {kind: 'start'}) => {
+		const {run: started, leaseEndMs} = command;
 		const {task, number} = started;
 		const answer = await executors.start(
 			target,
@@ -237,7 +239,7 @@
 				leaseEndMs,
 				fencingToken: owner.token,
 				checkpoint: task.checkpoint,
-				ticket: order.ticket,
+				ticket: command.ticket,
 			},
 			periods.commandTimeoutMs,
 		);
@@ -256,11 +258,11 @@
 			tookMs: Math.round(now() - started.askedAt),
 		});
 		deps.onStartAnswer(started, answer.kind);
-		follow(scheduler.takeStartAnswer(owner, started, answer, now()));
+		applyEffect(scheduler.takeStartAnswer(owner, started, answer, now()));
 	};
 
-	const sendStop = async (order: scheduler.Order & {kind: 'stop'}) => {
-		const {run: stopped, reason} = order;
+	const sendStop = async (command: scheduler.Order & {kind: 'stop'}) => {
+		const {run: stopped, reason} = command;
 		const {task, number} = stopped;
 		const answer = await executors.stop(
 			target,
@@ -279,23 +281,23 @@
 			outcome: answer.kind,
 			percent: stopped.percent,
 		});
-		follow(scheduler.takeStopAnswer(owner, stopped, answer, now()));
+		applyEffect(scheduler.takeStopAnswer(owner, stopped, answer, now()));
 	};
 
-	const sendPace = async ({
-		run: paced,
+	const sendThrottle = async ({
+		run: throttled,
 		percent,
 		tailShare,
 	}: scheduler.PaceOrder) => {
-		const {task, number} = paced;
-		const before = paced.pacePercent;
-		paced.pacePercent = percent;
+		const {task, number} = throttled;
+		const before = throttled.pacePercent;
+		throttled.pacePercent = percent;
 		const answer = await executors.pace(
 			target,
 			{taskId: task.id, run: number, fencingToken: owner.token, percent},
 			periods.commandTimeoutMs,
 		);
-		logger.info('task paced', {
+		logger.info('task throttled', {
 			task: task.id,
 			run: number,
 			executor: executor.id,
@@ -305,31 +307,31 @@
 			outcome: answer.kind,
 		});
 		if (answer.kind !== 'done') {
-			paced.pacePercent = before;
+			throttled.pacePercent = before;
 		}
 	};
 
 	void run();
 	return {
-		pollNow: poke,
+		pollNow,
 		notifyAckable() {
-			sleep.end();
+			idlePause.end();
 			ackPause.end();
 		},
 		close() {
 			state.isClosed = true;
-			sleep.end();
+			idlePause.end();
 			ackPause.end();
-			lookGap.end();
+			pollGap.end();
 			executors.forget(target);
 		},
-		send(order) {
-			void (order.kind === 'start' ? sendStart(order) : sendStop(order));
-			// A look that brings its end must be under way.
-			sleep.end();
+		send(command) {
+			void (command.kind === 'start' ? sendStart(command) : sendStop(command));
+			// An idle link polls again, to learn of the run's end.
+			idlePause.end();
 		},
-		sendThrottle(order) {
-			void sendPace(order);
+		sendThrottle(command) {
+			void sendThrottle(command);
 		},
 	};
 };
--- a/packages/daemon/src/jobs/owner/executor-links.test.ts
+++ b/packages/daemon/src/jobs/owner/executor-links.test.ts
@@ -3,7 +3,7 @@
 import {createListedExecutor} from '../job-daemon.test.fixture.js';
 import {createExecutorLinks} from './executor-links.js';
 
-/** Two executors of one id differ, as after it was forgotten. */
+/** Two executors of one id, as when it is removed and listed again. */
 const x1 = scheduler.createExecutor(createListedExecutor('x'));
 const x2 = scheduler.createExecutor(createListedExecutor('x'));
 const yy = scheduler.createExecutor(createListedExecutor('yy'));
@@ -11,24 +11,29 @@
 type Case = {
 	readonly name: string;
 	readonly rounds: ReadonlyArray<readonly scheduler.Executor[]>;
-	/** What was done, in order. */
-	readonly done: readonly string[];
+	/** Links opened and closed, in order. */
+	readonly actions: readonly string[];
 	readonly closed: readonly string[];
 };
 
 const cases: readonly Case[] = [
-	{name: 'one that comes', rounds: [[x1]], done: ['open x1'], closed: []},
-	{name: 'one that stays', rounds: [[x1], [x1]], done: ['open x1'], closed: []},
+	{name: 'a new executor', rounds: [[x1]], actions: ['open x1'], closed: []},
 	{
-		name: 'one that goes',
+		name: 'an unchanged executor',
+		rounds: [[x1], [x1]],
+		actions: ['open x1'],
+		closed: [],
+	},
+	{
+		name: 'a removed executor',
 		rounds: [[x1, yy], [yy]],
-		done: ['open x1', 'open yy', 'close x1'],
+		actions: ['open x1', 'open yy', 'close x1'],
 		closed: ['x'],
 	},
 	{
-		name: 'one that was forgotten and is listed again between two looks',
+		name: 'an executor removed and listed again between two rounds',
 		rounds: [[x1], [x2]],
-		done: ['open x1', 'close x1', 'open x2'],
+		actions: ['open x1', 'close x1', 'open x2'],
 		closed: ['x'],
 	},
 ];
@@ -39,22 +44,22 @@
 	[yy, 'yy'],
 ]);
 
-for (const {name, rounds, done, closed} of cases) {
+for (const {name, rounds, actions, closed} of cases) {
 	tap.t.test(name, async (t) => {
-		const seen: string[] = [];
+		const performed: string[] = [];
 		const links = createExecutorLinks((executor) => {
 			const each = names.get(executor) ?? '';
-			seen.push(`open ${each}`);
+			performed.push(`open ${each}`);
 			return {
 				close() {
-					seen.push(`close ${each}`);
+					performed.push(`close ${each}`);
 				},
 			};
 		});
 		const answers = rounds.map((executors) =>
 			links.reconcile(new Map(executors.map((each) => [each.id, each]))),
 		);
-		t.same(seen, done);
+		t.same(performed, actions);
 		t.same(answers.at(-1), closed);
 		links.closeAll();
 		t.equal(links.get('x'), undefined);
--- a/packages/daemon/src/jobs/owner/executor-links.ts
+++ b/packages/daemon/src/jobs/owner/executor-links.ts
@@ -1,15 +1,15 @@
-/** The links of one owner, one for each executor that it holds. */
+/** The links of one owner, one per executor. */
 import type {scheduler} from '@gullstand/core';
 import type {ExecutorLink} from './executor-link.js';
 
 type Link = Pick<ExecutorLink, 'close'>;
 
-/** Links by executor. */
+/** Links by executor id. */
 export type ExecutorLinks<Opened extends Link> = {
 	readonly get: (executorId: string) => Opened | undefined;
 	/**
-	 * Opens links to new executors and closes those to forgotten ones; answers
-	 * the ids of these.
+	 * Opens links to new executors and closes those to removed ones; returns the
+	 * ids whose links were closed.
 	 */
 	readonly reconcile: (
 		executors: ReadonlyMap<string, scheduler.Executor>,
@@ -17,7 +17,7 @@
 	readonly closeAll: () => void;
 };
 
-/** Creates an empty set. */
+/** Creates an empty set of links. */
 export const createExecutorLinks = <Opened extends Link>(
 	open: (executor: scheduler.Executor) => Opened,
 ): ExecutorLinks<Opened> => {
@@ -28,8 +28,8 @@
 	): readonly string[] => {
 		const closed: string[] = [];
 		for (const [id, {executor, link}] of links) {
-			// One that was forgotten and listed again is another one: its answers
-			// would go to the one before, and nothing would ever start there.
+			// An executor that was removed and listed again is a new object: the old
+			// link would apply answers to the removed one, and nothing would start.
 			if (executors.get(id) !== executor) {
 				link.close();
 				links.delete(id);
--- a/packages/daemon/src/jobs/owner/flusher.test.ts
+++ b/packages/daemon/src/jobs/owner/flusher.test.ts
@@ -1,4 +1,4 @@
-/** Nothing is acknowledged while the flush that stores it is under way. */
+/** Guards against acknowledging ends whose flush is still under way. */
 import {Buffer} from 'node:buffer';
 import {fail, scheduler, succeed} from '@gullstand/core';
 import * as ports from '@gullstand/ports';
@@ -18,8 +18,8 @@
 
 type Answer = Awaited<ReturnType<ports.RowStore['transact']>>;
 
-/** An owner with one end to store, and a store answered by the test. */
-const createWorld = () => {
+/** An owner with one end to store, and a store whose answers the test sends. */
+const createHarness = () => {
 	const owner = {
 		dirty: new Set(),
 		isRosterDirty: true,
@@ -62,46 +62,49 @@
 	return {owner, pending, acknowledged, flusher};
 };
 
-const turn = async () =>
+const nextTurn = async () =>
 	new Promise((resolve) => {
 		setImmediate(resolve);
 	});
 
-tap.t.test('a poke during the last flush acknowledges nothing', async (t) => {
-	const {pending, acknowledged, flusher} = createWorld();
-	const drained = flusher.drain();
-	await turn();
-	t.equal(pending.length, 1);
-	flusher.requestFlush();
-	t.same(acknowledged, []);
-	pending[0]!(succeed({version: 2, nowMs: 0}));
-	await drained;
-	t.same(acknowledged, ['x']);
-});
+tap.t.test(
+	'a flush requested during the final flush acknowledges nothing',
+	async (t) => {
+		const {pending, acknowledged, flusher} = createHarness();
+		const drained = flusher.drain();
+		await nextTurn();
+		t.equal(pending.length, 1);
+		flusher.requestFlush();
+		t.same(acknowledged, []);
+		pending[0]!(succeed({version: 2, nowMs: 0}));
+		await drained;
+		t.same(acknowledged, ['x']);
+	},
+);
 
-tap.t.test('no second flush begins beside the last one', async (t) => {
-	const {owner, pending, flusher} = createWorld();
+tap.t.test('no flush runs concurrently with the final one', async (t) => {
+	const {owner, pending, flusher} = createHarness();
 	flusher.requestFlush();
-	await turn();
+	await nextTurn();
 	const drained = flusher.drain();
 	owner.isRosterDirty = true;
 	pending[0]!(succeed({version: 2, nowMs: 0}));
-	await turn();
-	await turn();
+	await nextTurn();
+	await nextTurn();
 	t.equal(pending.length, 2);
 	owner.isRosterDirty = true;
 	flusher.requestFlush();
-	await turn();
+	await nextTurn();
 	t.equal(pending.length, 2);
 	pending[1]!(succeed({version: 3, nowMs: 0}));
-	await turn();
+	await nextTurn();
 	pending[2]?.(succeed({version: 4, nowMs: 0}));
 	await drained;
 	flusher.stop();
 });
 
-/** Most bytes of a transaction on the wire; origin: the store's interface. */
-const mostBytes = 1_000_000;
+/** Largest transaction on the wire; origin: the store's interface. */
+const maxTransactionBytes = 1_000_000;
 
 /** Values are sent in base64. */
 const getWireBytes = ({puts}: ports.RowTransaction): number =>
@@ -110,11 +113,8 @@
 		0,
 	);
 
-/**
- * Progress names each task of a job. A flush that the store does not take is
- * tried again with the same jobs, for ever: nothing of the service is stored.
- */
-tap.t.test('a flush holds no more bytes than the store takes', async (t) => {
+/** An oversized flush would be retried unchanged for ever. */
+tap.t.test('a flush fits into one transaction of the store', async (t) => {
 	const jobs = 90;
 	const {steps} = createJobSpec({count: scheduler.jobLimits.maxTasksPerStep});
 	const spec = {...createJobSpec(), steps: [...steps, ...steps]};
@@ -140,7 +140,7 @@
 		store: {
 			...inner,
 			async transact(transaction) {
-				return getWireBytes(transaction) > mostBytes
+				return getWireBytes(transaction) > maxTransactionBytes
 					? fail({kind: 'unavailable'})
 					: succeed({version: 1, nowMs: 0});
 			},
--- a/packages/daemon/src/jobs/owner/flusher.ts
+++ b/packages/daemon/src/jobs/owner/flusher.ts
@@ -1,7 +1,7 @@
 /**
  * Stores the progress of a service's jobs. Each flush checks the lease row, so
- * that a deposed owner stores nothing, and rewrites a row of its own that the
- * next one checks, so that a flush carried out late changes nothing.
+ * that a deposed owner stores nothing, and the flush row, which the previous
+ * flush rewrote, so that a delayed flush changes nothing.
  */
 import {scheduler} from '@gullstand/core';
 import type {RowStore, RowTransaction, StoredRow} from '@gullstand/ports';
@@ -18,34 +18,35 @@
 import {isWithinSize} from '../rows/transaction-size.js';
 import type {HeldShard} from '../shards/held-shard.js';
 
-/** Most jobs in one flush; origin: 100 entries a transaction, checks too. */
+/** The store takes 100 entries a transaction, including checks. */
 const maxJobsPerFlush = 90;
 
-/** What a flusher needs. */
+/** Dependencies of a flusher. */
 export type FlusherDeps = {
 	readonly store: RowStore;
 	readonly owner: scheduler.Owner;
 	readonly held: HeldShard;
 	readonly flushVersion: number;
 	readonly clock: Clock;
-	/** What the store's clock showed at the takeover. */
+	/** The store's clock at the takeover. */
 	readonly storeTime: StoreTime;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
-	/** Executors to which new ends are to be acknowledged. */
+	/** Called with the executors whose latest ends may be acknowledged. */
 	readonly onAckable: (executors: readonly scheduler.Executor[]) => void;
 	readonly onStored: (flush: scheduler.Flush) => void;
+	/** Called when another daemon holds the lease; `rows` are the current ones. */
 	readonly onOwnershipLost: (
 		reason: string,
 		rows: readonly StoredRow[],
 	) => void;
 };
 
-/** The flusher of one ownership. */
+/** Stores the progress of one ownership. */
 export type Flusher = {
-	/** Notes that something may be to store. */
+	/** Flushes soon, or at once if a job has ended or the roster changed. */
 	readonly requestFlush: () => void;
 	readonly stop: () => void;
-	/** Flushes until nothing is left or the store refuses. */
+	/** Stops the timer and flushes until nothing is left or a flush fails. */
 	readonly drain: () => Promise<void>;
 };
 
@@ -64,13 +65,13 @@
 
 	const toRosterRow = ({
 		listed,
-		darkSince,
+		darkSince: suspectedSince,
 	}: scheduler.RosterEntry): RosterRow =>
-		darkSince === undefined
+		suspectedSince === undefined
 			? listed
 			: {
 					...listed,
-					darkSinceMs: getLatestStoreMs(clock, storeTime, darkSince),
+					darkSinceMs: getLatestStoreMs(clock, storeTime, suspectedSince),
 					markedBy: owner.token,
 				};
 
@@ -98,8 +99,8 @@
 		};
 	};
 
-	/** True if an earlier flush of ours was carried out after all. */
-	const takeConflict = (rows: readonly StoredRow[]): boolean => {
+	/** Returns whether a timed-out flush of this owner was stored after all. */
+	const resolveConflict = (rows: readonly StoredRow[]): boolean => {
 		const lease = rows.find(({table}) => table === tables.lease);
 		if (lease?.version !== held.version) {
 			deps.onOwnershipLost('the lease row has changed', rows);
@@ -111,7 +112,7 @@
 		return true;
 	};
 
-	/** Takes as many jobs as one transaction holds; a job that is large, alone. */
+	/** Halves the number of jobs until they fit into one transaction. */
 	const beginFlush = () => {
 		let flush = scheduler.beginFlush(owner, maxJobsPerFlush);
 		let transaction = toTransaction(flush);
@@ -145,7 +146,7 @@
 			reason: result.error.kind,
 		});
 		if (result.error.kind === 'conflict') {
-			return takeConflict(result.error.rows);
+			return resolveConflict(result.error.rows);
 		}
 
 		await delay(periods.flushRetryMs);
@@ -158,22 +159,22 @@
 		}
 	};
 
-	const runThenPoke = async () => {
+	const runThenRequest = async () => {
 		try {
 			await run();
 		} finally {
 			running = undefined;
 		}
 
-		poke();
+		requestFlush();
 	};
 
 	const begin = () => {
 		timer = undefined;
-		running ??= runThenPoke();
+		running ??= runThenRequest();
 	};
 
-	const poke = () => {
+	const requestFlush = () => {
 		if (state.isStopped || state.isDraining || running) {
 			return;
 		}
@@ -193,18 +194,18 @@
 	};
 
 	return {
-		requestFlush: poke,
+		requestFlush,
 		stop() {
 			state.isStopped = true;
 			clearTimeout(timer);
 		},
 		async drain() {
-			// A flush beside this one, or an acknowledgement, would take ends for
-			// stored that are still on their way.
+			// A concurrent flush or acknowledgement would treat ends as stored while
+			// the flush that contains them is still under way.
 			state.isDraining = true;
 			clearTimeout(timer);
 			await running;
-			// The next owner need not wait anew for those that have not answered.
+			// So that the next owner need not wait for unresponsive executors again.
 			scheduler.markDark(owner, 0, clock.now());
 			while (!state.isStopped && scheduler.needsFlush(owner)) {
 				if (!(await flushOnce())) {
--- a/packages/daemon/src/jobs/owner/job-remover.test.ts
+++ b/packages/daemon/src/jobs/owner/job-remover.test.ts
@@ -1,6 +1,6 @@
 /**
- * Rows of jobs that ended long ago must go as fast as jobs come: what is kept
- * lies in the owner's memory and is read whole at each takeover.
+ * Guards against ended jobs accumulating: they take up the owner's memory and
+ * each takeover reads them.
  */
 import {scheduler} from '@gullstand/core';
 import * as ports from '@gullstand/ports';
@@ -15,7 +15,7 @@
 const jobsPerSecond = 20;
 const keepEndedMs = 1000;
 
-tap.t.test('jobs are removed as fast as they come', async (t) => {
+tap.t.test('jobs are removed as fast as they arrive', async (t) => {
 	let at = 0;
 	const owner = scheduler.createOwner(
 		's',
--- a/packages/daemon/src/jobs/owner/job-remover.ts
+++ b/packages/daemon/src/jobs/owner/job-remover.ts
@@ -1,4 +1,4 @@
-/** Removes the rows of jobs that ended so long ago that nobody may ask. */
+/** Removes the rows of jobs whose retention has ended. */
 import {scheduler} from '@gullstand/core';
 import type {RowStore} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
@@ -6,19 +6,19 @@
 import {getCancelKey, getLeaseCheck, tables} from '../rows/tables.js';
 import type {HeldShard} from '../shards/held-shard.js';
 
-/** Jobs removed at a time, three rows each; origin: 100 entries a transaction. */
+/** Jobs per transaction, three rows each; the store takes 100 entries. */
 const removalBatch = 30;
 
-/** Between two removals while all that is due fits into one. */
+/** Time between removals, in milliseconds, while one batch removes all due. */
 const removalPeriodMs = 5000;
 
 /**
- * While more is due, in milliseconds: 60 jobs a second, twice what the busiest
- * queues hand in. What is kept is read at each takeover.
+ * Time between removals, in milliseconds, while more is due: 60 jobs a second.
+ * Jobs that are kept delay each takeover, which reads them all.
  */
 const backlogPeriodMs = 500;
 
-/** What the remover needs. */
+/** Dependencies of the remover. */
 export type JobRemoverDeps = {
 	readonly store: RowStore;
 	readonly held: HeldShard;
@@ -26,8 +26,9 @@
 	readonly logger: Pick<Logger, 'info'>;
 };
 
-/** Removes what is due, at most once in a period. */
+/** Removes ended jobs of an owner from its memory and from the store. */
 export type JobRemover = {
+	/** Does nothing until the current period is over. */
 	readonly removeDueJobs: (owner: scheduler.Owner) => Promise<void>;
 };
 
@@ -35,7 +36,7 @@
 export const createJobRemover = (deps: JobRemoverDeps): JobRemover => {
 	const {store, held, now, logger} = deps;
 	const part = held.shard;
-	let ranAt = now();
+	let removedAt = now();
 	let periodMs = removalPeriodMs;
 
 	const removeRows = async (ids: readonly string[]): Promise<boolean> => {
@@ -61,11 +62,11 @@
 
 	return {
 		async removeDueJobs(owner) {
-			if (now() - ranAt < periodMs) {
+			if (now() - removedAt < periodMs) {
 				return;
 			}
 
-			ranAt = now();
+			removedAt = now();
 			const ids = scheduler.forgetEndedJobs(owner, now(), removalBatch);
 			periodMs = ids.length < removalBatch ? removalPeriodMs : backlogPeriodMs;
 			if (ids.length > 0 && (await removeRows(ids))) {
