--- a/packages/daemon/src/jobs/owner/apply-job-rows.ts
+++ b/packages/daemon/src/jobs/owner/apply-job-rows.ts
@@ -1,4 +1,4 @@
-/** Takes rows of the job table into an owner's state. */
+/** Applies rows of the job table to an owner's state. */
 import {scheduler} from '@gullstand/core';
 import type {ChangedRow} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
@@ -7,7 +7,7 @@
 import type {HeldShard} from '../shards/held-shard.js';
 import type {OwnerLog} from './owner-log.js';
 
-/** What the intake needs. */
+/** Dependencies of applying rows. */
 export type ApplyJobRowsDeps = {
 	readonly held: HeldShard;
 	readonly clock: Clock;
@@ -15,7 +15,7 @@
 	readonly log: OwnerLog;
 };
 
-const takeJob = (
+const applyJob = (
 	owner: scheduler.Owner,
 	row: ChangedRow,
 	{held, clock, logger}: ApplyJobRowsDeps,
@@ -27,7 +27,7 @@
 		return;
 	}
 
-	// Older than the lease: an earlier owner may have started its tasks.
+	// An earlier owner may have started tasks of a job older than the lease.
 	const isInherited = row.version < held.version;
 	const job = scheduler.addJob(owner, decoded.value, isInherited, clock.now());
 	const {accepted} = job;
@@ -45,7 +45,7 @@
 	});
 };
 
-const takeCancel = (
+const applyCancellation = (
 	owner: scheduler.Owner,
 	id: string,
 	{clock, log}: ApplyJobRowsDeps,
@@ -57,7 +57,7 @@
 	}
 };
 
-/** Takes rows in, from a peer or the store; known ones change nothing. */
+/** Applies rows from a peer or the store; known ones change nothing. */
 export const applyJobRows = (
 	owner: scheduler.Owner,
 	rows: readonly ChangedRow[],
@@ -67,15 +67,15 @@
 	for (const row of present) {
 		const {id, isCancel} = parseJobKey(row.key);
 		if (!isCancel && !owner.jobs.has(id)) {
-			takeJob(owner, row, deps);
+			applyJob(owner, row, deps);
 		}
 	}
 
-	// Jobs first: a cancellation may come in the same batch as its job.
+	// After the jobs, since a batch may hold a job and its cancellation.
 	for (const row of present) {
 		const {id, isCancel} = parseJobKey(row.key);
 		if (isCancel) {
-			takeCancel(owner, id, deps);
+			applyCancellation(owner, id, deps);
 		}
 	}
 };
--- a/packages/daemon/src/jobs/owner/load-owner.test.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.test.ts
@@ -1,8 +1,6 @@
 /**
- * A takeover reads all rows of the service. Over a link of 7 Mbit/s a page of
- * 1 MB takes 1.2 s by itself, and three tables are read side by side; a page
- * that is not whole within its time is thrown away with all pages before it,
- * and the same is tried again: the service is never taken over.
+ * Guards against a takeover that never completes over a slow link: if pages
+ * are too large, a read times out and the whole load starts again.
  */
 import {scheduler} from '@gullstand/core';
 import * as ports from '@gullstand/ports';
@@ -15,17 +13,17 @@
 } from '../job-daemon.test.fixture.js';
 import {loadOwner} from './load-owner.js';
 
-/** A link of 7 Mbit/s, in bytes a millisecond. */
+/** A link of 7 Mbit/s, in bytes per millisecond. */
 const bytesPerMs = 875;
-/** Most that one answer of the store holds; origin: the store's interface. */
+/** Limits of one answer of the store; origin: the store's interface. */
 const maxRows = 500;
 const maxBytes = 1_000_000;
 
-/** Bytes of a row on the wire: its value is base64, beside its names. */
+/** Bytes of a row on the wire, where values are in base64. */
 const getBytes = ({part, key, value}: ports.StoredRow): number =>
 	Math.ceil((value.length * 4) / 3) + part.length + key.length + 80;
 
-/** A store whose answers share one link; time passes only while they come. */
+/** A store whose answers share one link; the clock advances as they arrive. */
 const createSlowStore = (rows: readonly ports.StoredRow[]) => {
 	let linkFreeAt = 0;
 	const state = {now: 0, bytes: 0};
@@ -33,7 +31,7 @@
 		...ports.createMemoryRowStore(),
 		async read({table, from = '', limit = maxRows}, timeoutMs) {
 			const sentAt = state.now;
-			// All calls of one moment are sent before the first is answered.
+			// Concurrent calls are all sent before the first is answered.
 			await Promise.resolve();
 			const wanted = rows.filter(
 				(row) => row.table === table && row.key >= from,
--- a/packages/daemon/src/jobs/owner/load-owner.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.ts
@@ -1,4 +1,4 @@
-/** Reads all rows of a service and builds its owner's state from them. */
+/** Builds the state of a service's owner from the stored rows at a takeover. */
 import {scheduler, succeed, type Result} from '@gullstand/core';
 import type {RowStore, RowStoreError, StoredRow} from '@gullstand/ports';
 import type {Logger} from '../../log/logger.js';
@@ -18,7 +18,7 @@
 } from '../rows/tables.js';
 import type {HeldShard} from '../shards/held-shard.js';
 
-/** What a load needs. */
+/** Dependencies of a load. */
 export type LoadOwnerDeps = {
 	readonly store: RowStore;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
@@ -26,10 +26,10 @@
 	readonly clock: Clock;
 };
 
-/** The state of a service just taken over. */
+/** The state of a service that was just taken over. */
 export type LoadedOwner = {
 	readonly owner: scheduler.Owner;
-	/** Version from which the job table is followed. */
+	/** Version of the job table from which to follow its changes. */
 	readonly version: number;
 	/** Version of the row that each flush rewrites; 0 if there is none. */
 	readonly flushVersion: number;
@@ -39,15 +39,14 @@
 type Rows = {
 	readonly jobs: readonly StoredRow[];
 	readonly progress: readonly StoredRow[];
-	readonly kept: readonly StoredRow[];
+	readonly ownerRows: readonly StoredRow[];
 	readonly version: number;
 	readonly storeTime: StoreTime;
 };
 
 /**
- * Rows of a page: a connection that is lost costs one page, and a page of the
- * largest jobs, 4,000 bytes of payload each, lasts 0.7 s at 7 Mbit/s, also
- * where a store bounds the whole of an answer.
+ * Rows per page. A lost connection costs one page, and a page of the largest
+ * jobs, with 4,000 bytes of payload each, takes 0.7 s at 7 Mbit/s.
  */
 const pageLimit = 100;
 
@@ -57,7 +56,7 @@
 ): Promise<Result<Rows, RowStoreError>> => {
 	const readTable = async (table: string) =>
 		readWhole(store, {table, part, limit: pageLimit}, periods.storeTimeoutMs);
-	// One after another: they share one link.
+	// Sequential reads: concurrent pages share the bandwidth and may time out.
 	const jobs = await readTable(tables.job);
 	if (!jobs.ok) {
 		return jobs;
@@ -69,24 +68,24 @@
 	}
 
 	const sent = getMoment(clock);
-	const kept = await readTable(tables.owner);
-	if (!kept.ok) {
-		return kept;
+	const ownerRows = await readTable(tables.owner);
+	if (!ownerRows.ok) {
+		return ownerRows;
 	}
 
 	return succeed({
 		jobs: jobs.value.rows,
 		progress: progress.value.rows,
-		kept: kept.value.rows,
+		ownerRows: ownerRows.value.rows,
 		version: jobs.value.version,
-		storeTime: {nowMs: kept.value.nowMs, sent},
+		storeTime: {nowMs: ownerRows.value.nowMs, sent},
 	});
 };
 
 /**
- * How long what the previous holder granted may last. One that gave the shard
- * back, or whose process is replaced, grants nothing more; a silent one may
- * go on for as long as it believes in its lease.
+ * How long leases granted by the previous holder may last, in milliseconds. A
+ * holder that released the shard, or whose process was replaced, grants no
+ * more; an unresponsive one may grant leases for another `ownerBeliefMs`.
  */
 export const getInheritedGrantMs = (
 	{previous}: Pick<HeldShard, 'previous'>,
@@ -133,11 +132,11 @@
 };
 
 /**
- * For how long nothing has been granted on an executor; absent if something
- * may have been. Only the word of the last owner counts: one of a release that
- * knows no marks leaves an older mark as it is and grants on.
+ * For how long an executor has been suspected and got no leases; absent if it
+ * may have got some. Only a mark of the previous owner counts: an owner of a
+ * release without marks keeps an older mark in the row and grants leases.
  */
-const getDarkMs = (
+const getSuspectedMs = (
 	{darkSinceMs, markedBy}: Pick<RosterRow, 'darkSinceMs' | 'markedBy'>,
 	held: HeldShard,
 	{storeTime}: Rows,
@@ -152,25 +151,31 @@
 	rows: Rows,
 	{logger, cfg, clock}: LoadOwnerDeps,
 ): void => {
-	const rosters = rows.kept.filter(({key}) => key === singleKeys.roster);
+	const rosters = rows.ownerRows.filter(({key}) => key === singleKeys.roster);
 	const now = clock.now();
 	const inheritedMs = getInheritedGrantMs(held, cfg);
 	for (const {value} of decodeRows(rosters, rosterSchema, logger)) {
 		for (const {darkSinceMs, markedBy, ...listed} of value) {
-			const darkMs = getDarkMs({darkSinceMs, markedBy}, held, rows);
-			const restMs =
-				darkMs === undefined
+			const suspectedMs = getSuspectedMs({darkSinceMs, markedBy}, held, rows);
+			const remainingMs =
+				suspectedMs === undefined
 					? inheritedMs
-					: Math.min(inheritedMs, scheduler.getGrantedMs(cfg) - darkMs);
-			const darkSince = darkMs === undefined ? undefined : now - darkMs;
-			scheduler.inheritExecutor(owner, listed, now + restMs, darkSince);
+					: Math.min(inheritedMs, scheduler.getGrantedMs(cfg) - suspectedMs);
+			const suspectedSince =
+				suspectedMs === undefined ? undefined : now - suspectedMs;
+			scheduler.inheritExecutor(
+				owner,
+				listed,
+				now + remainingMs,
+				suspectedSince,
+			);
 		}
 	}
 };
 
 /**
- * Reads the rows after the lease row was won: nothing of an earlier owner can
- * be stored from then on, since its writes check that row.
+ * Reads the rows and builds the owner's state. The lease row must have been
+ * acquired before: writes of earlier owners check it, so they fail from then.
  */
 export const loadOwner = async (
 	service: string,
@@ -190,7 +195,7 @@
 	);
 	addJobs(owner, rows.value, deps);
 	addRoster(owner, held, rows.value, deps);
-	const flush = rows.value.kept.find(({key}) => key === singleKeys.flush);
+	const flush = rows.value.ownerRows.find(({key}) => key === singleKeys.flush);
 	return succeed({
 		owner,
 		version: rows.value.version,
--- a/packages/daemon/src/jobs/owner/load-report.test.ts
+++ b/packages/daemon/src/jobs/owner/load-report.test.ts
@@ -19,7 +19,7 @@
 	return owner;
 };
 
-tap.t.test('a line every two seconds, with the figures since', async (t) => {
+tap.t.test('logs the figures of each period of two seconds', async (t) => {
 	const lines: unknown[] = [];
 	let at = 0;
 	const logger = winston.createLogger({silent: true});
@@ -62,5 +62,5 @@
 	owner.openJobs.clear();
 	at = 6000;
 	report.writeIfDue(owner);
-	t.equal(lines.length, 2, 'an owner with nothing to do is silent');
+	t.equal(lines.length, 2, 'an owner without open jobs logs nothing');
 });
--- a/packages/daemon/src/jobs/owner/load-report.ts
+++ b/packages/daemon/src/jobs/owner/load-report.ts
@@ -1,30 +1,29 @@
 /**
- * A line every two seconds about an owner's own load: how much waits, why
- * executors take nothing, how long plans and starts take and how late the
- * event loop runs. Without it an owner that cannot keep up looks like silent
- * executors.
+ * Logs an owner's load every two seconds: waiting tasks, why executors accept
+ * none, the durations of plans and starts, and timer delays. It tells an
+ * overloaded owner from unresponsive executors.
  */
 import {scheduler} from '@gullstand/core';
 import type {Logger} from '../../log/logger.js';
 
-/** Between two lines, in milliseconds: half a line a second at most. */
+/** Time between two log lines, in milliseconds. */
 const reportMs = 2000;
 
-/** What the report needs. */
+/** Dependencies of the report. */
 export type LoadReportDeps = {
 	readonly logger: Pick<Logger, 'info'>;
 	readonly now: () => number;
 };
 
-/** Figures of one owner between two lines. */
+/** Figures of one owner since the last log line. */
 export type LoadReport = {
-	/** A plan was made, in so many milliseconds. */
+	/** Records the duration of a plan, in milliseconds. */
 	readonly recordPlan: (tookMs: number) => void;
-	/** A start was answered, or given up, after so many milliseconds. */
+	/** Records how long a start took until its answer or its timeout, in milliseconds. */
 	readonly recordStart: (tookMs: number, isAnswered: boolean) => void;
-	/** A timer ran so many milliseconds after its time. */
+	/** Records by how many milliseconds a timer fired late. */
 	readonly recordTimerDelay: (lateMs: number) => void;
-	/** Writes the line if it is due. */
+	/** Logs the figures once the period is over and starts a new one. */
 	readonly writeIfDue: (owner: scheduler.Owner) => void;
 };
 
@@ -50,10 +49,10 @@
 	longestTimerLagMs: 0,
 });
 
-/** Creates a report that is due after the first period. */
+/** Creates a report whose first period begins now. */
 export const createLoadReport = ({logger, now}: LoadReportDeps): LoadReport => {
 	let figures = createFigures();
-	let since = now();
+	let periodStart = now();
 	return {
 		recordPlan(tookMs) {
 			figures.plans += 1;
@@ -71,7 +70,7 @@
 		},
 		writeIfDue(owner) {
 			const at = now();
-			if (at - since < reportMs) {
+			if (at - periodStart < reportMs) {
 				return;
 			}
 
@@ -80,7 +79,7 @@
 			if (overview.openJobs > 0) {
 				logger.info('owner load', {
 					...overview,
-					periodMs: Math.round(at - since),
+					periodMs: Math.round(at - periodStart),
 					plans: figures.plans,
 					planMs: Math.round(planMs),
 					longestPlanMs: Math.round(figures.longestPlanMs),
@@ -93,7 +92,7 @@
 			}
 
 			figures = createFigures();
-			since = at;
+			periodStart = at;
 		},
 	};
 };
--- a/packages/daemon/src/jobs/owner/owned-services.ts
+++ b/packages/daemon/src/jobs/owner/owned-services.ts
@@ -21,7 +21,7 @@
 import type {HeldShard} from '../shards/held-shard.js';
 import {createOwnerRunner, type OwnerRunner} from './owner-runner.js';
 
-/** What running services takes. */
+/** Dependencies of the owned services. */
 export type OwnedServicesDeps = {
 	readonly store: RowStore;
 	readonly executors: Executors;
@@ -32,16 +32,18 @@
 	readonly logger: Logger;
 	readonly metrics: JobMetrics;
 	readonly rowFaults: RowFaults;
-	/** Whether the configuration in force names the service. */
+	/** Whether the current configuration names the service. */
 	readonly hasService: (service: string) => boolean;
+	/** When the store last confirmed the leases. */
 	readonly getLeasesConfirmedAt: () => Moment | undefined;
+	/** Whether the previous holder has released the shard or was replaced. */
 	readonly hasReleased: (previous: LeaseRow) => Promise<boolean>;
-	/** A service turned out to be another's; `rows` may say whose. */
+	/** Called when another daemon owns a service; `rows` may name it. */
 	readonly onOwnershipLost: (shard: string, rows: readonly StoredRow[]) => void;
 	readonly reportFailure: ReportFailure;
 };
 
-/** A job as the list shows it. */
+/** A job in the operators' list. */
 export type JobSummary = {
 	readonly job: string;
 	readonly queue: string;
@@ -49,39 +51,40 @@
 	readonly acceptedAtEpochMs: number;
 };
 
-/** The services owned now. */
+/** The services that this daemon owns now. */
 export type OwnedServices = {
 	readonly get: (shard: string) => OwnerRunner | undefined;
-	/** Begins to run a service that was just acquired. */
+	/** Starts to run a service whose shard was just acquired. */
 	readonly start: (held: HeldShard, service: string) => void;
-	/** Stores what is left and orders nothing more. */
+	/** Stores what is left and sends no more commands. */
 	readonly release: (shard: string) => Promise<void>;
-	/** Drops a service that is another's. */
+	/** Stops a service at once, because another daemon owns it. */
 	readonly drop: (shard: string) => void;
+	/** Stops all services at once. */
 	readonly dropAll: () => void;
 	readonly listJobs: () => readonly JobSummary[];
-	/** Why tasks of a job do not run; absent unless it is owned here. */
+	/** Why tasks of a job do not run; absent if this daemon does not own it. */
 	readonly explain: (
 		route: QueueRoute,
 		id: string,
 	) => readonly scheduler.TaskExplanation[] | undefined;
 };
 
-/** Creates an empty set. */
+/** Creates an empty set of services. */
 export const createOwnedServices = (deps: OwnedServicesDeps): OwnedServices => {
 	const {clock, logger, reportFailure} = deps;
 	const runners = new Map<string, OwnerRunner>();
 	const executorList = createExecutorList(deps);
 	let follower: FeedFollower | undefined;
 
-	const noteExecutors = (isWhole: boolean) => {
+	const updateExecutors = (isWhole: boolean) => {
 		for (const runner of runners.values()) {
 			runner.updateExecutors(isWhole);
 		}
 	};
 
-	/** Only owners read the registry, which changes all the time. */
-	const follow = () => {
+	/** Only owners follow the registry, since it changes often. */
+	const followRegistry = () => {
 		follower = createFeedFollower({
 			name: 'executors',
 			feed: deps.executorFeed,
@@ -90,17 +93,17 @@
 			logger,
 			onWhole(batch) {
 				executorList.applyWhole(batch);
-				noteExecutors(true);
+				updateExecutors(true);
 			},
 			onChanges(batch) {
 				executorList.applyChanges(batch);
-				noteExecutors(false);
+				updateExecutors(false);
 			},
 		});
 		follower.start(reportFailure);
 	};
 
-	const unfollow = () => {
+	const unfollowRegistry = () => {
 		follower?.stop();
 		follower = undefined;
 	};
@@ -109,7 +112,7 @@
 		runners.get(shard)?.abandon();
 		runners.delete(shard);
 		if (runners.size === 0) {
-			unfollow();
+			unfollowRegistry();
 		}
 	};
 
@@ -128,7 +131,7 @@
 			});
 			runners.set(held.shard, runner);
 			if (!follower) {
-				follow();
+				followRegistry();
 			}
 
 			runInBackground(runner.start, reportFailure);
--- a/packages/daemon/src/jobs/owner/owner-log.ts
+++ b/packages/daemon/src/jobs/owner/owner-log.ts
@@ -1,27 +1,27 @@
-/** Lines and figures about what an owner decides and learns. */
+/** Log lines and metrics of one owner's decisions and observations. */
 import type {scheduler} from '@gullstand/core';
 import type {Logger} from '../../log/logger.js';
 import type {Clock} from '../clock.js';
 import {histogramNames, type JobMetrics} from '../job-metrics.js';
 
-/** The log of one ownership. */
+/** Writes log lines and metrics of one ownership. */
 export type OwnerLog = {
 	readonly logJobEnd: (job: string, end: string, reason: string) => void;
 	readonly logPoll: (
 		executor: scheduler.Executor,
 		changes: scheduler.LookChanges,
 	) => void;
-	/** Runs that are certainly over without an end. */
+	/** Logs runs that are certainly over, without a reported end. */
 	readonly logFreedRuns: (
 		runs: readonly scheduler.Run[],
 		reason: string,
 	) => void;
-	/** The answer to a start. */
+	/** Logs the answer to a start. */
 	readonly logStart: (run: scheduler.Run, isStarted: boolean) => void;
 	readonly logFlush: (flush: scheduler.Flush) => void;
 };
 
-/** What the log writes to. */
+/** Dependencies of the log. */
 export type OwnerLogDeps = {
 	readonly service: string;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
@@ -33,13 +33,13 @@
 export const createOwnerLog = (deps: OwnerLogDeps): OwnerLog => {
 	const {service, logger, metrics, clock} = deps;
 
-	const noteJobEnd: OwnerLog['logJobEnd'] = (job, end, reason) => {
+	const logJobEnd: OwnerLog['logJobEnd'] = (job, end, reason) => {
 		metrics.count('jobs_ended', end);
 		logger.info('job ended', {job, end, reason});
 	};
 
 	return {
-		logJobEnd: noteJobEnd,
+		logJobEnd,
 		logPoll(executor, changes) {
 			for (const {taskId, run, how, failures} of changes.ends) {
 				metrics.count('runs_ended', how);
@@ -53,11 +53,14 @@
 			}
 
 			for (const key of changes.lost) {
-				logger.warn('run vanished', {run: key, executor: executor.id});
+				logger.warn('run missing on executor', {
+					run: key,
+					executor: executor.id,
+				});
 			}
 
 			for (const {job, end, reason} of changes.jobEnds) {
-				noteJobEnd(job, end, reason);
+				logJobEnd(job, end, reason);
 			}
 		},
 		logFreedRuns(runs, reason) {
@@ -88,7 +91,7 @@
 				if (end === 'completed') {
 					const tookMs = clock.epochNow() - job.accepted.acceptedAtEpochMs;
 					metrics.record(histogramNames.job, job.accepted.policy.queue, tookMs);
-					noteJobEnd(
+					logJobEnd(
 						job.accepted.id,
 						end,
 						`all tasks done in ${Math.round(tookMs)} ms`,
--- a/packages/daemon/src/jobs/owner/owner-runner.ts
+++ b/packages/daemon/src/jobs/owner/owner-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the jobs of one service for as long as this daemon owns it: takes in
- * jobs, looks and answers, plans, sends the orders, stores what has ended.
+ * Runs the jobs of one service while this daemon owns it: applies job rows and
+ * the answers of executors, plans, sends commands and stores progress.
  */
 import {scheduler} from '@gullstand/core';
 import type {
@@ -30,25 +30,25 @@
 import {applyJobRows} from './apply-job-rows.js';
 import {getInheritedGrantMs, loadOwner} from './load-owner.js';
 
-/** What an owner's runner needs. */
+/** Dependencies of an owner's runner. */
 export type OwnerRunnerDeps = {
 	readonly held: HeldShard;
 	readonly service: string;
 	readonly store: RowStore;
 	readonly executors: Executors;
-	/** Absent where the deployment has none. */
+	/** Absent if the deployment has no advice service. */
 	readonly advice: AdviceService | undefined;
 	readonly clock: Clock;
 	readonly cfg: scheduler.SchedulerConfig;
 	readonly logger: Logger;
 	readonly metrics: JobMetrics;
-	/** When the leases were last confirmed by the store. */
+	/** When the store last confirmed the leases. */
 	readonly getLeasesConfirmedAt: () => Moment | undefined;
-	/** Executors listed now, of all services. */
+	/** Executors that the registry lists now, of all services. */
 	readonly listExecutors: () => readonly scheduler.ListedExecutor[];
-	/** Whether the holder before has let go: it says so, or is another life. */
+	/** Whether the previous holder has released the shard or was replaced. */
 	readonly hasReleased: (previous: LeaseRow) => Promise<boolean>;
-	/** The service is another's; `rows` may say whose. */
+	/** Called when another daemon owns the service; `rows` may name it. */
 	readonly onOwnershipLost: (
 		reason: string,
 		rows: readonly StoredRow[],
@@ -56,22 +56,23 @@
 	readonly reportFailure: ReportFailure;
 };
 
-/** What a caller learns of a job from its owner. */
+/** The owner's answer to a request for a job's state. */
 export type JobStateAnswer =
 	| {readonly kind: 'state'; readonly state: scheduler.JobState}
 	| {readonly kind: 'unknown'}
 	| {readonly kind: 'not-owner'};
 
-/** The runner of one ownership. */
+/** Runs one ownership of a service. */
 export type OwnerRunner = {
-	/** Resolves once the state is read; orders follow by themselves. */
+	/** Loads the state and begins to plan; resolves once it is loaded. */
 	readonly start: () => Promise<void>;
-	/** Stores what it can and lets go. */
+	/** Stores progress for a bounded time and stops. */
 	readonly stop: () => Promise<void>;
-	/** Lets go at once: the service is another's. */
+	/** Stops at once, because another daemon owns the service. */
 	readonly abandon: () => void;
+	/** Applies the registry's list; `isWhole` after a complete read of it. */
 	readonly updateExecutors: (isWhole: boolean) => void;
-	/** Takes in rows of the job table, from a peer or the store. */
+	/** Applies rows of the job table, from a peer or the store. */
 	readonly applyRows: (rows: readonly ChangedRow[]) => void;
 	readonly readJob: (id: string, queue: string) => JobStateAnswer;
 	readonly countPending: (queue: string) => number | undefined;
@@ -79,13 +80,13 @@
 		executorId: string,
 		patienceMs: number,
 	) => scheduler.EvacuationState;
-	/** The platform says that an executor's life is over. */
+	/** Ends all runs of an executor that the platform no longer lists. */
 	readonly markTerminated: (executorId: string) => void;
 	readonly getLoad: () => scheduler.ServiceLoad | undefined;
 	readonly getOwner: () => scheduler.Owner | undefined;
 };
 
-/** Bound on the last flush of an owner that lets go, in milliseconds. */
+/** Bound on the final flush of an owner that stops, in milliseconds. */
 const maxDrainMs = 400;
 
 /** Creates a runner; it does nothing before `start`. */
@@ -99,17 +100,19 @@
 	let links: ExecutorLinks<ExecutorLink> | undefined;
 	let flusher: Flusher | undefined;
 	let follower: FeedFollower | undefined;
-	const state = {isStopped: false, isLettingGo: false};
-	let dueTimer: NodeJS.Timeout | undefined;
-	let planNotBefore = 0;
-	let planTimer: NodeJS.Timeout | undefined;
-	const pacedAt = new Map<string, number>();
-
-	const isBelieved = (): boolean =>
+	const state = {isStopped: false, isStopping: false};
+	/** Of the plan that a change requested. */
+	let requestedPlanTimer: NodeJS.Timeout | undefined;
+	let nextPlanAt = 0;
+	/** Of the plan that is made in any case. */
+	let periodicPlanTimer: NodeJS.Timeout | undefined;
+	const throttledAt = new Map<string, number>();
+
+	const isOwnershipConfirmed = (): boolean =>
 		!state.isStopped &&
 		isConfirmedWithin(clock, deps.getLeasesConfirmedAt(), cfg.ownerBeliefMs);
 
-	const lose = (reason: string, rows: readonly StoredRow[] = []) => {
+	const loseOwnership = (reason: string, rows: readonly StoredRow[] = []) => {
 		if (!state.isStopped) {
 			abandon();
 			deps.onOwnershipLost(reason, rows);
@@ -119,37 +122,37 @@
 	const onChange = () => {
 		flusher?.requestFlush();
 		if (!state.isStopped) {
-			const pauseMs = Math.max(0, planNotBefore - clock.now());
-			dueTimer ??= setTimeout(runPlan, pauseMs);
+			const pauseMs = Math.max(0, nextPlanAt - clock.now());
+			requestedPlanTimer ??= setTimeout(runPlan, pauseMs);
 		}
 	};
 
-	const takeLookChanges = (
+	const applyPollChanges = (
 		executor: scheduler.Executor,
 		changes: scheduler.LookChanges,
 	) => {
 		log.logPoll(executor, changes);
-		planPaces(executor);
+		throttleRuns(executor);
 		onChange();
 	};
 
-	const planPaces = (executor: scheduler.Executor) => {
-		const last = pacedAt.get(executor.id) ?? 0;
+	const throttleRuns = (executor: scheduler.Executor) => {
+		const last = throttledAt.get(executor.id) ?? 0;
 		if (clock.now() - last < scheduler.paceConfig.intervalMs) {
 			return;
 		}
 
-		const orders = scheduler.planPaces(executor);
-		for (const order of orders) {
-			links?.get(executor.id)?.sendThrottle(order);
+		const commands = scheduler.planPaces(executor);
+		for (const command of commands) {
+			links?.get(executor.id)?.sendThrottle(command);
 		}
 
-		if (orders.length > 0) {
-			pacedAt.set(executor.id, clock.now());
+		if (commands.length > 0) {
+			throttledAt.set(executor.id, clock.now());
 		}
 	};
 
-	const noteGone = (id: string, reason: string) => {
+	const markTerminated = (id: string, reason: string) => {
 		if (owner) {
 			log.logFreedRuns(scheduler.noteGone(owner, id), reason);
 			onChange();
@@ -162,17 +165,20 @@
 			executor,
 			executors: deps.executors,
 			now: clock.now,
-			isOwnershipConfirmed: isBelieved,
+			isOwnershipConfirmed,
 			logger,
 			onChange,
 			onPoll(changes) {
-				takeLookChanges(executor, changes);
+				applyPollChanges(executor, changes);
 			},
 			onFenced() {
-				lose('an executor has seen a higher fencing token');
+				loseOwnership('an executor has seen a higher fencing token');
 			},
 			onOtherIncarnation() {
-				noteGone(executor.id, 'another life answers at the address');
+				markTerminated(
+					executor.id,
+					'another incarnation responds at its address',
+				);
 			},
 			onStartAnswer(run, answer) {
 				log.logStart(run, answer === 'started');
@@ -180,65 +186,68 @@
 			},
 		});
 
-	const matchLinks = (current: scheduler.Owner) => {
+	const reconcileLinks = (current: scheduler.Owner) => {
 		links ??= createExecutorLinks((executor) => openLink(current, executor));
 		for (const id of links.reconcile(current.executors)) {
-			pacedAt.delete(id);
+			throttledAt.delete(id);
 		}
 	};
 
-	const ask = async (
+	const requestAdvice = async (
 		current: scheduler.Owner,
 		request: scheduler.AdviceRequest,
 	) => {
-		const askedAt = clock.now();
+		const requestedAt = clock.now();
 		const advice = await deps.advice?.ask(request, periods.adviceTimeoutMs);
 		logger.info('advice', {
 			step: request.stepId,
 			asked: request.executorIds.length,
 			named: advice?.tickets.length,
 			validMs: advice?.validMs,
-			tookMs: Math.round(clock.now() - askedAt),
+			tookMs: Math.round(clock.now() - requestedAt),
 		});
-		// Tickets are valid from the answer on, which was made before it came.
+		// Counted from the receipt of the answer, which is later than its creation.
 		scheduler.takeAdvice(current, request, advice, clock.now());
 		onChange();
 	};
 
 	const runPlan = () => {
-		clearTimeout(dueTimer);
-		dueTimer = undefined;
+		clearTimeout(requestedPlanTimer);
+		requestedPlanTimer = undefined;
 		if (!owner || state.isStopped) {
 			return;
 		}
 
 		const now = clock.now();
-		log.logFreedRuns(scheduler.expireLeases(owner, now), 'its lease is over');
+		log.logFreedRuns(
+			scheduler.expireLeases(owner, now),
+			'its lease has expired',
+		);
 		scheduler.markDark(owner, scheduler.darkAfterMs, now);
-		matchLinks(owner);
-		if (isBelieved() && !state.isLettingGo) {
+		reconcileLinks(owner);
+		if (isOwnershipConfirmed() && !state.isStopping) {
 			scheduler.advanceSchedules(owner, clock.epochNow());
-			const orders = scheduler.planOrders(owner, now, clock.epochNow());
-			for (const order of orders) {
-				if (order.kind === 'advise') {
-					void ask(owner, order);
+			const commands = scheduler.planOrders(owner, now, clock.epochNow());
+			for (const command of commands) {
+				if (command.kind === 'advise') {
+					void requestAdvice(owner, command);
 				} else {
-					links?.get(order.executor.id)?.send(order);
+					links?.get(command.executor.id)?.send(command);
 				}
 			}
 		}
 
 		const tookMs = clock.now() - now;
-		planNotBefore = clock.now() + getPlanPauseMs(tookMs);
+		nextPlanAt = clock.now() + getPlanPauseMs(tookMs);
 		report.recordPlan(tookMs);
 		flusher?.requestFlush();
 	};
 
-	const planAgain = () => {
+	const schedulePlan = () => {
 		const dueAt = clock.now() + periods.planIntervalMs;
-		planTimer = setTimeout(() => {
+		periodicPlanTimer = setTimeout(() => {
 			report.recordTimerDelay(clock.now() - dueAt);
-			if (clock.now() >= planNotBefore) {
+			if (clock.now() >= nextPlanAt) {
 				runPlan();
 			}
 
@@ -248,12 +257,12 @@
 			}
 
 			if (!state.isStopped) {
-				planAgain();
+				schedulePlan();
 			}
 		}, periods.planIntervalMs);
 	};
 
-	const noteExecutors = (isWhole: boolean) => {
+	const updateExecutors = (isWhole: boolean) => {
 		if (!owner) {
 			return;
 		}
@@ -276,7 +285,7 @@
 		onChange();
 	};
 
-	const noteRows = (rows: readonly ChangedRow[]) => {
+	const applyRows = (rows: readonly ChangedRow[]) => {
 		if (!owner) {
 			return;
 		}
@@ -286,7 +295,7 @@
 	};
 
 	const applyBatch = ({entries}: FeedBatch<ChangedRow>) => {
-		noteRows(entries.flatMap(({value}) => (value ? [value] : [])));
+		applyRows(entries.flatMap(({value}) => (value ? [value] : [])));
 	};
 
 	const load = async () => {
@@ -301,15 +310,15 @@
 				return loaded.value;
 			}
 
-			logger.warn('rows not read', {reason: loaded.error.kind});
+			logger.warn('rows of the service not read', {reason: loaded.error.kind});
 			await delay(periods.flushRetryMs);
 		}
 
 		return undefined;
 	};
 
-	/** Until the owner before has let go, it may go on granting leases. */
-	const settlePrevious = async (current: scheduler.Owner) => {
+	/** Waits until the previous owner certainly grants no more leases. */
+	const awaitPreviousRelease = async (current: scheduler.Owner) => {
 		const {previousHolder} = held;
 		if (!previousHolder) {
 			return;
@@ -319,7 +328,7 @@
 			if (await deps.hasReleased(previousHolder)) {
 				const grantedMs = getInheritedGrantMs({previous: 'released'}, cfg);
 				scheduler.shortenInheritance(current, clock.now() + grantedMs);
-				logger.info('the owner before has let go', {
+				logger.info('previous owner grants no more leases', {
 					holder: previousHolder.holder?.entry,
 				});
 				return;
@@ -350,7 +359,7 @@
 				}
 			},
 			onStored: log.logFlush,
-			onOwnershipLost: lose,
+			onOwnershipLost: loseOwnership,
 		});
 		follower = createFeedFollower({
 			name: 'job',
@@ -369,18 +378,18 @@
 			open: owner.openJobs.size,
 			unresolvedExecutors: owner.unresolved.size,
 		});
-		noteExecutors(true);
+		updateExecutors(true);
 		follower.start(deps.reportFailure);
-		planAgain();
+		schedulePlan();
 		if (held.previous === 'silent') {
-			await settlePrevious(owner);
+			await awaitPreviousRelease(owner);
 		}
 	};
 
 	const abandon = () => {
 		state.isStopped = true;
-		clearTimeout(planTimer);
-		clearTimeout(dueTimer);
+		clearTimeout(periodicPlanTimer);
+		clearTimeout(requestedPlanTimer);
 		follower?.stop();
 		flusher?.stop();
 		links?.closeAll();
@@ -392,15 +401,15 @@
 	return {
 		start,
 		async stop() {
-			state.isLettingGo = true;
+			state.isStopping = true;
 			await Promise.race([flusher?.drain(), delay(maxDrainMs)]);
 			abandon();
 		},
 		abandon,
-		updateExecutors: noteExecutors,
-		applyRows: noteRows,
+		updateExecutors,
+		applyRows,
 		readJob(id, queue) {
-			if (!owner || !isBelieved()) {
+			if (!owner || !isOwnershipConfirmed()) {
 				return {kind: 'not-owner'};
 			}
 
@@ -410,7 +419,9 @@
 				: {kind: 'unknown'};
 		},
 		countPending: (queue) =>
-			owner && isBelieved() ? scheduler.countPending(owner, queue) : undefined,
+			owner && isOwnershipConfirmed()
+				? scheduler.countPending(owner, queue)
+				: undefined,
 		evacuate(executorId, patienceMs) {
 			if (!owner) {
 				return {kind: 'unknown-executor'};
@@ -426,7 +437,7 @@
 			return evacuation;
 		},
 		markTerminated(executorId) {
-			noteGone(executorId, 'the platform lists it no more');
+			markTerminated(executorId, 'the platform no longer lists it');
 		},
 		getLoad,
 		getOwner: () => owner,
--- a/packages/daemon/src/jobs/owner/plan-pause.test.ts
+++ b/packages/daemon/src/jobs/owner/plan-pause.test.ts
@@ -10,7 +10,7 @@
 ];
 
 for (const {tookMs, pauseMs} of cases) {
-	tap.t.test(`a plan of ${tookMs} ms`, async (t) => {
+	tap.t.test(`the pause after a plan of ${tookMs} ms`, async (t) => {
 		t.equal(getPlanPauseMs(tookMs), pauseMs);
 	});
 }
--- a/packages/daemon/src/jobs/owner/plan-pause.ts
+++ b/packages/daemon/src/jobs/owner/plan-pause.ts
@@ -1,18 +1,17 @@
 /**
- * When the next plan may be made. Answers come by the hundred a second and
- * each may allow an order; a plan for each left an owner with a backlog no
- * time to hear the answers.
+ * Limits how often an owner plans, so that it has time to process the answers
+ * of executors when it has a backlog.
  */
 
-/** Least time between two plans, in milliseconds: 60 answers come together. */
-const leastPauseMs = 10;
+/** Shortest pause between two plans, in milliseconds, to batch answers. */
+const minPauseMs = 10;
 
-/** A plan is followed by a pause of so many times its own length ... */
-const pausePerPlan = 4;
+/** Pause after a plan, as a multiple of its duration. */
+const pauseFactor = 4;
 
-/** ... up to this, in milliseconds, so that a slow plan delays nothing long. */
-const mostPauseMs = 200;
+/** Longest pause, in milliseconds, which bounds the delay of a slow plan. */
+const maxPauseMs = 200;
 
-/** Pause after a plan that took so long, in milliseconds. */
+/** Returns the pause after a plan that took `tookMs`, in milliseconds. */
 export const getPlanPauseMs = (tookMs: number): number =>
-	Math.min(mostPauseMs, Math.max(leastPauseMs, pausePerPlan * tookMs));
+	Math.min(maxPauseMs, Math.max(minPauseMs, pauseFactor * tookMs));
--- a/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
+++ b/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
@@ -1,16 +1,6 @@
 /**
- * Entries were restarted one after another, so that a service changed hands
- * every 0.5 to 3 s. Two executors of its roster had gone and never answered.
- * Each owner waited 5.2 s anew for what earlier ones may have granted there,
- * and was gone before: from 17.4 to 28 s none of 2,530 tasks that waited was
- * started, with room on ten executors, and 71% of the requests of the day were
- * refused or failed.
- *
- *     25.765 service taken over: fencingToken 7, open 426, unresolvedExecutors 15
- *     27.619 owner load: usable 10, unlisted 2, unresolvedExecutors 2,
- *            tasksOfUnknownPlace 2530, waitingTasks 2530, starts 0
- *
- * What was granted ends by itself, whoever owns the service meanwhile.
+ * Guards against owners that each wait the full lease time for unresponsive
+ * executors again: if takeovers follow quickly, no waiting task ever starts.
  */
 import {scheduler, succeed} from '@gullstand/core';
 import * as ports from '@gullstand/ports';
@@ -29,7 +19,7 @@
 
 const cfg = scheduler.defaultSchedulerConfig;
 
-/** A store whose clock is the one of the test. */
+/** A store that shows the clock of the test. */
 const createClockedStore = (now: () => number): ports.RowStore => {
 	const inner = ports.createMemoryRowStore();
 	return {
@@ -45,8 +35,8 @@
 	};
 };
 
-/** The service of one executor that granted something and is dark since. */
-const createWorld = () => {
+/** A service whose owners take over one after another. */
+const createHarness = () => {
 	const state = {now: 0, token: 0};
 	const now = () => state.now;
 	const clock = {now, epochNow: now};
@@ -67,7 +57,7 @@
 		};
 	};
 
-	/** One ownership, from the takeover to the last flush. */
+	/** One ownership, from the takeover to the final flush. */
 	const own = async (prepare: (owner: scheduler.Owner) => void) => {
 		const held = await takeOver();
 		const loaded = await loadOwner('s', held, {
@@ -82,7 +72,7 @@
 
 		const {owner, flushVersion, storeTime} = loaded.value;
 		prepare(owner);
-		// An owner that finds another executor stores its roster.
+		// An owner that lists a new executor stores its roster.
 		scheduler.listExecutor(owner, createListedExecutor(`new-${held.token}`));
 		const flusher = createFlusher({
 			store,
@@ -104,11 +94,11 @@
 };
 
 /** Milliseconds between two takeovers. */
-const intervals = [500, 1500, 3000];
+const takeoverIntervals = [500, 1500, 3000];
 
-tap.t.test('what was granted ends whoever owns the service', async (t) => {
-	for (const intervalMs of intervals) {
-		const {state, own} = createWorld();
+tap.t.test('granted leases expire regardless of takeovers', async (t) => {
+	for (const intervalMs of takeoverIntervals) {
+		const {state, own} = createHarness();
 		await own((owner) => {
 			scheduler.listExecutor(owner, createListedExecutor('dark'));
 			const job = scheduler.addJob(
@@ -118,38 +108,41 @@
 			);
 			owner.dirty.add(job);
 		});
-		// Nobody reaches it any more; what it was granted is over by then, with a
+		// The executor never answers; its leases have expired by then, with a
 		// second to spare.
-		const overAt = getInheritedGrantMs({previous: 'released'}, cfg) + 1000;
-		let isWaitedFor = true;
-		while (state.now <= overAt) {
+		const expiredAt = getInheritedGrantMs({previous: 'released'}, cfg) + 1000;
+		let isUnresolved = true;
+		while (state.now <= expiredAt) {
 			state.now += intervalMs;
 			const owner = await own(({executors}) => {
 				t.ok(executors.has('dark'));
 			});
 			scheduler.expireLeases(owner, state.now);
-			isWaitedFor = owner.unresolved.has('dark');
+			isUnresolved = owner.unresolved.has('dark');
 		}
 
-		t.notOk(isWaitedFor, `an owner each ${intervalMs} ms`);
+		t.notOk(isUnresolved, `a takeover each ${intervalMs} ms`);
 	}
 });
 
-tap.t.test('a mark counts only as the word of the last owner', async (t) => {
-	for (const strangers of [0, 1]) {
-		const {state, own, takeOver} = createWorld();
-		await own((owner) => {
-			scheduler.listExecutor(owner, createListedExecutor('dark'));
-		});
-		await own(() => undefined);
-		state.now += getInheritedGrantMs({previous: 'released'}, cfg) + 1;
-		// Of a release that knows no marks; it may have granted something since.
-		for (let count = 0; count < strangers; count++) {
-			await takeOver();
-		}
+tap.t.test(
+	'a suspicion counts only if the previous owner stored it',
+	async (t) => {
+		for (const otherOwners of [0, 1]) {
+			const {state, own, takeOver} = createHarness();
+			await own((owner) => {
+				scheduler.listExecutor(owner, createListedExecutor('dark'));
+			});
+			await own(() => undefined);
+			state.now += getInheritedGrantMs({previous: 'released'}, cfg) + 1;
+			// Owners of a release without marks, which may have granted leases since.
+			for (let count = 0; count < otherOwners; count++) {
+				await takeOver();
+			}
 
-		const owner = await own(() => undefined);
-		scheduler.expireLeases(owner, state.now);
-		t.equal(owner.unresolved.has('dark'), strangers > 0);
-	}
-});
+			const owner = await own(() => undefined);
+			scheduler.expireLeases(owner, state.now);
+			t.equal(owner.unresolved.has('dark'), otherOwners > 0);
+		}
+	},
+);
