--- a/packages/daemon/src/jobs/entry/cancel-outcome.ts
+++ b/packages/daemon/src/jobs/entry/cancel-outcome.ts
@@ -1,5 +1,5 @@
-/** What entries tell one another of a cancellation. */
+/** The outcome of a cancellation, as entries report it to each other. */
 
-/** What became of a cancellation. */
+/** Outcome of a cancellation. */
 export type CancelOutcome =
 	'cancelled' | 'unknown-job' | 'store-unavailable' | 'store-unknown';
--- a/packages/daemon/src/jobs/entry/job-service.ts
+++ b/packages/daemon/src/jobs/entry/job-service.ts
@@ -1,6 +1,6 @@
 /**
- * What a caller may ask of an entry: hand a job in, ask for its state, cancel
- * it, count what waits. Any entry answers; what it says is in the store.
+ * The calls that callers make to an entry: submit a job, read its state, cancel
+ * it, and count pending jobs. Any entry serves them.
  */
 import {
 	fail,
@@ -34,13 +34,13 @@
 import type {Routes} from './routes.js';
 import type {Submissions, SubmitOutcome} from './submissions.js';
 
-/** A call's result; an error is answered from the one table. */
+/** A call's result; its error is a kind of the core's error table. */
 export type JobResult<Value> = Result<Value, errors.ErrorKind>;
 
-/** What the service needs. */
+/** Dependencies of the service. */
 export type JobServiceDeps = {
 	readonly routes: Routes;
-	/** Services of a queue, now and before. */
+	/** Present and former services of each queue. */
 	readonly history: Pick<QueueHistory, 'listServices' | 'load'>;
 	readonly submissions: Submissions;
 	readonly owners: OwnerChannel;
@@ -48,7 +48,7 @@
 	readonly clock: Clock;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	readonly metrics: JobMetrics;
-	/** Hands a job in through another entry while the store is away from here. */
+	/** Submits a job through another entry; absent if none answers. */
 	readonly submitThroughPeer: (
 		job: scheduler.AcceptedJob,
 		shard: string,
@@ -62,7 +62,7 @@
 	) => Promise<CancelOutcome | undefined>;
 };
 
-/** The calls of callers. Deadlines are times of the steady clock. */
+/** The calls of callers. Deadlines are milliseconds of the monotonic clock. */
 export type JobService = {
 	readonly submit: (
 		route: QueueRoute,
@@ -79,7 +79,7 @@
 		id: string,
 		deadline: number,
 	) => Promise<JobResult<void>>;
-	/** Cancels through the store from here only, for another entry. */
+	/** Cancels through the local connection to the store, for another entry. */
 	readonly cancelHere: JobService['cancel'];
 	readonly countPending: (route: QueueRoute) => Promise<JobResult<number>>;
 };
@@ -98,7 +98,7 @@
 	return decoded.ok && decoded.value.policy.queue === queue;
 };
 
-/** The state that the rows of a job show. */
+/** Derives the state of a job from its rows. */
 const toState = (
 	progress: StoredRow | undefined,
 	isCancelled: boolean,
@@ -127,8 +127,8 @@
 		.exhaustive();
 
 /**
- * Bound on a submission through the owner, milliseconds: its commit and two
- * ways between daemons, also while the store's answers take 300 ms.
+ * Bound on a submission through the owner, in milliseconds: its commit and one
+ * round trip between daemons.
  */
 const ownerSubmitTimeoutMs = 900;
 
@@ -137,17 +137,18 @@
 const isUnknown = (result: JobResult<unknown>): boolean =>
 	!result.ok && result.error === 'unknown-job';
 
-/** Creates the service of an entry. */
+/** Creates the job service of an entry. */
 export const createJobService = (deps: JobServiceDeps): JobService => {
 	const {routes, submissions, owners, store, clock, logger, metrics} = deps;
 
-	/** Shards that may hold jobs of a queue, the present one in front. */
+	/** Lists the shards that may hold jobs of a queue, the present one first. */
 	const listShards = ({name, service}: QueueRoute): readonly string[] =>
 		deps.history
 			.listServices(name, service)
 			.map((each) => getServiceShard(each));
 
-	const answer = <Value>(
+	/** Logs and counts the outcome of a call. */
+	const recordCall = <Value>(
 		call: string,
 		id: string,
 		startedAt: number,
@@ -182,11 +183,11 @@
 		};
 		const outcome =
 			(await findAccepted(route, job)) ??
-			(await submitAnywhere(shard, job, deadline));
-		return answer('submit', id, startedAt, toResult(outcome));
+			(await submitWithFallbacks(shard, job, deadline));
+		return recordCall('submit', id, startedAt, toResult(outcome));
 	};
 
-	/** A job that was accepted before its queue moved to another service. */
+	/** Finds a job that was accepted before its queue moved to another service. */
 	const findAccepted = async (
 		route: QueueRoute,
 		job: scheduler.AcceptedJob,
@@ -207,17 +208,17 @@
 	};
 
 	/**
-	 * Through the owner first, which stores many in one transaction; then from
-	 * here; then through any other entry. The id makes a second try harmless,
-	 * but after one without an answer nothing may be told as not stored.
+	 * Submits through the owner, which stores many jobs per transaction, then
+	 * directly to the store, then through another entry. Retries are idempotent
+	 * by the job's id, but after a lost answer it is never reported as not stored.
 	 */
-	const submitAnywhere = async (
+	const submitWithFallbacks = async (
 		shard: string,
 		job: scheduler.AcceptedJob,
 		deadline: number,
 	): Promise<SubmitOutcome> => {
-		const getTimeoutMs = (most: number): number =>
-			Math.max(1, Math.min(most, deadline - clock.now()));
+		const getTimeoutMs = (maxMs: number): number =>
+			Math.max(1, Math.min(maxMs, deadline - clock.now()));
 		const first = await owners.submit(
 			shard,
 			job,
@@ -256,7 +257,7 @@
 			periods.storeTimeoutMs,
 		);
 
-	/** The state as the store has it, when no owner answers. */
+	/** Reads the state from the store, for a job that the owner does not report. */
 	const readStored = async (
 		route: QueueRoute,
 		shard: string,
@@ -290,22 +291,22 @@
 		id: string,
 	): Promise<JobResult<scheduler.JobState>> => {
 		const reading = await owners.readJob(shard, route.name, id);
-		// The owner may not have heard of it yet, so absence is looked up.
+		// The owner may not have received the job yet.
 		return reading.kind === 'state'
 			? succeed(reading.state)
 			: readStored(route, shard, id);
 	};
 
 	/**
-	 * Asks the shards that may hold a job one after another. Before it is said
-	 * that there is none, what other entries have seen of the queue is read.
+	 * Asks the shards that may hold a job one after another. Before it answers
+	 * `unknown-job`, it reloads the queue's history, which other entries extend.
 	 */
-	const findIn = async <Value>(
+	const findInShards = async <Value>(
 		route: QueueRoute,
 		ask: (shard: string) => Promise<JobResult<Value>>,
 	): Promise<JobResult<Value>> => {
 		const asked = new Set<string>();
-		const askOthers = async (): Promise<JobResult<Value>> => {
+		const askNewShards = async (): Promise<JobResult<Value>> => {
 			for (const shard of listShards(route)) {
 				const isNew = !asked.has(shard);
 				asked.add(shard);
@@ -318,20 +319,20 @@
 			return unknownJob;
 		};
 
-		const first = await askOthers();
+		const first = await askNewShards();
 		if (!isUnknown(first)) {
 			return first;
 		}
 
-		return (await deps.history.load()) ? askOthers() : fail('job-unread');
+		return (await deps.history.load()) ? askNewShards() : fail('job-unread');
 	};
 
 	const readState: JobService['readState'] = async (route, id) => {
 		const startedAt = clock.now();
-		const result = await findIn(route, async (shard) =>
+		const result = await findInShards(route, async (shard) =>
 			readFrom(route, shard, id),
 		);
-		return answer('state', id, startedAt, result);
+		return recordCall('state', id, startedAt, result);
 	};
 
 	const storeCancel = async (
@@ -341,7 +342,7 @@
 	): Promise<JobResult<void>> => {
 		const key = {table: tables.job, part: shard, key: getCancelKey(row.key)};
 		const put = {...key, value: JSON.stringify({at: clock.epochNow()})};
-		// It changes nothing when carried out twice or late.
+		// Idempotent, also if an earlier try is stored late.
 		while (clock.now() < deadline) {
 			const stored = await store.transact(
 				{checks: [], puts: [put], removes: []},
@@ -362,7 +363,7 @@
 	};
 
 	const cancelHere: JobService['cancel'] = async (route, id, deadline) => {
-		const result = await findIn(route, async (shard) => {
+		const result = await findInShards(route, async (shard) => {
 			const rows = await readJobRows(shard, id);
 			if (!rows.ok) {
 				return fail('store-unavailable');
@@ -378,19 +379,19 @@
 			: result;
 	};
 
-	/** From here if the store serves this entry, else through another. */
+	/** Cancels through the store, or through another entry if that fails. */
 	const cancel: JobService['cancel'] = async (route, id, deadline) => {
 		const startedAt = clock.now();
-		const here = await cancelHere(route, id, deadline);
-		if (here.ok || here.error === 'unknown-job' || clock.now() >= deadline) {
-			return answer('cancel', id, startedAt, here);
+		const local = await cancelHere(route, id, deadline);
+		if (local.ok || local.error === 'unknown-job' || clock.now() >= deadline) {
+			return recordCall('cancel', id, startedAt, local);
 		}
 
 		const timeoutMs = Math.min(periods.storeTimeoutMs, deadline - clock.now());
-		const there = await deps.cancelThroughPeer(route.name, id, timeoutMs);
+		const remote = await deps.cancelThroughPeer(route.name, id, timeoutMs);
 		const result: JobResult<void> =
-			there === 'cancelled' ? succeed(undefined) : fail(there ?? here.error);
-		return answer('cancel', id, startedAt, result);
+			remote === 'cancelled' ? succeed(undefined) : fail(remote ?? local.error);
+		return recordCall('cancel', id, startedAt, result);
 	};
 
 	const countPending: JobService['countPending'] = async (route) => {
@@ -403,13 +404,13 @@
 		let pending = 0;
 		for (const count of counts) {
 			if (count === undefined) {
-				return answer('pending', route.name, startedAt, fail('job-unread'));
+				return recordCall('pending', route.name, startedAt, fail('job-unread'));
 			}
 
 			pending += count;
 		}
 
-		return answer('pending', route.name, startedAt, succeed(pending));
+		return recordCall('pending', route.name, startedAt, succeed(pending));
 	};
 
 	return {submit, readState, cancel, cancelHere, countPending};
--- a/packages/daemon/src/jobs/entry/owner-channel.ts
+++ b/packages/daemon/src/jobs/entry/owner-channel.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry asks of the owner of a shard or tells it: directly if this
- * daemon owns it, else over the peer channel.
+ * An entry's calls to the owner of a shard: in-process if this daemon owns it,
+ * otherwise over the peer channel.
  */
 import type {scheduler} from '@gullstand/core';
 import type {StoredRow} from '@gullstand/ports';
@@ -11,15 +11,16 @@
 import type {LeaseBook} from '../shards/lease-book.js';
 import type {SubmitOutcome} from './submissions.js';
 
-/** What the channel needs. */
+/** Dependencies of the channel. */
 export type OwnerChannelDeps = {
 	readonly book: LeaseBook;
 	readonly peers: Pick<PeerChannel, 'call'>;
 	readonly getLocal: (shard: string) => OwnerRunner | undefined;
 };
 
-/** Calls to owners. Those that fail say `not-owner` or nothing. */
+/** Calls to owners; a failed call resolves to `not-owner` or undefined. */
 export type OwnerChannel = {
+	/** Sends job rows; resolves to whether the owner received them. */
 	readonly sendRows: (
 		shard: string,
 		rows: readonly StoredRow[],
@@ -38,11 +39,12 @@
 		executorId: string,
 		patienceMs: number,
 	) => Promise<scheduler.EvacuationState | undefined>;
+	/** Reports that the platform no longer lists an executor. */
 	readonly reportTerminated: (
 		shard: string,
 		executorId: string,
 	) => Promise<void>;
-	/** Hands a job in through the owner, which stores many at once. */
+	/** Submits a job through the owner, which stores many per transaction. */
 	readonly submit: (
 		shard: string,
 		job: scheduler.AcceptedJob,
@@ -61,15 +63,15 @@
 		return lease?.value.holder ? lease.value.address : undefined;
 	};
 
-	/** Asks the runner here, else the owner; undefined if nobody answers. */
-	const ask = async <Name extends keyof JobPeerMethods>(
+	/** Calls the local runner or the remote owner; undefined if none answers. */
+	const callOwner = async <Name extends keyof JobPeerMethods>(
 		name: Name,
 		params: JobPeerMethods[Name]['params'] & {readonly shard: string},
-		askHere: (local: OwnerRunner) => JobPeerMethods[Name]['result'],
+		callLocal: (local: OwnerRunner) => JobPeerMethods[Name]['result'],
 	): Promise<JobPeerMethods[Name]['result'] | undefined> => {
 		const local = getLocal(params.shard);
 		if (local) {
-			return askHere(local);
+			return callLocal(local);
 		}
 
 		const address = getAddress(params.shard);
@@ -88,46 +90,50 @@
 
 	return {
 		async sendRows(shard, rows) {
-			const answer = await ask('noteRows', {shard, rows}, (local) => {
+			const answer = await callOwner('noteRows', {shard, rows}, (local) => {
 				local.applyRows(rows);
 				return {isOwner: true};
 			});
 			return answer?.isOwner ?? false;
 		},
 		async readJob(shard, queue, id) {
-			const answer = await ask('readJob', {shard, queue, id}, (local) =>
+			const answer = await callOwner('readJob', {shard, queue, id}, (local) =>
 				local.readJob(id, queue),
 			);
 			return answer ?? {kind: 'not-owner'};
 		},
 		async countPending(shard, queue) {
-			const answer = await ask('countPending', {shard, queue}, (local) => ({
-				pending: local.countPending(queue),
-			}));
+			const answer = await callOwner(
+				'countPending',
+				{shard, queue},
+				(local) => ({
+					pending: local.countPending(queue),
+				}),
+			);
 			return answer?.pending;
 		},
 		async evacuate(shard, executorId, patienceMs) {
 			const params = {shard, executorId, patienceMs};
-			const answer = await ask('evacuate', params, (local) => ({
+			const answer = await callOwner('evacuate', params, (local) => ({
 				state: local.evacuate(executorId, patienceMs),
 			}));
 			return answer?.state;
 		},
 		async reportTerminated(shard, executorId) {
-			await ask('noteGone', {shard, executorId}, (local) => {
+			await callOwner('noteGone', {shard, executorId}, (local) => {
 				local.markTerminated(executorId);
 				return {};
 			});
 		},
 		async readLoad(shard) {
-			const answer = await ask('readLoad', {shard}, (local) => ({
+			const answer = await callOwner('readLoad', {shard}, (local) => ({
 				load: local.getLoad(),
 			}));
 			return answer?.load;
 		},
 		async submit(shard, job, timeoutMs) {
 			const address = getAddress(shard);
-			// An owner here has the same store, which did not take the job.
+			// A local owner uses the same store connection, so it cannot help.
 			if (address === undefined || getLocal(shard) !== undefined) {
 				return 'no-owner';
 			}
--- a/packages/daemon/src/jobs/entry/peer-entries.ts
+++ b/packages/daemon/src/jobs/entry/peer-entries.ts
@@ -1,4 +1,4 @@
-/** Asks other daemons to do for this one what the store does not let it do. */
+/** Calls to other entries, for instance while the store refuses this daemon. */
 import type {acknowledgement, scheduler} from '@gullstand/core';
 import type {Logger} from '../../log/logger.js';
 import type {PeerChannel} from '../../peers/peer-channel.js';
@@ -9,73 +9,72 @@
 import type {CancelOutcome} from './cancel-outcome.js';
 import type {SubmitOutcome} from './submissions.js';
 
-/** What is needed to ask. */
+/** Dependencies of the calls. */
 export type PeerEntriesDeps = {
 	readonly self: acknowledgement.EntryLife;
 	readonly members: Members;
-	/** Those that hold shards by the leases, for a daemon that has just started. */
+	/** Lists the shard holders by the leases; a new daemon knows no members. */
 	readonly listHolders: () => readonly ShardHolder[];
 	readonly peers: Pick<PeerChannel, 'call'>;
 	readonly logger: Pick<Logger, 'info'>;
 };
 
-/** The other daemons. */
+/** Calls to other entries. */
 export type PeerEntries = {
-	/** Absent if none answers, so that it is certainly not stored by them. */
+	/** Absent if no entry stored the job or may store it. */
 	readonly submit: (
 		job: scheduler.AcceptedJob,
 		shard: string,
 		timeoutMs: number,
 	) => Promise<SubmitOutcome | undefined>;
-	/** Absent if none answers. */
+	/** Absent if no entry answers or can use the store. */
 	readonly cancel: (
 		queue: string,
 		id: string,
 		timeoutMs: number,
 	) => Promise<CancelOutcome | undefined>;
-	/** Tells holders and candidates that a shard may be claimed. */
+	/** Notifies holders and candidates that a shard may be claimed. */
 	readonly notifyReleased: (shard: string) => void;
-	/** Tells the same that this daemon is stopping and claims nothing. */
+	/** Notifies holders and candidates that this daemon is stopping. */
 	readonly notifyLeaving: () => void;
 };
 
-/** Daemons asked one after another. */
+/** Entries tried one after another. */
 const maxAsked = 2;
 
-/** Daemons told at once: more than there are holders and candidates. */
-const maxTold = 16;
+/** Entries notified: more than there are holders and candidates. */
+const maxNotified = 16;
 
 /** Creates the calls. */
 export const createPeerEntries = (deps: PeerEntriesDeps): PeerEntries => {
 	const {self, members, peers, logger} = deps;
 
-	/**
-	 * Those heard of last in front: without the store, all heartbeats are old
-	 * here and say little.
-	 */
-	const listAddresses = (): readonly ShardHolder[] => {
-		const heard = members.listAll().map((entry) => ({
+	/** Lists the other entries, those with the latest heartbeat first. */
+	const listOthers = (): readonly ShardHolder[] => {
+		const observed = members.listAll().map((entry) => ({
 			entry,
 			address: members.get(entry)?.address ?? '',
 		}));
-		const unheard = deps
+		const unobserved = deps
 			.listHolders()
 			.filter(({entry}) => members.get(entry) === undefined);
-		return [...heard, ...unheard].filter(({entry}) => entry !== self.entry);
+		return [...observed, ...unobserved].filter(
+			({entry}) => entry !== self.entry,
+		);
 	};
 
-	const tellAll = <Name extends 'shardReleased' | 'daemonLeaving'>(
+	const notifyAll = <Name extends 'shardReleased' | 'daemonLeaving'>(
 		method: Name,
 		params: JobPeerMethods[Name]['params'],
 	) => {
-		for (const {address} of listAddresses().slice(0, maxTold)) {
+		for (const {address} of listOthers().slice(0, maxNotified)) {
 			void peers.call(address, method, params, periods.peerTimeoutMs);
 		}
 	};
 
 	return {
 		async submit(job, shard, timeoutMs) {
-			for (const {entry, address} of listAddresses().slice(0, maxAsked)) {
+			for (const {entry, address} of listOthers().slice(0, maxAsked)) {
 				const params = {shard, job, timeoutMs};
 				const answer = await peers.call(
 					address,
@@ -83,7 +82,7 @@
 					params,
 					timeoutMs,
 				);
-				logger.info('job handed in elsewhere', {
+				logger.info('job submitted through peer', {
 					job: job.id,
 					through: entry,
 					outcome: answer.ok ? answer.value.kind : answer.error.kind,
@@ -100,7 +99,7 @@
 			return undefined;
 		},
 		async cancel(queue, id, timeoutMs) {
-			for (const {entry, address} of listAddresses().slice(0, maxAsked)) {
+			for (const {entry, address} of listOthers().slice(0, maxAsked)) {
 				const params = {queue, id, timeoutMs};
 				const answer = await peers.call(
 					address,
@@ -108,7 +107,7 @@
 					params,
 					timeoutMs,
 				);
-				logger.info('job cancelled elsewhere', {
+				logger.info('job cancelled through peer', {
 					job: id,
 					through: entry,
 					outcome: answer.ok ? answer.value.outcome : answer.error.kind,
@@ -121,10 +120,10 @@
 			return undefined;
 		},
 		notifyReleased(shard) {
-			tellAll('shardReleased', {shard});
+			notifyAll('shardReleased', {shard});
 		},
 		notifyLeaving() {
-			tellAll('daemonLeaving', self);
+			notifyAll('daemonLeaving', self);
 		},
 	};
 };
--- a/packages/daemon/src/jobs/entry/queue-history.ts
+++ b/packages/daemon/src/jobs/entry/queue-history.ts
@@ -1,9 +1,8 @@
 /**
- * Services that each queue ever had. A job stays with the service under which
- * it was accepted, so a queue that moves has jobs in several shards. A row in
- * the service's shard says which queues have jobs there; it is stored in one
- * transaction with the first of them, since the queue may move while no entry
- * is up, while it is off the list, or unseen by the entry that is asked.
+ * The services that each queue has ever had. A job stays with the service under
+ * which it was accepted, so a queue that moved has jobs in several shards. A row
+ * in each shard names the queue; it is stored in one transaction with the first
+ * of its jobs, so that no entry has to observe the move itself.
  */
 import type {
 	Configuration,
@@ -20,15 +19,15 @@
 
 /** The history. */
 export type QueueHistory = {
-	/** Reads what all daemons have stored by now; false without an answer. */
+	/** Reads what all daemons have stored; resolves to false on failure. */
 	readonly load: () => Promise<boolean>;
-	/** Takes in a configuration that came into force. */
+	/** Adds the services of a new configuration. */
 	readonly addConfiguration: (configuration: Configuration) => void;
-	/** Services of a queue, the present one in front. */
+	/** Lists the services of a queue, the present one first. */
 	readonly listServices: (queue: string, present: string) => readonly string[];
 };
 
-/** What the history needs. */
+/** Dependencies of the history. */
 export type QueueHistoryDeps = {
 	readonly store: RowStore;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
@@ -36,7 +35,7 @@
 
 const historyTable = 'queue-history';
 
-/** The row that says that a queue has jobs in a shard. */
+/** Creates the row that records that a queue has jobs in a shard. */
 export const createHistoryRow = (shard: string, queue: string): RowPut => ({
 	table: historyTable,
 	part: shard,
@@ -44,10 +43,10 @@
 	value: '{}',
 });
 
-/** In the older form, one row in the shared partition held all services. */
+/** Older form: one row per queue in the shared partition lists all services. */
 const servicesSchema = z.array(z.string());
 
-/** Creates a history that knows nothing. */
+/** Creates an empty history. */
 export const createQueueHistory = ({
 	store,
 	logger,
@@ -58,7 +57,7 @@
 		known.set(queue, new Set([...(known.get(queue) ?? []), ...services]));
 	};
 
-	const takeRow = ({part, key, value, table}: StoredRow) => {
+	const applyRow = ({part, key, value, table}: StoredRow) => {
 		const service = parseServiceShard(part);
 		if (service !== undefined) {
 			add(key, [service]);
@@ -80,7 +79,7 @@
 			periods.storeTimeoutMs,
 		);
 		for (const row of rows.ok ? rows.value.rows : []) {
-			takeRow(row);
+			applyRow(row);
 		}
 
 		return rows.ok;
--- a/packages/daemon/src/jobs/entry/routes.ts
+++ b/packages/daemon/src/jobs/entry/routes.ts
@@ -1,25 +1,25 @@
-/** The configuration in force and the queue that a request names. */
+/** The current configuration and the queue that a request addresses. */
 import type {Configuration, QueueRoute} from '@gullstand/ports';
 
-/** What a host and a path name. */
+/** The queue that a host and a path address. */
 export type RouteMatch =
 	| {
 			readonly kind: 'queue';
 			readonly route: QueueRoute;
-			/** What follows the prefix: a job's id, or nothing. */
+			/** The path after the prefix: a job's id, or empty. */
 			readonly rest: string;
 	  }
 	| {readonly kind: 'unknown-queue'}
-	/** No configuration has been read in this life. */
+	/** This process has not read a configuration yet. */
 	| {readonly kind: 'no-configuration'};
 
-/** The configuration in force. */
+/** Routes of the current configuration. */
 export type Routes = {
-	/** Takes a configuration in force; false if it is not newer. */
+	/** Applies a configuration; returns false if it is not newer. */
 	readonly apply: (configuration: Configuration) => boolean;
 	readonly get: () => Configuration | undefined;
 	readonly match: (host: string, path: string) => RouteMatch;
-	/** The route of a queue in force, by its name. */
+	/** Returns the current route of a queue by its name. */
 	readonly getByName: (queue: string) => QueueRoute | undefined;
 };
 
@@ -28,7 +28,7 @@
 const normalizeHost = (host: string): string =>
 	host.toLowerCase().replace(portSuffix, '');
 
-/** Starts without a configuration; versions never go back in one life. */
+/** Starts without a configuration; its version never decreases. */
 export const createRoutes = (): Routes => {
 	let current: Configuration | undefined;
 	let byHost = new Map<string, QueueRoute[]>();
@@ -47,7 +47,7 @@
 			}
 
 			for (const routes of byHost.values()) {
-				// The longest prefix first.
+				// So that the longest matching prefix wins.
 				routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
 			}
 
--- a/packages/daemon/src/jobs/entry/submission-batch.ts
+++ b/packages/daemon/src/jobs/entry/submission-batch.ts
@@ -1,8 +1,8 @@
-/** Which submissions go together in one transaction. */
+/** Groups submissions into transactions. */
 import type {scheduler} from '@gullstand/core';
 import {getValueBytes, maxValueBytes} from '../rows/transaction-size.js';
 
-/** A submission and the text of its row. */
+/** A submission and the value of its row. */
 export type BatchItem = {
 	readonly job: scheduler.AcceptedJob;
 	readonly text: string;
@@ -10,59 +10,63 @@
 
 /** Submissions for one transaction. */
 export type SubmissionBatch<Item extends BatchItem> = {
-	/** Whether the transaction holds this one, too; an empty one holds any. */
+	/** Whether the item fits into the transaction; it always fits an empty one. */
 	readonly hasRoomFor: (item: Item) => boolean;
 	readonly add: (item: Item) => void;
 	readonly list: () => readonly Item[];
 };
 
 /**
- * Jobs in one transaction; origin: 100 entries and 1 MB a transaction. Each
- * has a check and a row, beside the check of the lease.
+ * Jobs per transaction. The store takes 100 entries and 1 MB; each job has a
+ * check and a row, and the lease has a check.
  */
 const maxJobs = 45;
 
-/** Queues that one transaction tells; origin: the entries that are left. */
-const maxUntold = 100 - 1 - 2 * maxJobs;
+/** Queues that one transaction can record with the remaining entries. */
+const maxUnrecorded = 100 - 1 - 2 * maxJobs;
 
-/** Queues of a batch that are not told in the store yet. */
+/** Lists queues of a batch that the store does not record yet. */
 export const listUnrecordedQueues = (
 	batch: readonly BatchItem[],
-	told: ReadonlySet<string>,
+	recorded: ReadonlySet<string>,
 ): readonly string[] => [
 	...new Set(
-		batch.map(({job}) => job.policy.queue).filter((queue) => !told.has(queue)),
+		batch
+			.map(({job}) => job.policy.queue)
+			.filter((queue) => !recorded.has(queue)),
 	),
 ];
 
 /** Creates an empty batch. */
 export const createBatch = <Item extends BatchItem>(
-	told: ReadonlySet<string>,
+	recorded: ReadonlySet<string>,
 ): SubmissionBatch<Item> => {
 	const items = new Map<string, Item>();
-	const untold = new Set<string>();
+	const unrecorded = new Set<string>();
 	let bytes = 0;
 
 	const hasBytesFor = (text: string): boolean =>
 		items.size === 0 || bytes + getValueBytes(text) <= maxValueBytes;
 
-	// A job that is stored before its queue is told has no owner that is known
-	// once the queue has moved: it would be answered as if it did not exist.
-	const canTell = (queue: string): boolean =>
-		told.has(queue) || untold.has(queue) || untold.size < maxUntold;
+	// If a job were stored before its queue was recorded, it could not be found
+	// once the queue had moved.
+	const canRecord = (queue: string): boolean =>
+		recorded.has(queue) ||
+		unrecorded.has(queue) ||
+		unrecorded.size < maxUnrecorded;
 
 	return {
 		hasRoomFor: ({job, text}) =>
 			items.size < maxJobs &&
 			!items.has(job.id) &&
 			hasBytesFor(text) &&
-			canTell(job.policy.queue),
+			canRecord(job.policy.queue),
 		add(item) {
 			const {id, policy} = item.job;
 			items.set(id, item);
 			bytes += getValueBytes(item.text);
-			if (!told.has(policy.queue)) {
-				untold.add(policy.queue);
+			if (!recorded.has(policy.queue)) {
+				unrecorded.add(policy.queue);
 			}
 		},
 		list: () => [...items.values()],
