--- a/packages/daemon/src/jobs/entry/queue-history.test.ts
+++ b/packages/daemon/src/jobs/entry/queue-history.test.ts
@@ -1,8 +1,6 @@
 /**
- * A job stays with the service under which it was accepted, so an entry has to
- * know all services that its queue ever had. One that learns of a queue's
- * service only by seeing it change answers that a job does not exist, if the
- * change came while no entry was up, or while the queue was off the list.
+ * Guards against jobs reported as unknown after their queue has moved to another
+ * service, also if no entry observed the move.
  */
 import {
 	createMemoryRowStore,
@@ -54,7 +52,7 @@
 
 type HistoryCase = {
 	readonly name: string;
-	/** Brings about the change; answers the entry that is asked then. */
+	/** Makes the change; returns the entry to ask afterwards. */
 	readonly change: (
 		platform: TestPlatform,
 		before: JobDaemon,
@@ -64,7 +62,7 @@
 
 const historyCases: readonly HistoryCase[] = [
 	{
-		name: 'while no entry is up',
+		name: 'while no entry is running',
 		async change(platform, before, start) {
 			await before.stop();
 			put(platform, withRoutes(2, [moved]));
@@ -72,7 +70,7 @@
 		},
 	},
 	{
-		name: 'while the queue is off the list',
+		name: 'while the configuration does not list it',
 		async change(platform, before) {
 			put(platform, withRoutes(2, []));
 			await waitForVersion(before, 2);
@@ -105,7 +103,7 @@
 	});
 }
 
-tap.t.test('a history is read from the rows of both forms', async (t) => {
+tap.t.test('a history is read from rows of both formats', async (t) => {
 	const store = createMemoryRowStore();
 	const old = {table: 'queue-history', part: '', key: 'q'};
 	const puts = [
@@ -120,7 +118,7 @@
 	t.same(history.listServices('other', 'two'), ['two', 'three']);
 });
 
-tap.t.test('those who ask at once share two reads at most', async (t) => {
+tap.t.test('concurrent loads share at most two reads', async (t) => {
 	const inner = createMemoryRowStore();
 	let reads = 0;
 	const store = {
@@ -132,8 +130,7 @@
 	};
 	const history = createQueueHistory({store, logger: noLogger});
 	const first = history.load();
-	// Stored after the first read began: the others must not be told of it by
-	// what that one has seen.
+	// The first read may have missed this row, so later loads must not share it.
 	await inner.transact(
 		{checks: [], puts: [createHistoryRow('service/s', 'q')], removes: []},
 		1000,
@@ -152,7 +149,7 @@
 });
 
 tap.t.test(
-	'what another entry has stored is read before a refusal',
+	'rows of other entries are read before a job is reported as unknown',
 	async (t) => {
 		const platform = createTestPlatform(['x']);
 		const daemon = await startDaemon(platform, 'a', (err) => {
--- a/packages/daemon/src/jobs/entry/submissions.test.ts
+++ b/packages/daemon/src/jobs/entry/submissions.test.ts
@@ -16,7 +16,7 @@
 
 const [step] = job.spec.steps;
 
-/** The same fields in another order, and those without a value left out. */
+/** The same fields in another order, without undefined ones. */
 const reorder = (fields: object): object =>
 	Object.fromEntries(
 		Object.entries(fields)
@@ -26,7 +26,7 @@
 
 const cases = [
 	['itself', job, true],
-	['handed in later', {...job, acceptedAtEpochMs: 99}, true],
+	['submitted later', {...job, acceptedAtEpochMs: 99}, true],
 	[
 		'with its fields in another order',
 		{
@@ -58,7 +58,7 @@
 	});
 }
 
-/** Submissions over a store that answers. */
+/** Submissions to a responsive store. */
 const openSubmissions = (store: ports.RowStore) =>
 	createSubmissions({
 		store,
@@ -73,10 +73,10 @@
 		onStored: () => undefined,
 	});
 
-/** Entries of one transaction, checks too; origin: the store's interface. */
-const mostEntries = 100;
+/** Entries per transaction, including checks; origin: the store's interface. */
+const maxEntries = 100;
 
-tap.t.test('a commit holds no more than the store takes', async (t) => {
+tap.t.test('a commit fits into one transaction of the store', async (t) => {
 	const store = ports.createMemoryRowStore();
 	const sizes: number[] = [];
 	const submissions = openSubmissions({
@@ -98,16 +98,13 @@
 	);
 	t.ok(outcomes.every(({kind}) => kind === 'accepted'));
 	t.ok(
-		sizes.every((size) => size <= mostEntries),
+		sizes.every((size) => size <= maxEntries),
 		sizes.join(', '),
 	);
 });
 
-/**
- * A job whose queue is not told has no owner that is known after the queue
- * moved: it is answered as if it did not exist.
- */
-tap.t.test('no job is stored before its queue is told', async (t) => {
+/** Without the record of its queue, a job is not found once the queue moved. */
+tap.t.test('no job is stored before its queue is recorded', async (t) => {
 	const store = ports.createMemoryRowStore();
 	const submissions = openSubmissions(store);
 	const queues = Array.from({length: 40}, (_, index) => `queue-${index}`);
@@ -121,17 +118,17 @@
 		),
 	);
 	t.equal(store.list('job').length, queues.length);
-	const told = store.list('queue-history').map(({key}) => key);
-	t.same(told.toSorted(), queues.toSorted());
+	const recorded = store.list('queue-history').map(({key}) => key);
+	t.same(recorded.toSorted(), queues.toSorted());
 });
 
 /**
- * Bytes that a link of 7 Mbit/s carries while a commit is waited for, 800 ms.
+ * Bytes that a link of 7 Mbit/s carries within the timeout of a commit, 800 ms.
  * Values are sent in base64.
  */
-const mostBytes = 700_000;
+const maxBytes = 700_000;
 
-tap.t.test('a commit arrives in time over a thin link', async (t) => {
+tap.t.test('a commit arrives in time over a slow link', async (t) => {
 	const store = ports.createMemoryRowStore();
 	const sizes: number[] = [];
 	const submissions = openSubmissions({
@@ -142,12 +139,12 @@
 				0,
 			);
 			sizes.push(bytes);
-			return bytes > mostBytes
+			return bytes > maxBytes
 				? {ok: false, error: {kind: 'timeout'}}
 				: store.transact(transaction, timeoutMs);
 		},
 	});
-	// As many steps, and as much text, as a job may have.
+	// The largest job allowed.
 	const spec = createJobSpec();
 	const {maxSteps, maxPayloadBytes} = scheduler.jobLimits;
 	const large = {
@@ -166,29 +163,29 @@
 	);
 	t.ok(outcomes.every(({kind}) => kind === 'accepted'));
 	t.ok(
-		sizes.every((size) => size <= mostBytes),
+		sizes.every((size) => size <= maxBytes),
 		sizes.join(', '),
 	);
 });
 
 const shard = getServiceShard('s');
 
-/** Later than any of these cases takes, in milliseconds. */
-const farAway = 60_000;
+/** A deadline that no case reaches, in milliseconds. */
+const distantDeadline = 60_000;
 
-const createWorld = () => {
+const createHarness = () => {
 	const inner = ports.createMemoryRowStore();
 	/** Ids of the jobs in each transaction that was sent. */
 	const sent: string[][] = [];
-	let beforeNext: () => Promise<void> | void = () => undefined;
-	const world = {
+	let beforeTransact: () => Promise<void> | void = () => undefined;
+	const harness = {
 		sent,
 		state: {now: 0},
-		/** Runs while each transaction is under way. */
-		onTransact(action: typeof beforeNext) {
-			beforeNext = action;
+		/** Sets the action that runs while each transaction is under way. */
+		onTransact(action: typeof beforeTransact) {
+			beforeTransact = action;
 		},
-		/** Another entry stores a job. */
+		/** Stores a job as another entry would. */
 		async storeElsewhere(id: string) {
 			await inner.transact(
 				{
@@ -203,7 +200,7 @@
 					],
 					removes: [],
 				},
-				farAway,
+				distantDeadline,
 			);
 		},
 	};
@@ -213,7 +210,7 @@
 			async transact(transaction, timeoutMs) {
 				const jobs = transaction.puts.filter(({table}) => table === tables.job);
 				sent.push(jobs.map(({key}) => key));
-				await beforeNext();
+				await beforeTransact();
 				return inner.transact(transaction, timeoutMs);
 			},
 		},
@@ -223,43 +220,43 @@
 			onChange: () => undefined,
 		}),
 		isStoreUnresponsive: () => false,
-		now: () => world.state.now,
+		now: () => harness.state.now,
 		logger: noLogger,
 		onStored: () => undefined,
 	});
-	const submitJob = async (each: typeof job, deadline = farAway) =>
+	const submitJob = async (each: typeof job, deadline = distantDeadline) =>
 		submissions.submit(shard, each, deadline);
 	const submit = async (id: string, deadline?: number) =>
 		submitJob({...job, id}, deadline);
-	return {...world, submit, submitJob};
+	return {...harness, submit, submitJob};
 };
 
 tap.t.test(
-	'jobs that come with repeats of others are stored by the next transaction',
+	'jobs batched with repeats of others are stored by the next transaction',
 	async (t) => {
-		const world = createWorld();
+		const harness = createHarness();
 		for (const index of [0, 1, 2, 3, 4, 5]) {
-			await world.storeElsewhere(`r${index}`);
+			await harness.storeElsewhere(`r${index}`);
 		}
 
-		// One repeat more comes in while each transaction is under way.
+		// Another repeat is submitted while each transaction is under way.
 		const repeats = ['r1', 'r2', 'r3', 'r4', 'r5'];
 		const outcomes: Array<Promise<unknown>> = [];
-		world.onTransact(() => {
+		harness.onTransact(() => {
 			const next = repeats.shift();
 			if (next !== undefined) {
-				outcomes.push(world.submit(next));
+				outcomes.push(harness.submit(next));
 			}
 		});
-		const first = world.submit('first');
-		const [repeat, fresh] = [world.submit('r0'), world.submit('fresh')];
+		const first = harness.submit('first');
+		const [repeat, fresh] = [harness.submit('r0'), harness.submit('fresh')];
 		t.same(await first, {kind: 'accepted', isRepeat: false});
 		t.same(await repeat, {kind: 'accepted', isRepeat: true});
 		t.same(await fresh, {kind: 'accepted', isRepeat: false});
 		t.equal(
-			world.sent.filter((ids) => ids.includes('fresh')).length,
+			harness.sent.filter((ids) => ids.includes('fresh')).length,
 			2,
-			'one that failed for the repeat and one more',
+			'one that failed because of the repeat and one retry',
 		);
 		for (const outcome of await Promise.all(outcomes)) {
 			t.same(outcome, {kind: 'accepted', isRepeat: true});
@@ -267,19 +264,19 @@
 	},
 );
 
-tap.t.test('many repeats do not get the others refused', async (t) => {
-	const world = createWorld();
+tap.t.test('other jobs are accepted despite many repeats', async (t) => {
+	const harness = createHarness();
 	const ids = ['a', 'b', 'c', 'd', 'e', 'f'];
 	const late = [...ids];
-	// Each is stored by another entry just before the transaction with it.
-	world.onTransact(async () => {
+	// Another entry stores each just before the transaction that contains it.
+	harness.onTransact(async () => {
 		const next = late.shift();
 		if (next !== undefined) {
-			await world.storeElsewhere(next);
+			await harness.storeElsewhere(next);
 		}
 	});
 	const outcomes = await Promise.all(
-		[...ids, 'fresh'].map(async (id) => world.submit(id)),
+		[...ids, 'fresh'].map(async (id) => harness.submit(id)),
 	);
 	t.same(
 		outcomes.map(({kind}) => kind),
@@ -287,34 +284,34 @@
 	);
 });
 
-tap.t.test('a job that was handed in twice is sent once', async (t) => {
-	const world = createWorld();
-	const first = world.submit('first');
-	const twice = [world.submit('a'), world.submit('a')];
+tap.t.test('a job that was submitted twice is sent once', async (t) => {
+	const harness = createHarness();
+	const first = harness.submit('first');
+	const twice = [harness.submit('a'), harness.submit('a')];
 	await first;
 	t.same(await Promise.all(twice), [
 		{kind: 'accepted', isRepeat: false},
 		{kind: 'accepted', isRepeat: true},
 	]);
-	t.same(await world.submit('a'), {kind: 'accepted', isRepeat: true});
-	t.same(world.sent, [['first'], ['a']]);
+	t.same(await harness.submit('a'), {kind: 'accepted', isRepeat: true});
+	t.same(harness.sent, [['first'], ['a']]);
 });
 
-tap.t.test('another job under the id of a stored one', async (t) => {
-	const world = createWorld();
-	await world.submit('a');
+tap.t.test('another job under the id of a stored one conflicts', async (t) => {
+	const harness = createHarness();
+	await harness.submit('a');
 	const other = {...job, id: 'a', spec: {...job.spec, payload: 'x'}};
-	t.same(await world.submitJob(other), {kind: 'conflict'});
-	t.same(world.sent, [['a']]);
+	t.same(await harness.submitJob(other), {kind: 'conflict'});
+	t.same(harness.sent, [['a']]);
 });
 
-tap.t.test('a job whose caller has given up is not sent', async (t) => {
-	const world = createWorld();
-	world.onTransact(() => {
-		world.state.now = 1000;
+tap.t.test('a job past its deadline is not sent', async (t) => {
+	const harness = createHarness();
+	harness.onTransact(() => {
+		harness.state.now = 1000;
 	});
-	const [first, late] = [world.submit('first'), world.submit('late', 900)];
+	const [first, late] = [harness.submit('first'), harness.submit('late', 900)];
 	t.same(await first, {kind: 'accepted', isRepeat: false});
 	t.same(await late, {kind: 'not-stored'});
-	t.same(world.sent, [['first']]);
+	t.same(harness.sent, [['first']]);
 });
--- a/packages/daemon/src/jobs/entry/submissions.ts
+++ b/packages/daemon/src/jobs/entry/submissions.ts
@@ -1,7 +1,7 @@
 /**
- * Accepts jobs: a job is accepted once its row is in the store. Jobs that come
- * while a transaction is under way go together in the next one. Each checks
- * the lease row, so that a job belongs to the owner that is told of it.
+ * Accepts jobs: a job is accepted once its row is in the store. Jobs submitted
+ * while a transaction is under way are batched into the next one. Each
+ * transaction checks the lease row, so that the right owner is notified.
  */
 import {type scheduler} from '@gullstand/core';
 import type {RowPut, RowStore, StoredRow} from '@gullstand/ports';
@@ -18,32 +18,32 @@
 import {createHistoryRow} from './queue-history.js';
 import {createBatch, listUnrecordedQueues} from './submission-batch.js';
 
-/** What became of a submission. */
+/** Outcome of a submission. */
 export type SubmitOutcome =
-	/** It is stored, now or by an earlier request. */
+	/** The job is stored, by this request or by an earlier one. */
 	| {readonly kind: 'accepted'; readonly isRepeat: boolean}
-	/** Another job lies under this id. */
+	/** Another job is stored under this id. */
 	| {readonly kind: 'conflict'}
-	/** Certainly not stored, and never will be. */
+	/** The job is certainly not stored and will not be later. */
 	| {readonly kind: 'not-stored'}
-	/** It may be stored, or may be yet. */
+	/** The job may be stored already or may still be. */
 	| {readonly kind: 'unknown'};
 
-/** What the submissions need. */
+/** Dependencies of the submissions. */
 export type SubmissionsDeps = {
 	readonly store: RowStore;
 	readonly book: LeaseBook;
-	/** The store does not answer: nothing is sent to it. */
+	/** Whether the store is unresponsive, so that nothing should be sent to it. */
 	readonly isStoreUnresponsive: () => boolean;
 	readonly now: () => number;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
-	/** Rows that were stored, to be told to the owner. */
+	/** Called with stored rows, to notify the owner of them. */
 	readonly onStored: (shard: string, rows: readonly StoredRow[]) => void;
 };
 
 /** Accepts jobs. */
 export type Submissions = {
-	/** Resolves by the deadline, in milliseconds of the steady clock. */
+	/** Resolves by the deadline, in milliseconds of the monotonic clock. */
 	readonly submit: (
 		shard: string,
 		job: scheduler.AcceptedJob,
@@ -52,24 +52,23 @@
 };
 
 /**
- * Bound on a commit: shorter than other calls, since a caller waits and can
- * try another entry; the store's slowest answers take 300 ms.
+ * Bound on a commit, in milliseconds; shorter than for other calls, since the
+ * caller waits and can try another entry.
  */
 const commitTimeoutMs = 800;
 
-/** Pause before a commit whose answer was lost is asked about again ... */
-const readBackMs = 100;
+/** Pause between reads of a job whose commit had no answer, in milliseconds. */
+const readBackPauseMs = 100;
 
-/** ... and how long it is asked about; the caller then tries again. */
+/** Time for which such a job is read, in milliseconds; the caller then retries. */
 const maxReadBackMs = 500;
 
-/** Commits that may be tried anew after a conflict that settles no job. */
+/** Commits of a job, not counting those whose conflict settled another job. */
 const maxTries = 4;
 
 /**
- * Jobs whose text is kept after they were stored. A caller that repeats one
- * does so within seconds; 1,000 are 5 s of the fastest rises seen and, at some
- * 1 KB each, 1 MB.
+ * Stored jobs whose text is cached to recognize repeats, which callers send
+ * within seconds; about 1 MB at 1 KB per job.
  */
 const maxRecent = 1000;
 
@@ -78,7 +77,7 @@
 	readonly text: string;
 	readonly deadline: number;
 	tries: number;
-	/** An earlier commit of it had no answer. */
+	/** Whether an earlier commit of it had no answer. */
 	mayBeStored: boolean;
 	readonly settle: (outcome: SubmitOutcome) => void;
 };
@@ -86,20 +85,20 @@
 type Queue = {
 	waiting: Waiting[];
 	isBusy: boolean;
-	/** Queues whose jobs in this shard are told in the store. */
-	readonly told: Set<string>;
+	/** Queues that the store records as having jobs in this shard. */
+	readonly recorded: Set<string>;
 };
 
 const getRecentKey = (shard: string, id: string): string => `${shard}\n${id}`;
 
-/** The text of what is asked for, with the fields in one order. */
+/** Text of the requested job, with its fields in a fixed order. */
 const toCanonicalText = (job: scheduler.AcceptedJob): string => {
 	const decoded = decodeRow(jobSchema, JSON.stringify(job));
 	const {policy, spec} = decoded.ok ? decoded.value : job;
 	return JSON.stringify([policy.queue, spec]);
 };
 
-/** Whether two submissions ask for the same job, whatever the policy now. */
+/** Whether two submissions request the same job, regardless of the policy. */
 export const isSameJob = (
 	one: scheduler.AcceptedJob,
 	two: scheduler.AcceptedJob,
@@ -109,10 +108,10 @@
 export const createSubmissions = (deps: SubmissionsDeps): Submissions => {
 	const {store, book, now, logger} = deps;
 	const queues = new Map<string, Queue>();
-	/** Texts of jobs stored lately, by shard and id, the oldest in front. */
+	/** Texts of recently stored jobs by shard and id, the oldest first. */
 	const recent = new Map<string, string>();
 
-	const remember = (shard: string, id: string, text: string) => {
+	const cacheText = (shard: string, id: string, text: string) => {
 		recent.set(getRecentKey(shard, id), text);
 		if (recent.size > maxRecent) {
 			const [oldest = ''] = recent.keys();
@@ -134,8 +133,8 @@
 		key: job.id,
 	});
 
-	/** Settles those that lie in the store already; answers the others. */
-	const takeConflict = (
+	/** Applies the rows of a conflict; settles stored jobs, returns the others. */
+	const settleStored = (
 		shard: string,
 		batch: readonly Waiting[],
 		rows: readonly StoredRow[],
@@ -153,7 +152,7 @@
 			const row = stored.get(waiting.job.id);
 			if (row) {
 				deps.onStored(shard, [row]);
-				remember(shard, row.key, row.value);
+				cacheText(shard, row.key, row.value);
 				settleByText(waiting, row.value);
 			}
 
@@ -161,6 +160,7 @@
 		});
 	};
 
+	/** Reads a job after a lost answer; settles it if it is stored. */
 	const readBack = async (
 		shard: string,
 		waiting: Waiting,
@@ -180,20 +180,21 @@
 		return true;
 	};
 
-	/** After a lost answer: it may be stored seconds later, so no refusal. */
+	/** After a lost answer: the job may still be stored later, so `unknown`. */
 	const settleLost = async (shard: string, waiting: Waiting) => {
 		const until = Math.min(waiting.deadline, now() + maxReadBackMs);
-		while (now() + readBackMs < until) {
+		while (now() + readBackPauseMs < until) {
 			if (await readBack(shard, waiting)) {
 				return;
 			}
 
-			await delay(readBackMs);
+			await delay(readBackPauseMs);
 		}
 
 		waiting.settle({kind: 'unknown'});
 	};
 
+	/** Settles a job that will not be sent again. */
 	const refuse = (waiting: Waiting) => {
 		waiting.settle({
 			kind: waiting.mayBeStored ? 'unknown' : 'not-stored',
@@ -203,40 +204,40 @@
 	const refuseAll = async (batch: readonly Waiting[]) => {
 		logger.info('jobs not sent to the store', {
 			jobs: batch.map(({job}) => job.id),
-			reason: 'it does not answer',
+			reason: 'the store is unresponsive',
 		});
 		for (const waiting of batch) {
 			refuse(waiting);
 		}
 	};
 
-	/** Those of a batch that may be sent once more; the others are refused. */
-	const listNextTry = (batch: readonly Waiting[]): readonly Waiting[] =>
+	/** Returns the jobs of a batch that may be sent again; refuses the others. */
+	const listRetries = (batch: readonly Waiting[]): readonly Waiting[] =>
 		batch.filter((waiting) => {
 			waiting.tries += 1;
-			const mayTry = waiting.tries < maxTries;
-			if (!mayTry) {
+			const mayRetry = waiting.tries < maxTries;
+			if (!mayRetry) {
 				refuse(waiting);
 			}
 
-			return mayTry;
+			return mayRetry;
 		});
 
 	/**
-	 * Jobs of a batch that are left after a conflict. One repeat fails a whole
-	 * transaction, so a conflict that settled some is not held against the
-	 * others: under load each batch has a repeat, and they were refused.
+	 * Returns the jobs of a batch to send again after a conflict. One repeated
+	 * job fails the whole transaction, so a conflict that settled a job does not
+	 * count as a try of the others.
 	 */
-	const listLeft = (
+	const listUnsettled = (
 		shard: string,
 		batch: readonly Waiting[],
 		rows: readonly StoredRow[],
 	): readonly Waiting[] => {
-		const left = takeConflict(shard, batch, rows);
-		return left.length < batch.length ? left : listNextTry(left);
+		const unsettled = settleStored(shard, batch, rows);
+		return unsettled.length < batch.length ? unsettled : listRetries(unsettled);
 	};
 
-	/** Sends a batch; answers the jobs that are to be sent once more. */
+	/** Sends a batch; returns the jobs to send again. */
 	const commit = async (
 		shard: string,
 		batch: readonly Waiting[],
@@ -245,8 +246,8 @@
 			...keyOf(shard, waiting),
 			value: waiting.text,
 		}));
-		const {told} = getQueue(shard);
-		const untold = listUnrecordedQueues(batch, told);
+		const {recorded} = getQueue(shard);
+		const unrecorded = listUnrecordedQueues(batch, recorded);
 		const result = await store.transact(
 			{
 				checks: [
@@ -260,7 +261,7 @@
 				],
 				puts: [
 					...puts,
-					...untold.map((queue) => createHistoryRow(shard, queue)),
+					...unrecorded.map((queue) => createHistoryRow(shard, queue)),
 				],
 				removes: [],
 			},
@@ -268,8 +269,8 @@
 		);
 		if (result.ok) {
 			const {version} = result.value;
-			for (const queue of untold) {
-				told.add(queue);
+			for (const queue of unrecorded) {
+				recorded.add(queue);
 			}
 
 			deps.onStored(
@@ -277,7 +278,7 @@
 				puts.map((put) => ({...put, version})),
 			);
 			for (const {job, text, settle} of batch) {
-				remember(shard, job.id, text);
+				cacheText(shard, job.id, text);
 				settle({kind: 'accepted', isRepeat: false});
 			}
 
@@ -290,7 +291,7 @@
 			reason: result.error.kind,
 		});
 		if (result.error.kind === 'conflict') {
-			return listLeft(shard, batch, result.error.rows);
+			return listUnsettled(shard, batch, result.error.rows);
 		}
 
 		for (const waiting of batch) {
@@ -305,7 +306,7 @@
 		return [];
 	};
 
-	/** Settles what needs no transaction; false if the job must be sent. */
+	/** Settles a job without a transaction; returns false if it must be sent. */
 	const settleUnsent = (shard: string, waiting: Waiting): boolean => {
 		const text = recent.get(getRecentKey(shard, waiting.job.id));
 		if (text !== undefined) {
@@ -313,7 +314,7 @@
 			return true;
 		}
 
-		// Its entry has sent it by itself since: here it would be a repeat.
+		// The entry that passed it on has tried another way since.
 		const isLate = now() >= waiting.deadline;
 		if (isLate) {
 			refuse(waiting);
@@ -322,9 +323,9 @@
 		return isLate;
 	};
 
-	/** Takes jobs to send; one that waits twice comes when the first is done. */
+	/** Removes the next batch from the queue; a repeated id waits for a later one. */
 	const takeBatch = (shard: string, queue: Queue): readonly Waiting[] => {
-		const batch = createBatch<Waiting>(queue.told);
+		const batch = createBatch<Waiting>(queue.recorded);
 		const later: Waiting[] = [];
 		for (const waiting of queue.waiting) {
 			if (!batch.hasRoomFor(waiting)) {
@@ -338,17 +339,17 @@
 		return batch.list();
 	};
 
-	/** Nothing joins what is sent again: it may bring the next repeat. */
+	/** Sends a batch until all is settled; adds no jobs, which may be repeats. */
 	const sendBatch = async (shard: string, batch: readonly Waiting[]) => {
-		let left = batch;
-		while (left.length > 0) {
+		let unsettled = batch;
+		while (unsettled.length > 0) {
 			if (deps.isStoreUnresponsive()) {
-				await refuseAll(left);
+				await refuseAll(unsettled);
 				return;
 			}
 
-			const next = await commit(shard, left);
-			left = next.filter((waiting) => !settleUnsent(shard, waiting));
+			const retries = await commit(shard, unsettled);
+			unsettled = retries.filter((waiting) => !settleUnsent(shard, waiting));
 		}
 	};
 
@@ -365,7 +366,7 @@
 		const known = queues.get(shard) ?? {
 			waiting: [],
 			isBusy: false,
-			told: new Set(),
+			recorded: new Set(),
 		};
 		queues.set(shard, known);
 		return known;
