--- a/packages/daemon/src/jobs/background.ts
+++ b/packages/daemon/src/jobs/background.ts
@@ -1,4 +1,4 @@
-/** Work that goes on by itself while its part runs. */
+/** Background work of a supervised part. */
 import type {ReportFailure} from '../supervisor/supervisor.js';
 
 const runAndReport = async (
@@ -12,7 +12,7 @@
 	}
 };
 
-/** Begins work; an error that it throws is reported to the supervisor. */
+/** Starts work without awaiting it; reports an error to the supervisor. */
 export const runInBackground = (
 	work: () => Promise<void>,
 	reportFailure: ReportFailure,
--- a/packages/daemon/src/jobs/coalesce-calls.ts
+++ b/packages/daemon/src/jobs/coalesce-calls.ts
@@ -1,8 +1,9 @@
-/** One call for many that ask at once. */
+/** Coalesces concurrent calls. */
 
 /**
- * Shares calls of a function. Whoever asks while one is under way shares the
- * next one: what is under way may not have seen what the asker has.
+ * Returns a function that coalesces calls of `call`. Callers that come while a
+ * call is under way share the next one, since the present one may miss changes
+ * that precede their request.
  */
 export const coalesceCalls = <Value>(
 	call: () => Promise<Value>,
@@ -20,8 +21,8 @@
 		}
 	};
 
-	const startAfter = async (before: Promise<Value>): Promise<Value> => {
-		await Promise.allSettled([before]);
+	const startAfter = async (current: Promise<Value>): Promise<Value> => {
+		await Promise.allSettled([current]);
 		return start();
 	};
 
--- a/packages/daemon/src/jobs/executor-list.test.ts
+++ b/packages/daemon/src/jobs/executor-list.test.ts
@@ -1,4 +1,4 @@
-/** The list of executors, with entries of other writers. */
+/** Guards the list against registry entries that other programs wrote. */
 import type {scheduler} from '@gullstand/core';
 import type {FeedEntry} from '@gullstand/ports';
 import * as tap from 'tap';
@@ -9,7 +9,10 @@
 
 type Entry = FeedEntry<scheduler.ListedExecutor>;
 
-const sound = (key: string): Entry => ({key, value: createListedExecutor(key)});
+const readable = (key: string): Entry => ({
+	key,
+	value: createListedExecutor(key),
+});
 
 const ofService = (key: string, service: string): Entry => ({
 	key,
@@ -22,7 +25,7 @@
 	problem: 'no address',
 });
 
-const gone = (key: string): Entry => ({key, value: undefined});
+const removed = (key: string): Entry => ({key, value: undefined});
 
 const read = (list: ExecutorList, ...entries: readonly Entry[]) => {
 	list.applyChanges({entries, version: 1});
@@ -36,84 +39,84 @@
 	readonly name: string;
 	readonly steps: (list: ExecutorList) => void;
 	readonly listed: readonly string[];
-	readonly told: readonly string[];
+	readonly reported: readonly string[];
 }> = [
 	{
-		name: 'one that cannot be read is not listed, the others are',
+		name: 'an unreadable entry is not listed, the others are',
 		steps(list) {
-			readWhole(list, sound('a'), unreadable('b'), sound('c'));
+			readWhole(list, readable('a'), unreadable('b'), readable('c'));
 		},
 		listed: ['a', 'c'],
-		told: ['b'],
+		reported: ['b'],
 	},
 	{
-		name: 'one that cannot be read any more is off the list',
+		name: 'an entry that becomes unreadable is removed',
 		steps(list) {
-			readWhole(list, sound('a'), sound('b'));
+			readWhole(list, readable('a'), readable('b'));
 			read(list, unreadable('b'));
 		},
 		listed: ['a'],
-		told: ['b'],
+		reported: ['b'],
 	},
 	{
-		name: 'it is told once, also when all is read again',
+		name: 'it is reported once, also if the list is read again',
 		steps(list) {
 			readWhole(list, unreadable('b'));
 			read(list, unreadable('b'));
-			readWhole(list, sound('a'), unreadable('b'));
+			readWhole(list, readable('a'), unreadable('b'));
 		},
 		listed: ['a'],
-		told: ['b'],
+		reported: ['b'],
 	},
 	{
-		name: 'it is listed once it can be read',
+		name: 'it is listed once it is readable',
 		steps(list) {
 			readWhole(list, unreadable('b'));
-			read(list, sound('b'));
+			read(list, readable('b'));
 		},
 		listed: ['b'],
-		told: ['b'],
+		reported: ['b'],
 	},
 	{
-		name: 'it is told again after it was sound, or gone',
+		name: 'it is reported again after it was readable or removed',
 		steps(list) {
 			readWhole(list, unreadable('b'));
-			read(list, sound('b'), unreadable('b'));
-			read(list, gone('b'), unreadable('b'));
+			read(list, readable('b'), unreadable('b'));
+			read(list, removed('b'), unreadable('b'));
 			readWhole(list);
 			readWhole(list, unreadable('b'));
 		},
 		listed: [],
-		told: ['b', 'b', 'b', 'b'],
+		reported: ['b', 'b', 'b', 'b'],
 	},
 	{
-		name: 'one that is gone is no fault',
+		name: 'a removed entry is not reported',
 		steps(list) {
-			readWhole(list, sound('a'));
-			read(list, gone('a'), gone('never seen'));
+			readWhole(list, readable('a'));
+			read(list, removed('a'), removed('never seen'));
 		},
 		listed: [],
-		told: [],
+		reported: [],
 	},
 	{
-		name: 'one of an unknown service is told and waits for its service',
+		name: 'an entry of an unknown service is reported and listed',
 		steps(list) {
 			readWhole(list, ofService('b', 'of nobody'));
 			read(list, ofService('b', 'of nobody'));
 		},
 		listed: ['b'],
-		told: ['b'],
+		reported: ['b'],
 	},
 ];
 
-for (const {name, steps, listed, told} of cases) {
+for (const {name, steps, listed, reported} of cases) {
 	tap.t.test(name, (t) => {
-		const lines: string[] = [];
+		const reportedKeys: string[] = [];
 		const rowFaults = createRowFaults({
 			metrics: createJobMetrics(),
 			logger: {
 				warn(...[, row]: unknown[]) {
-					lines.push((row as UnreadableRow).key);
+					reportedKeys.push((row as UnreadableRow).key);
 					return undefined as never;
 				},
 			},
@@ -127,7 +130,7 @@
 			list.list().map(({id}) => id),
 			listed,
 		);
-		t.same(lines, told);
+		t.same(reportedKeys, reported);
 		t.end();
 	});
 }
--- a/packages/daemon/src/jobs/executor-list.ts
+++ b/packages/daemon/src/jobs/executor-list.ts
@@ -1,30 +1,30 @@
-/** Executors as the registry lists them. */
+/** Executors that the registry lists. */
 import type {scheduler} from '@gullstand/core';
 import type {FeedBatch, FeedEntry} from '@gullstand/ports';
 import type {RowFaults} from './rows/row-faults.js';
 
-/** The list. */
+/** The list of executors. */
 export type ExecutorList = {
 	readonly applyWhole: (batch: FeedBatch<scheduler.ListedExecutor>) => void;
 	readonly applyChanges: (batch: FeedBatch<scheduler.ListedExecutor>) => void;
 	readonly list: () => readonly scheduler.ListedExecutor[];
 };
 
-/** What the list needs. */
+/** Dependencies of the list. */
 export type ExecutorListDeps = {
 	readonly rowFaults: RowFaults;
-	/** Whether the configuration in force names the service. */
+	/** Whether the current configuration names the service. */
 	readonly hasService: (service: string) => boolean;
 };
 
-/** Name of the registry in lines and counters. */
+/** Name of the registry in log lines and metrics. */
 const registry = 'executors';
 
 /**
- * Creates an empty list. An entry that cannot be read is off the list, as one
- * that is gone: it gets nothing new, and what runs there is looked after at
- * the address that was read last. One of an unknown service stays listed, for
- * the configuration that names it may come later.
+ * Creates an empty list. An unreadable entry is treated as removed: its executor
+ * gets no new runs, and its present ones are followed at the last known address.
+ * An entry of an unknown service stays listed, since a later configuration may
+ * name the service.
  */
 export const createExecutorList = ({
 	rowFaults,
--- a/packages/daemon/src/jobs/job-daemon.test.fixture.ts
+++ b/packages/daemon/src/jobs/job-daemon.test.fixture.ts
@@ -1,4 +1,4 @@
-/** Daemons of the jobs side over one platform in memory, for tests. */
+/** Jobs sides of daemons on one in-memory platform, for tests. */
 import {performance} from 'node:perf_hooks';
 import {fleet, scheduler} from '@gullstand/core';
 import * as ports from '@gullstand/ports';
@@ -9,7 +9,7 @@
 import type {RowFaults} from './rows/row-faults.js';
 import type {HeldShard} from './shards/held-shard.js';
 
-/** A platform in memory. */
+/** An in-memory platform. */
 export type TestPlatform = {
 	readonly store: ports.MemoryRowStore;
 	readonly operator: ports.MemoryFeed<ports.OperatorEntry>;
@@ -17,13 +17,14 @@
 	readonly executors: ports.MemoryExecutors;
 	readonly machines: ports.MemoryMachines;
 	readonly waveStatus: WaveStatusPort;
+	/** The last state written for each wave. */
 	readonly waveStates: Map<string, string>;
 };
 
 /** Monotonic time of the tests. */
 export const now = () => performance.now();
 
-/** One queue `q` of the service `s`, reached at host `h` and path `/q/`. */
+/** A queue `q` of the service `s`, at host `h` and path `/q/`. */
 export const testConfiguration: ports.Configuration = {
 	version: 1,
 	routes: [
@@ -44,7 +45,7 @@
 	maxBodyBytes: 100_000,
 };
 
-/** An executor of the service `s`. */
+/** Creates an executor of the service `s`. */
 export const createListedExecutor = (id: string): scheduler.ListedExecutor => ({
 	id,
 	service: 's',
@@ -56,7 +57,7 @@
 	remainingMs: undefined,
 });
 
-/** A platform with a configuration and these executors. */
+/** Creates a platform with the test configuration and these executors. */
 export const createTestPlatform = (
 	executorIds: readonly string[],
 ): TestPlatform => {
@@ -89,14 +90,14 @@
 	};
 };
 
-/** Unreadable rows are not what the test is about. */
+/** Ignores unreadable rows. */
 export const noRowFaults: RowFaults = {
 	note: () => undefined,
 	clear: () => undefined,
 	keepOnly: () => undefined,
 };
 
-/** A logger for parts that only tell. */
+/** Discards log lines. */
 export const noLogger = {
 	info: () => undefined as never,
 	warn: () => undefined as never,
@@ -113,13 +114,13 @@
 
 const silentLogger: Logger = winston.createLogger({silent: true});
 
-/** Leases short enough for a test to see their end. */
+/** Leases short enough to expire during a test. */
 const testScheduler: scheduler.SchedulerConfig = {
 	...scheduler.defaultSchedulerConfig,
 	taskLeaseMs: 1500,
 };
 
-/** Starts a daemon; an error of its own fails the test by `onFailure`. */
+/** Starts a daemon; it reports its failure to `onFailure`. */
 export const startDaemon = async (
 	platform: TestPlatform,
 	name: string,
@@ -142,7 +143,7 @@
 	return daemon;
 };
 
-/** Waits until something holds; rejects after `withinMs`. */
+/** Waits until `holds` returns true; rejects after `withinMs` milliseconds. */
 export const waitUntil = async (
 	what: string,
 	holds: () => boolean | Promise<boolean>,
@@ -151,7 +152,7 @@
 	const until = now() + withinMs;
 	while (!(await holds())) {
 		if (now() > until) {
-			throw new Error(`not in time: ${what}`);
+			throw new Error(`timed out waiting for ${what}`);
 		}
 
 		await new Promise((resolve) => {
@@ -160,7 +161,7 @@
 	}
 };
 
-/** A job of one step. */
+/** Creates the specification of a job of one step. */
 export const createJobSpec = (
 	changes: Partial<scheduler.StepSpec> = {},
 ): scheduler.JobSpec => ({
@@ -189,7 +190,7 @@
 	schedule: undefined,
 });
 
-/** An accepted job of the queue `q`. */
+/** Creates an accepted job of the queue `q`. */
 export const createAcceptedJob = (
 	id: string,
 	spec: scheduler.JobSpec = createJobSpec(),
@@ -207,21 +208,21 @@
 	acceptedAtEpochMs: 1,
 });
 
-/** The route of the one queue. */
+/** The route of the queue `q`. */
 export const [route] = testConfiguration.routes as [ports.QueueRoute];
 
-/** An id of 16 hexadecimal digits. */
+/** Formats an id of 16 hexadecimal digits. */
 export const createId = (number: number): string =>
 	number.toString(16).padStart(16, '0');
 
-/** Hands a job in, with two seconds to do so. */
+/** Submits a job with a deadline of two seconds. */
 export const submit = async (
 	daemon: JobDaemon,
 	id: string,
 	spec: scheduler.JobSpec = createJobSpec(),
 ) => daemon.service.submit(route, id, spec, now() + 2000);
 
-/** The state that a caller is shown, or the kind of the error. */
+/** Reads a job's state as a caller; returns the kind of an error instead. */
 export const readState = async (
 	daemon: JobDaemon,
 	id: string,
@@ -230,7 +231,7 @@
 	return result.ok ? result.value : result.error;
 };
 
-/** Finishes each task so long after it was started. */
+/** Finishes each task `ms` milliseconds after its start. */
 export const finishTasksAfter = (platform: TestPlatform, ms: number): void => {
 	platform.executors.onStart = ({executorId, taskId}) => {
 		setTimeout(() => {
--- a/packages/daemon/src/jobs/job-daemon.test.ts
+++ b/packages/daemon/src/jobs/job-daemon.test.ts
@@ -18,7 +18,7 @@
 
 type Test = Pick<typeof tap.t, 'fail' | 'teardown'>;
 
-const createFleet = async (
+const startDaemons = async (
 	t: Test,
 	platform: TestPlatform,
 	names: readonly string[],
@@ -36,7 +36,7 @@
 	return daemons;
 };
 
-const holdsLease = (platform: TestPlatform) =>
+const isServiceOwned = (platform: TestPlatform) =>
 	platform.store
 		.list('lease')
 		.some(
@@ -44,11 +44,11 @@
 				part === 'service/s' && !value.includes('"holder":null'),
 		);
 
-tap.t.test('a job runs through any entry, once', async (t) => {
+tap.t.test('a job runs once, through any entry', async (t) => {
 	const platform = createTestPlatform(['x', 'yy']);
 	finishTasksAfter(platform, 20);
-	const daemons = await createFleet(t, platform, ['a', 'b', 'c']);
-	await waitUntil('an owner', () => holdsLease(platform));
+	const daemons = await startDaemons(t, platform, ['a', 'b', 'c']);
+	await waitUntil('an owner', () => isServiceOwned(platform));
 	const ids = Array.from({length: 12}, (_, index) => createId(index));
 	const answers = await Promise.all(
 		ids.map(async (id, index) => submit(daemons[index % 3]!, id)),
@@ -70,10 +70,10 @@
 	t.equal(await readState(daemons[0]!, createId(99)), 'unknown-job');
 });
 
-tap.t.test('two requests for one job at once store one', async (t) => {
+tap.t.test('concurrent requests for one job store it once', async (t) => {
 	const platform = createTestPlatform(['x']);
-	const daemons = await createFleet(t, platform, ['a', 'b']);
-	await waitUntil('an owner', () => holdsLease(platform));
+	const daemons = await startDaemons(t, platform, ['a', 'b']);
+	await waitUntil('an owner', () => isServiceOwned(platform));
 	const answers = await Promise.all(
 		[0, 1, 0, 1].map(async (each) => submit(daemons[each]!, createId(1))),
 	);
@@ -88,8 +88,8 @@
 
 tap.t.test('a job is refused only if it is not stored', async (t) => {
 	const platform = createTestPlatform(['x']);
-	const [daemon] = await createFleet(t, platform, ['a']);
-	await waitUntil('an owner', () => holdsLease(platform));
+	const [daemon] = await startDaemons(t, platform, ['a']);
+	await waitUntil('an owner', () => isServiceOwned(platform));
 	platform.store.setFault(() => 'unavailable');
 	t.same(await submit(daemon!, createId(1)), {
 		ok: false,
@@ -121,41 +121,44 @@
 	);
 });
 
-tap.t.test('a cancelled job is stopped, and shown so everywhere', async (t) => {
-	const platform = createTestPlatform(['x']);
-	const daemons = await createFleet(t, platform, ['a', 'b']);
-	await waitUntil('an owner', () => holdsLease(platform));
-	const id = createId(1);
-	await submit(daemons[0]!, id);
-	await waitUntil(
-		'the start',
-		() => platform.executors.listRunning('x').length > 0,
-	);
-	const cancelled = await daemons[1]!.service.cancel(route, id, now() + 2000);
-	t.ok(cancelled.ok);
-	await waitUntil(
-		'the stop',
-		() => platform.executors.listRunning('x').length === 0,
-	);
-	for (const daemon of daemons) {
+tap.t.test(
+	'a cancelled job is stopped and reported as cancelled by all entries',
+	async (t) => {
+		const platform = createTestPlatform(['x']);
+		const daemons = await startDaemons(t, platform, ['a', 'b']);
+		await waitUntil('an owner', () => isServiceOwned(platform));
+		const id = createId(1);
+		await submit(daemons[0]!, id);
 		await waitUntil(
-			'the state',
-			async () => (await readState(daemon, id)) === 'cancelled',
+			'the start',
+			() => platform.executors.listRunning('x').length > 0,
 		);
-	}
+		const cancelled = await daemons[1]!.service.cancel(route, id, now() + 2000);
+		t.ok(cancelled.ok);
+		await waitUntil(
+			'the stop',
+			() => platform.executors.listRunning('x').length === 0,
+		);
+		for (const daemon of daemons) {
+			await waitUntil(
+				'the state',
+				async () => (await readState(daemon, id)) === 'cancelled',
+			);
+		}
 
-	const unknown = await daemons[0]!.service.cancel(
-		route,
-		createId(9),
-		now() + 2000,
-	);
-	t.same(unknown, {ok: false, error: 'unknown-job'});
-});
+		const unknown = await daemons[0]!.service.cancel(
+			route,
+			createId(9),
+			now() + 2000,
+		);
+		t.same(unknown, {ok: false, error: 'unknown-job'});
+	},
+);
 
-tap.t.test('an owner that stops hands over; what runs goes on', async (t) => {
+tap.t.test('runs continue when an owner stops and hands over', async (t) => {
 	const platform = createTestPlatform(['x']);
-	const daemons = await createFleet(t, platform, ['a', 'b']);
-	await waitUntil('an owner', () => holdsLease(platform));
+	const daemons = await startDaemons(t, platform, ['a', 'b']);
+	await waitUntil('an owner', () => isServiceOwned(platform));
 	const id = createId(1);
 	await submit(daemons[0]!, id, createJobSpec({count: 3}));
 	await waitUntil(
@@ -171,7 +174,7 @@
 	await waitUntil(
 		'the next owner',
 		() =>
-			holdsLease(platform) &&
+			isServiceOwned(platform) &&
 			platform.store
 				.list('lease')
 				.some(
@@ -190,11 +193,11 @@
 });
 
 tap.t.test(
-	'an executor whose entry cannot be read keeps what runs, gets nothing new',
+	'an executor with an unreadable entry keeps its runs and gets no new ones',
 	async (t) => {
 		const platform = createTestPlatform(['x']);
-		const [daemon] = await createFleet(t, platform, ['a']);
-		await waitUntil('an owner', () => holdsLease(platform));
+		const [daemon] = await startDaemons(t, platform, ['a']);
+		await waitUntil('an owner', () => isServiceOwned(platform));
 		const first = createId(1);
 		const second = createId(2);
 		await submit(daemon!, first, createJobSpec({estimateMs: 60_000}));
@@ -209,8 +212,8 @@
 				.includes('gullstand_rows_unreadable{label="executors"} 1'),
 		);
 		await submit(daemon!, second);
-		const looks = platform.executors.countLooks();
-		await waitUntil('looks', () => platform.executors.countLooks() > looks + 2);
+		const polls = platform.executors.countLooks();
+		await waitUntil('looks', () => platform.executors.countLooks() > polls + 2);
 		platform.executors.finish('x', `${first}.0.0.0`, 'done');
 		await waitUntil(
 			'the end',
@@ -226,34 +229,37 @@
 	},
 );
 
-tap.t.test('a new life of an executor gets what the old one ran', async (t) => {
-	const platform = createTestPlatform(['x']);
-	const [daemon] = await createFleet(t, platform, ['a']);
-	await waitUntil('an owner', () => holdsLease(platform));
-	await submit(daemon!, createId(1));
-	await waitUntil(
-		'the start',
-		() => platform.executors.listRunning('x').length > 0,
-	);
-	platform.executors.remove('x');
-	const next = {
-		...createListedExecutor('x2'),
-		address: createListedExecutor('x').address,
-	};
-	platform.executors.add(next);
-	platform.executorFeed.put('x', undefined);
-	platform.executorFeed.put('x2', next);
-	await waitUntil(
-		'the second start',
-		() => platform.executors.listRunning('x2').length > 0,
-	);
-	const runs = platform.executors.listStarts().map(({run}) => run);
-	t.equal(runs.length, 2);
-	t.ok(runs[1]! > runs[0]!);
-});
+tap.t.test(
+	'a new incarnation of an executor gets the tasks of the old one',
+	async (t) => {
+		const platform = createTestPlatform(['x']);
+		const [daemon] = await startDaemons(t, platform, ['a']);
+		await waitUntil('an owner', () => isServiceOwned(platform));
+		await submit(daemon!, createId(1));
+		await waitUntil(
+			'the start',
+			() => platform.executors.listRunning('x').length > 0,
+		);
+		platform.executors.remove('x');
+		const next = {
+			...createListedExecutor('x2'),
+			address: createListedExecutor('x').address,
+		};
+		platform.executors.add(next);
+		platform.executorFeed.put('x', undefined);
+		platform.executorFeed.put('x2', next);
+		await waitUntil(
+			'the second start',
+			() => platform.executors.listRunning('x2').length > 0,
+		);
+		const runs = platform.executors.listStarts().map(({run}) => run);
+		t.equal(runs.length, 2);
+		t.ok(runs[1]! > runs[0]!);
+	},
+);
 
 tap.t.test(
-	'a wave maintains each machine once and is told to be done',
+	'a wave maintains each machine once and is reported as completed',
 	async (t) => {
 		const ids = ['x', 'y', 'z'];
 		const platform = createTestPlatform(ids);
@@ -270,10 +276,10 @@
 		}
 
 		let away = 0;
-		let mostAway = 0;
+		let maxAwayAtOnce = 0;
 		platform.machines.onOrder = ({machine}) => {
 			away += 1;
-			mostAway = Math.max(mostAway, away);
+			maxAwayAtOnce = Math.max(maxAwayAtOnce, away);
 			setTimeout(() => {
 				away -= 1;
 				platform.machines.put({
@@ -288,7 +294,7 @@
 			}, 100);
 		};
 
-		await createFleet(t, platform, ['a', 'b']);
+		await startDaemons(t, platform, ['a', 'b']);
 		platform.operator.put('wave/1', {
 			kind: 'wave',
 			value: {
@@ -309,15 +315,15 @@
 				.toSorted(),
 			['m-x', 'm-y', 'm-z'],
 		);
-		t.equal(mostAway, 1);
+		t.equal(maxAwayAtOnce, 1);
 	},
 );
 
 tap.t.test(
-	'an entry without a configuration refuses, one with it knows its queues',
+	'an entry with a configuration matches the requests of its queues',
 	async (t) => {
 		const platform = createTestPlatform([]);
-		const [daemon] = await createFleet(t, platform, ['a']);
+		const [daemon] = await startDaemons(t, platform, ['a']);
 		await waitUntil('the configuration', () => daemon!.isReady());
 		const {routes} = daemon!;
 		t.match(routes.match('H:8080', '/q/0123'), {kind: 'queue', rest: '0123'});
@@ -327,11 +333,11 @@
 );
 
 tap.t.test(
-	'work on an executor that falls silent goes elsewhere',
+	'tasks of an unresponsive executor are started on another one',
 	async (t) => {
 		const platform = createTestPlatform(['x', 'yy']);
-		const [daemon] = await createFleet(t, platform, ['a']);
-		await waitUntil('an owner', () => holdsLease(platform));
+		const [daemon] = await startDaemons(t, platform, ['a']);
+		await waitUntil('an owner', () => isServiceOwned(platform));
 		await submit(daemon!, createId(1), createJobSpec({isLongRunning: true}));
 		await waitUntil(
 			'the start',
@@ -340,7 +346,7 @@
 		const [first] = platform.executors.listStarts();
 		platform.executors.setFault(first!.executorId, 'silent');
 		await waitUntil(
-			'the start elsewhere',
+			'the start on the other executor',
 			() => platform.executors.listStarts().length > 1,
 		);
 		const [, second] = platform.executors.listStarts();
@@ -349,43 +355,42 @@
 );
 
 tap.t.test(
-	'an entry that the store turns away works through the others',
+	'an entry that the store refuses works through other entries',
 	async (t) => {
 		const platform = createTestPlatform(['x']);
-		const [helper] = await createFleet(t, platform, ['a']);
-		await waitUntil('an owner', () => holdsLease(platform));
-		let isTurnedAway = false;
+		const [other] = await startDaemons(t, platform, ['a']);
+		await waitUntil('an owner', () => isServiceOwned(platform));
+		let isRefused = false;
 		const refuse = async () =>
 			({ok: false, error: {kind: 'unavailable'}}) as const;
 		const {store} = platform;
-		const away: typeof platform = {
+		const refusingPlatform: typeof platform = {
 			...platform,
 			store: {
 				...store,
 				transact: async (...args) =>
-					isTurnedAway ? refuse() : store.transact(...args),
-				read: async (...args) =>
-					isTurnedAway ? refuse() : store.read(...args),
+					isRefused ? refuse() : store.transact(...args),
+				read: async (...args) => (isRefused ? refuse() : store.read(...args)),
 			},
 		};
-		const [entry] = await createFleet(t, away, ['b']);
+		const [entry] = await startDaemons(t, refusingPlatform, ['b']);
 		await waitUntil('readiness', () => entry!.isReady());
-		isTurnedAway = true;
+		isRefused = true;
 		const id = createId(1);
 		t.same(await submit(entry!, id), {ok: true, value: {isRepeat: false}});
 		const cancelled = await entry!.service.cancel(route, id, now() + 2000);
 		t.ok(cancelled.ok);
 		await waitUntil(
 			'the state',
-			async () => (await readState(helper!, id)) === 'cancelled',
+			async () => (await readState(other!, id)) === 'cancelled',
 		);
 	},
 );
 
-tap.t.test('a queue that moves keeps the jobs that it has', async (t) => {
+tap.t.test('a queue that moves keeps its jobs', async (t) => {
 	const platform = createTestPlatform(['x']);
-	const [daemon] = await createFleet(t, platform, ['a']);
-	await waitUntil('an owner', () => holdsLease(platform));
+	const [daemon] = await startDaemons(t, platform, ['a']);
+	await waitUntil('an owner', () => isServiceOwned(platform));
 	const id = createId(1);
 	await submit(daemon!, id);
 	await waitUntil(
@@ -422,10 +427,14 @@
 		now() + 2000,
 	);
 	t.same(again, {ok: true, value: {isRepeat: true}});
-	const [later] = await createFleet(t, platform, ['b']);
+	const [later] = await startDaemons(t, platform, ['b']);
 	await waitUntil('readiness', () => later!.isReady());
-	const there = await later!.service.readState(moved, id);
-	t.same(there, {ok: true, value: 'running'}, 'one that came later knows too');
+	const laterState = await later!.service.readState(moved, id);
+	t.same(
+		laterState,
+		{ok: true, value: 'running'},
+		'a daemon that started later finds it too',
+	);
 	platform.executors.finish('x', `${id}.0.0.0`, 'done');
 	await waitUntil('the end', async () => {
 		const end = await daemon!.service.readState(moved, id);
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * One daemon of the fleet, without its listeners: follows the configuration,
- * claims shards, runs the services that it owns, answers callers and peers.
+ * The jobs side of a daemon, without its listeners: follows the configuration,
+ * claims shards, runs the services that it owns and serves callers and peers.
  */
 import {randomUUID} from 'node:crypto';
 import type {fleet, scheduler, shardAssignment} from '@gullstand/core';
@@ -55,7 +55,7 @@
 import {createShardKeeper} from './shards/shard-keeper.js';
 import {createEntryRole} from './shards/entry-role.js';
 
-/** The platform as the jobs side sees it. */
+/** The parts of the platform that the jobs side uses. */
 export type JobPlatform = {
 	readonly store: RowStore;
 	readonly operator: OperatorFeed;
@@ -70,15 +70,15 @@
 export type JobDaemonSettings = {
 	readonly name: string;
 	readonly peers: {readonly address: string; readonly port: number};
-	/** What this machine has; shards go to the most capable daemons. */
+	/** Resources of this machine; shards go to the most capable daemons. */
 	readonly capacity?: shardAssignment.EntryCapacity;
 	readonly scheduler: scheduler.SchedulerConfig;
 	readonly pools: fleet.PoolConfig;
-	/** Time between orders of two holders for one machine, milliseconds. */
+	/** Time between commands of two holders for one machine, in milliseconds. */
 	readonly machineTurnoverMs: number;
 };
 
-/** What the daemon is built of. */
+/** Dependencies of the daemon. */
 export type JobDaemonDeps = {
 	readonly settings: JobDaemonSettings;
 	readonly platform: JobPlatform;
@@ -87,26 +87,26 @@
 	readonly logger: Logger;
 };
 
-/** The daemon. */
+/** The jobs side of a daemon. */
 export type JobDaemon = {
-	/** Resolves once it can answer callers. */
+	/** Starts all parts; resolves once the daemon can serve callers. */
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
-	/** Gives its shards back and is not ready any more; callers are answered. */
+	/** Becomes not ready and releases all shards; callers are still served. */
 	readonly handOverShards: () => Promise<void>;
-	/** Lets go of everything. */
+	/** Releases all shards and stops all parts. */
 	readonly stop: () => Promise<void>;
-	/** Whether callers should be sent here. */
+	/** Whether the balancer should send callers to this daemon. */
 	readonly isReady: () => boolean;
 	readonly service: JobService;
-	/** Jobs of the services that this daemon owns. */
+	/** Lists the jobs of the services that this daemon owns. */
 	readonly listJobs: OwnedServices['listJobs'];
-	/** Why tasks of a job do not run; absent unless this daemon owns it. */
+	/** Why tasks of a job do not run; absent if this daemon does not own it. */
 	readonly explain: OwnedServices['explain'];
 	readonly routes: Routes;
 	readonly metrics: JobMetrics;
 };
 
-/** Name of what operators write, in lines and counters. */
+/** Name of the operators' feed in log lines and metrics. */
 const operatorName = 'operator';
 
 /** Creates a daemon. */
@@ -122,7 +122,7 @@
 	const waves = new Map<string, WaveRequest>();
 	let peers: PeerChannel | undefined;
 	let fleetRunner: FleetRunner | undefined;
-	const state = {isLeaving: false, isStarted: false};
+	const state = {isStopping: false, isStarted: false};
 	let reportFailure: ReportFailure = () => undefined;
 
 	const getAddress = (): string => peers?.getAddress() ?? '';
@@ -159,7 +159,7 @@
 			return [];
 		}
 
-		// Services without a queue too: jobs stay with theirs when a queue moves.
+		// Includes services without a queue, which may have jobs of a moved queue.
 		const services = new Set([
 			...configuration.routes.map((each) => each.service),
 			...configuration.services
@@ -169,7 +169,7 @@
 		return [fleetShard, ...[...services].map((each) => getServiceShard(each))];
 	};
 
-	const callPeers: Pick<PeerChannel, 'call'> = {
+	const peerCalls: Pick<PeerChannel, 'call'> = {
 		call: async (address, method, params, timeoutMs) =>
 			peers
 				? peers.call(address, method, params, timeoutMs)
@@ -178,14 +178,17 @@
 
 	const owners = createOwnerChannel({
 		book,
-		peers: callPeers,
+		peers: peerCalls,
 		getLocal: (shard) => owned.get(shard),
 	});
 
-	const tellOwner = async (shard: string, rows: readonly StoredRow[]) => {
-		const isTold = await owners.sendRows(shard, rows);
-		if (!isTold) {
-			logger.info('owner not told', {shard, jobs: rows.map(({key}) => key)});
+	const notifyOwner = async (shard: string, rows: readonly StoredRow[]) => {
+		const isNotified = await owners.sendRows(shard, rows);
+		if (!isNotified) {
+			logger.info('owner not notified', {
+				shard,
+				jobs: rows.map(({key}) => key),
+			});
 		}
 	};
 
@@ -196,15 +199,15 @@
 		now,
 		logger,
 		onStored(shard, rows) {
-			void tellOwner(shard, rows);
+			void notifyOwner(shard, rows);
 		},
 	});
 
-	const others = createPeerEntries({
+	const peerEntries = createPeerEntries({
 		self,
 		members,
 		listHolders: book.listHolders,
-		peers: callPeers,
+		peers: peerCalls,
 		logger,
 	});
 
@@ -219,11 +222,11 @@
 		clock,
 		logger,
 		metrics,
-		submitThroughPeer: others.submit,
-		cancelThroughPeer: others.cancel,
+		submitThroughPeer: peerEntries.submit,
+		cancelThroughPeer: peerEntries.cancel,
 	});
 
-	const hasLetGo = async ({
+	const hasReleased = async ({
 		shard,
 		holder,
 		address,
@@ -237,13 +240,13 @@
 			return true;
 		}
 
-		const answer = await callPeers.call(
+		const answer = await peerCalls.call(
 			address,
 			'depose',
 			{shard, token: token + 1},
 			periods.peerTimeoutMs,
 		);
-		// Whoever answers there is not that life, or has let go.
+		// An answer means that the holder was replaced or has released the shard.
 		return answer.ok;
 	};
 
@@ -259,7 +262,7 @@
 		rowFaults,
 		hasService,
 		getLeasesConfirmedAt: () => leaseFollower.getConfirmed(),
-		hasReleased: hasLetGo,
+		hasReleased,
 		onOwnershipLost(shard, rows) {
 			for (const row of rows) {
 				book.note(row);
@@ -272,7 +275,7 @@
 		},
 	});
 
-	const runFleet = (held: HeldShard) => {
+	const startFleetRunner = (held: HeldShard) => {
 		fleetRunner = createFleetRunner({
 			held,
 			holder: settings.name,
@@ -291,7 +294,7 @@
 			getStandbyPool: () =>
 				routes.get()?.services.find(({isStandby}) => isStandby)?.name,
 			onLost(reason) {
-				logger.warn('fleet lost', {reason});
+				logger.warn('fleet shard lost', {reason});
 				keeper.noteDeposed(fleetShard);
 			},
 			reportFailure,
@@ -301,7 +304,7 @@
 
 	const onAcquired = (held: HeldShard) => {
 		if (held.shard === fleetShard) {
-			runFleet(held);
+			startFleetRunner(held);
 			return;
 		}
 
@@ -330,8 +333,10 @@
 		book,
 		listShards,
 		mayClaim() {
-			const readAt = memberFollower.getConfirmed()?.at;
-			return readAt !== undefined && now() - readAt < periods.leaseMs;
+			const membersReadAt = memberFollower.getConfirmed()?.at;
+			return (
+				membersReadAt !== undefined && now() - membersReadAt < periods.leaseMs
+			);
 		},
 		ensureHeartbeat: async () => heartbeat.ensure(),
 		isCandidate: () => role.isCandidate(),
@@ -341,7 +346,7 @@
 		onAcquired,
 		beforeRelease: owned.release,
 		onLost,
-		onReleased: others.notifyReleased,
+		onReleased: peerEntries.notifyReleased,
 	});
 
 	const role = createEntryRole({
@@ -365,7 +370,7 @@
 		isNeeded: role.step,
 	});
 
-	const applyOperator = ({entries}: FeedBatch<OperatorEntry>) => {
+	const applyOperatorBatch = ({entries}: FeedBatch<OperatorEntry>) => {
 		for (const {key, value} of entries) {
 			if (value?.kind !== 'unreadable') {
 				rowFaults.clear(operatorName, key);
@@ -406,8 +411,8 @@
 		periods: followPeriods.operator,
 		clock,
 		logger,
-		onWhole: applyOperator,
-		onChanges: applyOperator,
+		onWhole: applyOperatorBatch,
+		onChanges: applyOperatorBatch,
 	});
 
 	const leaseFollower = createFeedFollower({
@@ -430,11 +435,11 @@
 		logger,
 		onWhole: members.applyChanges,
 		onChanges: members.applyChanges,
-		// Where all that send heartbeats are gone, nothing changes any more.
+		// Heartbeats age even if no daemon sends one any more.
 		onUnchanged: members.applyChanges,
 	});
 
-	// A follower that does not get on shows here long after its line was written.
+	// Makes a stalled follower visible long after its log line.
 	for (const [name, follower] of [
 		[operatorName, operatorFollower],
 		['lease', leaseFollower],
@@ -452,8 +457,8 @@
 		() => routes.get()?.version,
 	);
 
-	const startPeers = async (): Promise<boolean> => {
-		const keyHex = await obtainPeerKey(store, logger, () => state.isLeaving);
+	const startPeerChannel = async (): Promise<boolean> => {
+		const keyHex = await obtainPeerKey(store, logger, () => state.isStopping);
 		if (keyHex === undefined) {
 			return false;
 		}
@@ -482,7 +487,7 @@
 	};
 
 	const loadHistory = async (): Promise<boolean> => {
-		while (!state.isLeaving) {
+		while (!state.isStopping) {
 			if (await history.load()) {
 				return true;
 			}
@@ -498,7 +503,11 @@
 		operatorFollower.start(report);
 		leaseFollower.start(report);
 		memberFollower.start(report);
-		if (!(await startPeers()) || !(await loadHistory()) || state.isLeaving) {
+		if (
+			!(await startPeerChannel()) ||
+			!(await loadHistory()) ||
+			state.isStopping
+		) {
 			return;
 		}
 
@@ -512,17 +521,17 @@
 		});
 	};
 
-	const handOver = async () => {
-		if (!state.isLeaving) {
-			state.isLeaving = true;
-			others.notifyLeaving();
+	const handOverShards = async () => {
+		if (!state.isStopping) {
+			state.isStopping = true;
+			peerEntries.notifyLeaving();
 		}
 
 		await keeper.stop();
 	};
 
 	const stop = async () => {
-		await handOver();
+		await handOverShards();
 		owned.dropAll();
 		for (const follower of [operatorFollower, leaseFollower, memberFollower]) {
 			follower.stop();
@@ -533,7 +542,7 @@
 	};
 
 	const isReady = (): boolean =>
-		!state.isLeaving &&
+		!state.isStopping &&
 		state.isStarted &&
 		routes.get() !== undefined &&
 		!leaseFollower.isLost() &&
@@ -541,7 +550,7 @@
 
 	return {
 		start,
-		handOverShards: handOver,
+		handOverShards,
 		stop,
 		isReady,
 		service,
--- a/packages/daemon/src/jobs/job-metrics.test.ts
+++ b/packages/daemon/src/jobs/job-metrics.test.ts
@@ -6,12 +6,12 @@
 	readonly value: number | undefined;
 	readonly text: string;
 }> = [
-	{name: 'a figure', value: 7, text: 'gullstand_age_ms{label="x"} 7\n'},
-	{name: 'none yet', value: undefined, text: '\n'},
+	{name: 'a value', value: 7, text: 'gullstand_age_ms{label="x"} 7\n'},
+	{name: 'no value yet', value: undefined, text: '\n'},
 ];
 
 for (const {name, value, text} of cases) {
-	tap.t.test(`a gauge shows ${name} as it is when asked`, async (t) => {
+	tap.t.test(`a gauge shows ${name} at the time of the request`, async (t) => {
 		const metrics = createJobMetrics();
 		const state: {value: number | undefined} = {value: undefined};
 		metrics.registerGauge('age_ms', 'x', () => state.value);
--- a/packages/daemon/src/jobs/job-metrics.ts
+++ b/packages/daemon/src/jobs/job-metrics.ts
@@ -1,17 +1,17 @@
-/** Counters and latency histograms of the jobs side, as text. */
+/** Counters, gauges and latency histograms of the jobs side. */
 import type {Histogram} from 'hdr-histogram-js';
-// The package's main module loads its log writer, too, which is slow.
+// The package's main module also loads its log writer, which is slow.
 import * as hdr from 'hdr-histogram-js/dist/HistogramBuilder.js';
 
-/** Histograms kept; times in milliseconds. */
+/** Names of the latency histograms, which are in milliseconds. */
 export const histogramNames = {
-	/** From the acceptance of a job to its first start that was confirmed. */
+	/** From the acceptance of a job to its first confirmed start. */
 	firstStart: 'first_start',
-	/** From the order of a start to its answer. */
+	/** From the command of a start to its answer. */
 	start: 'start_answer',
-	/** A call of a caller, from its arrival to its answer. */
+	/** From a caller's request to its answer. */
 	call: 'call',
-	/** From the acceptance of a job to the store of its end. */
+	/** From the acceptance of a job until its end is stored. */
 	job: 'job_end',
 } as const;
 
@@ -21,25 +21,26 @@
 
 /** Metrics of one daemon. */
 export type JobMetrics = {
-	/** Adds one to a counter with a label, such as a queue or a kind. */
+	/** Increments a counter with a label, such as a queue or a kind. */
 	readonly count: (name: string, label?: string) => void;
-	readonly record: (leg: HistogramName, label: string, ms: number) => void;
-	/** Shows a figure as it is when the text is asked for; absent is left out. */
+	/** Records a latency in milliseconds. */
+	readonly record: (name: HistogramName, label: string, ms: number) => void;
+	/** Registers a gauge that is read for each text; undefined omits it. */
 	readonly registerGauge: (
 		name: string,
 		label: string,
 		read: () => number | undefined,
 	) => void;
-	/** Text in the Prometheus exposition format. */
+	/** Formats all metrics in the Prometheus exposition format. */
 	readonly formatText: () => string;
 };
 
-/** Series beyond this share one label, so that memory stays bounded. */
+/** Further series share the label `other`, which bounds the memory. */
 const maxSeries = 200;
 
 const microsPerMs = 1000;
 
-const highestMicros = 3_600_000_000;
+const maxMicros = 3_600_000_000;
 
 const quantiles = [50, 95, 99] as const;
 
@@ -47,21 +48,21 @@
 	hdr.build({
 		bitBucketSize: 32,
 		autoResize: true,
-		highestTrackableValue: highestMicros,
+		highestTrackableValue: maxMicros,
 		numberOfSignificantValueDigits: 2,
 	});
 
 const formatHistogram = ([key, histogram]: readonly [string, Histogram]) => {
-	const [leg, label] = key.split(' ');
+	const [name, label] = key.split(' ');
 	const labels = `label="${label}"`;
 	return [
 		...quantiles.map(
 			(quantile) =>
-				`gullstand_${leg}_ms{${labels},quantile="${quantile / 100}"} ${
+				`gullstand_${name}_ms{${labels},quantile="${quantile / 100}"} ${
 					histogram.getValueAtPercentile(quantile) / microsPerMs
 				}`,
 		),
-		`gullstand_${leg}_ms_count{${labels}} ${histogram.totalCount}`,
+		`gullstand_${name}_ms_count{${labels}} ${histogram.totalCount}`,
 	];
 };
 
@@ -79,12 +80,12 @@
 		return value === undefined ? [] : [`gullstand_${key} ${value}`];
 	};
 
-	const getHistogram = (leg: HistogramName, label: string): Histogram => {
-		const wanted = `${leg} ${label}`;
+	const getHistogram = (name: HistogramName, label: string): Histogram => {
+		const wanted = `${name} ${label}`;
 		const key =
 			histograms.has(wanted) || histograms.size < maxSeries
 				? wanted
-				: `${leg} other`;
+				: `${name} other`;
 		const known = histograms.get(key) ?? createHistogram();
 		histograms.set(key, known);
 		return known;
@@ -99,10 +100,10 @@
 					: `${name}{label="other"}`;
 			counters.set(key, (counters.get(key) ?? 0) + 1);
 		},
-		record(leg, label, ms) {
+		record(name, label, ms) {
 			const micros = Math.round(Math.max(0, ms) * microsPerMs);
-			const bounded = Math.min(highestMicros, Math.max(1, micros));
-			getHistogram(leg, label).recordValue(bounded);
+			const bounded = Math.min(maxMicros, Math.max(1, micros));
+			getHistogram(name, label).recordValue(bounded);
 		},
 		registerGauge(name, label, read) {
 			gauges.set(`${name}{label="${label}"}`, read);
--- a/packages/daemon/src/jobs/pause.test.ts
+++ b/packages/daemon/src/jobs/pause.test.ts
@@ -1,13 +1,13 @@
 import * as tap from 'tap';
 import {createPause} from './pause.js';
 
-/** Longer than any test may take, in milliseconds. */
+/** Longer than any test runs, in milliseconds. */
 const never = 2_000_000_000;
 
 const cases = [
-	{name: 'its time is over', ms: 1, isEnded: false},
-	{name: 'it is ended before its time', ms: never, isEnded: true},
-	{name: 'it has no time and is ended', ms: undefined, isEnded: true},
+	{name: 'a wait ends after its time', ms: 1, isEnded: false},
+	{name: 'a wait is ended early', ms: never, isEnded: true},
+	{name: 'a wait without a time is ended', ms: undefined, isEnded: true},
 ];
 
 for (const {name, ms, isEnded} of cases) {
@@ -22,6 +22,6 @@
 		await waited;
 		const again = pause.wait(1);
 		await again;
-		t.pass('it can be taken again');
+		t.pass('the pause can be used again');
 	});
 }
--- a/packages/daemon/src/jobs/pause.ts
+++ b/packages/daemon/src/jobs/pause.ts
@@ -1,14 +1,14 @@
-/** A wait that something else may end early. */
+/** A wait that can be ended early. */
 
-/** A pause; it is taken by one waiter at a time. */
+/** A pause for one waiter at a time. */
 export type Pause = {
-	/** Waits for so many milliseconds, or until ended; without a time, for that. */
+	/** Waits until ended, and at most `ms` milliseconds if given. */
 	readonly wait: (ms?: number) => Promise<void>;
-	/** Ends the wait under way; without one it does nothing. */
+	/** Ends the current wait, if any. */
 	readonly end: () => void;
 };
 
-/** Creates a pause that nobody takes. */
+/** Creates a pause without a waiter. */
 export const createPause = (): Pause => {
 	let endWait: () => void = () => undefined;
 	return {
--- a/packages/daemon/src/jobs/peer-handlers.ts
+++ b/packages/daemon/src/jobs/peer-handlers.ts
@@ -1,4 +1,4 @@
-/** Answers what other daemons ask of this one. */
+/** Handlers of the calls from other daemons. */
 import type {PeerChannel} from '../peers/peer-channel.js';
 import type {CancelOutcome} from './entry/cancel-outcome.js';
 import type {JobService} from './entry/job-service.js';
@@ -9,9 +9,9 @@
 import type {Members} from './shards/members.js';
 import type {ShardKeeper} from './shards/shard-keeper.js';
 
-/** What the answers are made from. */
+/** Dependencies of the handlers. */
 export type PeerHandlersDeps = {
-	/** Life of this daemon. */
+	/** Incarnation of this daemon. */
 	readonly incarnation: string;
 	readonly owned: Pick<OwnedServices, 'get'>;
 	readonly submissions: Submissions;
@@ -19,7 +19,7 @@
 	readonly routes: Pick<Routes, 'getByName'>;
 	readonly keeper: ShardKeeper;
 	readonly members: Pick<Members, 'noteLeaving'>;
-	/** Reads the leases now. */
+	/** Reads the leases without waiting for the next poll. */
 	readonly readLeases: () => void;
 	readonly now: () => number;
 };
@@ -46,7 +46,7 @@
 		: 'store-unavailable';
 };
 
-const registerCalls = (
+const registerJobMethods = (
 	channel: Pick<PeerChannel, 'addMethod'>,
 	deps: PeerHandlersDeps,
 ): void => {
@@ -82,7 +82,7 @@
 	);
 };
 
-const registerControl = (
+const registerControlMethods = (
 	channel: Pick<PeerChannel, 'addMethod'>,
 	{owned, keeper, members, incarnation, readLeases}: PeerHandlersDeps,
 ): void => {
@@ -105,8 +105,8 @@
 		},
 	);
 	channel.addMethod('depose', jobPeerSchemas.depose, ({shard, token}) => {
-		const mine = keeper.listHeld().find((each) => each.shard === shard);
-		if (mine && mine.token < token) {
+		const held = keeper.listHeld().find((each) => each.shard === shard);
+		if (held && held.token < token) {
 			keeper.noteDeposed(shard);
 		}
 
@@ -120,18 +120,18 @@
 	channel.addMethod(
 		'daemonLeaving',
 		jobPeerSchemas.daemonLeaving,
-		({entry, incarnation: life}) => {
-			members.noteLeaving(entry, life);
+		({entry, incarnation: leaving}) => {
+			members.noteLeaving(entry, leaving);
 			return {};
 		},
 	);
 };
 
-/** Registers all methods of the jobs side. */
+/** Registers the handlers of all methods of the jobs side. */
 export const registerPeerHandlers = (
 	channel: Pick<PeerChannel, 'addMethod'>,
 	deps: PeerHandlersDeps,
 ): void => {
-	registerCalls(channel, deps);
-	registerControl(channel, deps);
+	registerJobMethods(channel, deps);
+	registerControlMethods(channel, deps);
 };
--- a/packages/daemon/src/jobs/peer-key.ts
+++ b/packages/daemon/src/jobs/peer-key.ts
@@ -1,4 +1,4 @@
-/** The key that seals messages between daemons: made once, kept in the store. */
+/** The key that authenticates messages between daemons, shared in the store. */
 import {randomBytes} from 'node:crypto';
 import type {RowStore} from '@gullstand/ports';
 import type {Logger} from '../log/logger.js';
@@ -33,7 +33,7 @@
 	const value = JSON.stringify({
 		keyHex: randomBytes(keyBytes).toString('hex'),
 	});
-	// Whoever is first decides; the others read what lies there.
+	// The check lets only the first daemon store its key.
 	await store.transact(
 		{
 			checks: [{...rowKey, version: 0}],
@@ -44,7 +44,7 @@
 	);
 };
 
-/** Reads the key, making it if there is none; waits while the store is away. */
+/** Reads or creates the key, retrying while the store fails; undefined if stopped. */
 export const obtainPeerKey = async (
 	store: RowStore,
 	logger: Pick<Logger, 'warn'>,
--- a/packages/daemon/src/jobs/peer-methods.ts
+++ b/packages/daemon/src/jobs/peer-methods.ts
@@ -1,4 +1,4 @@
-/** Methods of the peer channel on the jobs side, and the forms they take. */
+/** Methods of the peer channel on the jobs side and schemas of their parameters. */
 import type {scheduler} from '@gullstand/core';
 import type {ChangedRow} from '@gullstand/ports';
 import * as z from 'zod';
@@ -7,9 +7,9 @@
 import type {JobStateAnswer} from './owner/owner-runner.js';
 import {jobSchema} from './rows/tables.js';
 
-/** What each method takes and answers. */
+/** Parameters and result of each method. */
 export type JobPeerMethods = {
-	/** Rows of the job table that were just stored, for the shard's owner. */
+	/** Sends job rows that were just stored to the shard's owner. */
 	readonly noteRows: {
 		readonly params: {
 			readonly shard: string;
@@ -17,6 +17,7 @@
 		};
 		readonly result: {readonly isOwner: boolean};
 	};
+	/** Reads the state of a job from the shard's owner. */
 	readonly readJob: {
 		readonly params: {
 			readonly shard: string;
@@ -25,12 +26,13 @@
 		};
 		readonly result: JobStateAnswer;
 	};
+	/** Counts the pending jobs of a queue in a shard. */
 	readonly countPending: {
 		readonly params: {readonly shard: string; readonly queue: string};
 		/** Absent if the receiver is not the owner. */
 		readonly result: {readonly pending?: number | undefined};
 	};
-	/** Stores a job for an entry that the store does not serve. */
+	/** Stores a job on behalf of another entry. */
 	readonly submitJob: {
 		readonly params: {
 			readonly shard: string;
@@ -39,7 +41,7 @@
 		};
 		readonly result: SubmitOutcome;
 	};
-	/** Cancels a job for an entry that the store does not serve. */
+	/** Cancels a job on behalf of another entry. */
 	readonly cancelJob: {
 		readonly params: {
 			readonly queue: string;
@@ -48,7 +50,7 @@
 		};
 		readonly result: {readonly outcome: CancelOutcome};
 	};
-	/** Asks the owner to empty an executor; asked again until it is clear. */
+	/** Asks the owner to evacuate an executor; repeated until it is empty. */
 	readonly evacuate: {
 		readonly params: {
 			readonly shard: string;
@@ -57,26 +59,27 @@
 		};
 		readonly result: {readonly state?: scheduler.EvacuationState | undefined};
 	};
+	/** Reads the load of a service from the shard's owner. */
 	readonly readLoad: {
 		readonly params: {readonly shard: string};
 		readonly result: {readonly load?: scheduler.ServiceLoad | undefined};
 	};
-	/** The platform says that an executor's life is over. */
+	/** Reports that the platform no longer lists an executor. */
 	readonly noteGone: {
 		readonly params: {readonly shard: string; readonly executorId: string};
 		readonly result: Record<string, never>;
 	};
-	/** A shard was taken over under a higher token; answers the own life. */
+	/** Reports a takeover under a higher token; returns the receiver's incarnation. */
 	readonly depose: {
 		readonly params: {readonly shard: string; readonly token: number};
 		readonly result: {readonly incarnation: string};
 	};
-	/** A shard has been given back and may be claimed. */
+	/** Reports that a shard was released and may be claimed. */
 	readonly shardReleased: {
 		readonly params: {readonly shard: string};
 		readonly result: Record<string, never>;
 	};
-	/** A daemon is stopping: no shard should wait for it to claim. */
+	/** Reports that a daemon is stopping and will claim no shards. */
 	readonly daemonLeaving: {
 		readonly params: {readonly entry: string; readonly incarnation: string};
 		readonly result: Record<string, never>;
@@ -93,7 +96,7 @@
 	value: z.string().optional(),
 });
 
-/** Forms of what each method receives. */
+/** Schemas of each method's parameters. */
 export const jobPeerSchemas = {
 	noteRows: z.object({shard, rows: z.array(rowSchema)}) as unknown as z.ZodType<
 		JobPeerMethods['noteRows']['params']
--- a/packages/daemon/src/jobs/periods.ts
+++ b/packages/daemon/src/jobs/periods.ts
@@ -1,79 +1,76 @@
-/** Times of the jobs side of a daemon, in milliseconds. */
+/** Periods and timeouts of the jobs side of a daemon, in milliseconds. */
 import type {FollowPeriods} from './rows/feed-follower.js';
 
-/** Times that do not depend on the deployment. */
+/** Periods that do not depend on the deployment. */
 export const periods = {
-	/**
-	 * Between heartbeats. With the lease below, three may be lost before a
-	 * daemon's shards are taken over.
-	 */
+	/** Between heartbeats; `leaseMs` tolerates three lost ones. */
 	heartbeatIntervalMs: 500,
-	/** Silence of a heartbeat after which its daemon's shards are free. */
+	/** Time without a heartbeat after which a daemon's shards may be claimed. */
 	leaseMs: 1800,
-	/** A gap in the own reads after which silence is measured afresh. */
+	/** Gap between reads after which the observed heartbeat ages start again. */
 	observationGapMs: 1500,
-	/** Between two looks at which shards to claim. */
+	/** Between checks for shards to claim. */
 	claimIntervalMs: 100,
 	/** Head start of the daemon that a shard is assigned to. */
 	claimHeadStartMs: 500,
-	/** More for each shard that a daemon holds already, to spread them. */
+	/** Extra delay per shard that a daemon holds, to spread the shards. */
 	claimSpreadMs: 150,
-	/** A call to the store; its answers take some ms, on slow days 300. */
+	/** Timeout of a call to the store. */
 	storeTimeoutMs: 1200,
-	/** A call to another daemon on behalf of a caller. */
+	/** Timeout of a call to another daemon. */
 	peerTimeoutMs: 400,
-	/** Between two flushes of progress while no job has ended. */
+	/** Delay of a flush of progress while no job has ended. */
 	flushDelayMs: 15,
-	/** Pause after a flush that failed. */
+	/** Pause before a failed flush or read is retried. */
 	flushRetryMs: 100,
-	/** Between two plans while nothing happens. */
+	/** Between two plans while nothing changes. */
 	planIntervalMs: 100,
-	/** How long an executor holds a look back for a new end. */
+	/** How long an executor may delay the answer to a poll until a run ends. */
 	pollWaitMs: 800,
-	/** Bound on the rest of a look. */
+	/** Timeout of a poll, in addition to its wait. */
 	pollTimeoutMs: 600,
-	/** Bound on a start, a stop or a change of pace. */
+	/** Timeout of a command: a start, a stop or a throttle. */
 	commandTimeoutMs: 600,
 	/**
-	 * A look is answered at once while it lists ends that are not acknowledged:
-	 * the next one waits for their flush, which takes 15 to 30 ms.
+	 * Pause for the flush of unacknowledged ends: a poll that would list them
+	 * again is answered at once.
 	 */
 	ackPauseMs: 35,
-	/** A shorter gap between two looks is not worth a timer. */
+	/** Shortest gap between two polls for which a timer is started. */
 	minPollGapMs: 10,
-	/** A question to the advice service, which takes them one at a time. */
+	/** Timeout of a request to the advice service, which serves one at a time. */
 	adviceTimeoutMs: 3000,
-	/** Between two questions whether the owner before has let go. */
+	/** Between checks whether the previous owner has released the shard. */
 	previousHolderRetryMs: 300,
-	/** First pause after a look that was not answered; it doubles ... */
+	/** First pause after an unanswered poll; it doubles each time. */
 	pollRetryMs: 50,
-	/** ... up to this. */
+	/** Longest pause after an unanswered poll. */
 	pollRetryMaxMs: 400,
 } as const;
 
 /** How each feed is followed. */
 export const followPeriods = {
-	/** Waits at the store, so that a configuration is in force at once. */
+	/** Long poll at the store, so that a configuration applies at once. */
 	operator: {waitMs: 700, pauseMs: 0, timeoutMs: 500, retryMs: 100},
-	/** Waits at the store: a deposed owner and a new address are rare news. */
+	/** Long poll at the store, since leases rarely change. */
 	lease: {waitMs: 900, pauseMs: 0, timeoutMs: 600, retryMs: 100},
-	/** Heartbeats change all the time, so this one is polled. */
+	/** Polled, since heartbeats change constantly. */
 	daemon: {waitMs: 0, pauseMs: 400, timeoutMs: 1200, retryMs: 150},
 	executors: {waitMs: 0, pauseMs: 250, timeoutMs: 1200, retryMs: 100},
-	/** Behind the peers' word, which is faster. */
+	/** Fallback for the rows that peers send, which arrive sooner. */
 	job: {waitMs: 0, pauseMs: 500, timeoutMs: 1200, retryMs: 100},
 } as const satisfies Record<string, FollowPeriods>;
 
-/** Where an observer differs, which neither holds shards nor is a candidate. */
+/** Periods of an observer, which neither holds shards nor is a candidate. */
 export const observerPeriods = {
-	/** It learns of a new owner from the answers to its calls, too. */
+	/** Longer, since answers to its calls also show a change of owner. */
 	lease: {waitMs: 2000},
-	/** Between reads of the heartbeats ... */
+	/** Between reads of the heartbeats. */
 	daemon: {pauseMs: 700},
-	/** ... and once that of a holder stands still. */
+	/** Between reads of the heartbeats while a holder is suspected. */
 	suspectDaemon: {pauseMs: 200},
-	/** A holder's heartbeat that stands still for longer may be missing. */
+	/** Age of a holder's heartbeat from which the holder is suspected. */
 	suspectMs: 650,
-	/** A daemon that has just started sends heartbeats, for the others to see. */
+	/** For how long after its start an observer sends heartbeats. */
 	startupHeartbeatsMs: 2000,
 } as const;
--- a/packages/daemon/src/jobs/run-entry.ts
+++ b/packages/daemon/src/jobs/run-entry.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a daemon with its listeners as a process: readiness, callers, metrics,
- * signals, and a stop in an order that cuts off no caller.
+ * Runs a daemon as a process: its listeners for readiness, callers and metrics,
+ * its signal handlers, and its graceful stop.
  */
 import process from 'node:process';
 import type {ReportFailure} from '../supervisor/supervisor.js';
@@ -10,10 +10,10 @@
 import {delay, type Clock} from './clock.js';
 import type {JobDaemon} from './job-daemon.js';
 
-/** Where a listener listens. */
+/** Address and port of a listener. */
 export type ListenAddress = {readonly address: string; readonly port: number};
 
-/** What an entry is run with. */
+/** Dependencies of an entry. */
 export type EntryDeps = {
 	readonly daemon: JobDaemon;
 	readonly clock: Clock;
@@ -24,11 +24,11 @@
 		readonly metrics: ListenAddress;
 	};
 	readonly callers: FetchHandler;
-	/** Time from the signal to the end of the process, in milliseconds. */
+	/** Time from the stop signal to the exit of the process, in milliseconds. */
 	readonly graceMs: number;
-	/** Resolves once the log lines written so far are out. */
+	/** Resolves once all log lines are written out. */
 	readonly flushLog: () => Promise<void>;
-	/** Reads the settings again. */
+	/** Reloads the settings. */
 	readonly reload: () => Promise<void>;
 };
 
@@ -40,16 +40,16 @@
 };
 
 /**
- * Share of the grace in which callers are still served: new ones come until
- * the balancer has seen two failed readiness checks, a second apart.
+ * Share of the grace period in which callers are still served: the balancer
+ * sends new ones until it has seen two failed readiness checks, a second apart.
  */
 const servingShare = 0.5;
 
-/** Share of the grace after which what is in flight is cut off. */
+/** Share of the grace period after which requests in flight are aborted. */
 const cutOffShare = 0.85;
 
-/** Share of the grace after which the process ends, whatever is left. */
-const lastShare = 0.95;
+/** Share of the grace period after which the process exits in any case. */
+const exitShare = 0.95;
 
 const limits = {
 	maxHeaderBytes: 16_384,
@@ -75,15 +75,15 @@
 			headers: {'content-type': 'text/plain; version=0.0.4'},
 		});
 
-	const createPart = (
+	const createEntryListener = (
 		name: string,
 		address: ListenAddress,
 		handler: FetchHandler,
 	) => createListener(name, {...address, ...limits}, handler, clock.now);
 
-	const ready = createPart('ready', listen.ready, answerReady);
-	const callers = createPart('callers', listen.callers, deps.callers);
-	const metrics = createPart('metrics', listen.metrics, answerMetrics);
+	const ready = createEntryListener('ready', listen.ready, answerReady);
+	const callers = createEntryListener('callers', listen.callers, deps.callers);
+	const metrics = createEntryListener('metrics', listen.metrics, answerMetrics);
 
 	const stop = async (code: number) => {
 		if (isLeaving) {
@@ -94,7 +94,7 @@
 		const stoppedAt = clock.now();
 		setTimeout(() => {
 			process.exit(code); // eslint-disable-line unicorn/no-process-exit
-		}, graceMs * lastShare);
+		}, graceMs * exitShare);
 		logger.info('stopping', {code});
 		await daemon.handOverShards();
 		const servedMs = clock.now() - stoppedAt;
