--- a/packages/daemon/src/jobs/clock.ts
+++ b/packages/daemon/src/jobs/clock.ts
@@ -11,7 +11,6 @@
 /** A moment by both clocks, in milliseconds. */
 export type Moment = {readonly at: number; readonly epochAt: number};
 
-/** Reads both clocks. */
 export const getMoment = ({now, epochNow}: Clock): Moment => ({
 	at: now(),
 	epochAt: epochNow(),
--- a/packages/daemon/src/jobs/entry/cancel-outcome.ts
+++ b/packages/daemon/src/jobs/entry/cancel-outcome.ts
@@ -1,5 +1,4 @@
 /** The outcome of a cancellation, as entries report it to each other. */
 
-/** Outcome of a cancellation. */
 export type CancelOutcome =
 	'cancelled' | 'unknown-job' | 'store-unavailable' | 'store-unknown';
--- a/packages/daemon/src/jobs/entry/job-service.ts
+++ b/packages/daemon/src/jobs/entry/job-service.ts
@@ -37,7 +37,6 @@
 /** A call's result; its error is a kind of the core's error table. */
 export type JobResult<Value> = Result<Value, errors.ErrorKind>;
 
-/** Dependencies of the service. */
 export type JobServiceDeps = {
 	readonly routes: Routes;
 	/** Present and former services of each queue. */
@@ -137,7 +136,6 @@
 const isUnknown = (result: JobResult<unknown>): boolean =>
 	!result.ok && result.error === 'unknown-job';
 
-/** Creates the job service of an entry. */
 export const createJobService = (deps: JobServiceDeps): JobService => {
 	const {routes, submissions, owners, store, clock, logger, metrics} = deps;
 
--- a/packages/daemon/src/jobs/entry/owner-channel.ts
+++ b/packages/daemon/src/jobs/entry/owner-channel.ts
@@ -11,7 +11,6 @@
 import type {LeaseBook} from '../shards/lease-book.js';
 import type {SubmitOutcome} from './submissions.js';
 
-/** Dependencies of the channel. */
 export type OwnerChannelDeps = {
 	readonly book: LeaseBook;
 	readonly peers: Pick<PeerChannel, 'call'>;
@@ -55,7 +54,6 @@
 	) => Promise<scheduler.ServiceLoad | undefined>;
 };
 
-/** Creates the channel. */
 export const createOwnerChannel = (deps: OwnerChannelDeps): OwnerChannel => {
 	const {book, peers, getLocal} = deps;
 	const getAddress = (shard: string): string | undefined => {
--- a/packages/daemon/src/jobs/entry/peer-entries.ts
+++ b/packages/daemon/src/jobs/entry/peer-entries.ts
@@ -9,7 +9,6 @@
 import type {CancelOutcome} from './cancel-outcome.js';
 import type {SubmitOutcome} from './submissions.js';
 
-/** Dependencies of the calls. */
 export type PeerEntriesDeps = {
 	readonly self: acknowledgement.EntryLife;
 	readonly members: Members;
@@ -45,7 +44,6 @@
 /** Entries notified: more than there are holders and candidates. */
 const maxNotified = 16;
 
-/** Creates the calls. */
 export const createPeerEntries = (deps: PeerEntriesDeps): PeerEntries => {
 	const {self, members, peers, logger} = deps;
 
--- a/packages/daemon/src/jobs/entry/queue-history.ts
+++ b/packages/daemon/src/jobs/entry/queue-history.ts
@@ -17,7 +17,6 @@
 import {decodeRow, parseServiceShard, sharedPart} from '../rows/tables.js';
 import {readWhole} from '../rows/table-feed.js';
 
-/** The history. */
 export type QueueHistory = {
 	/** Reads what all daemons have stored; resolves to false on failure. */
 	readonly load: () => Promise<boolean>;
@@ -27,7 +26,6 @@
 	readonly listServices: (queue: string, present: string) => readonly string[];
 };
 
-/** Dependencies of the history. */
 export type QueueHistoryDeps = {
 	readonly store: RowStore;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
@@ -46,7 +44,6 @@
 /** Older form: one row per queue in the shared partition lists all services. */
 const servicesSchema = z.array(z.string());
 
-/** Creates an empty history. */
 export const createQueueHistory = ({
 	store,
 	logger,
--- a/packages/daemon/src/jobs/entry/submission-batch.ts
+++ b/packages/daemon/src/jobs/entry/submission-batch.ts
@@ -37,7 +37,6 @@
 	),
 ];
 
-/** Creates an empty batch. */
 export const createBatch = <Item extends BatchItem>(
 	recorded: ReadonlySet<string>,
 ): SubmissionBatch<Item> => {
--- a/packages/daemon/src/jobs/entry/submissions.ts
+++ b/packages/daemon/src/jobs/entry/submissions.ts
@@ -18,7 +18,6 @@
 import {createHistoryRow} from './queue-history.js';
 import {createBatch, listUnrecordedQueues} from './submission-batch.js';
 
-/** Outcome of a submission. */
 export type SubmitOutcome =
 	/** The job is stored, by this request or by an earlier one. */
 	| {readonly kind: 'accepted'; readonly isRepeat: boolean}
@@ -29,7 +28,6 @@
 	/** The job may be stored already or may still be. */
 	| {readonly kind: 'unknown'};
 
-/** Dependencies of the submissions. */
 export type SubmissionsDeps = {
 	readonly store: RowStore;
 	readonly book: LeaseBook;
@@ -41,7 +39,6 @@
 	readonly onStored: (shard: string, rows: readonly StoredRow[]) => void;
 };
 
-/** Accepts jobs. */
 export type Submissions = {
 	/** Resolves by the deadline, in milliseconds of the monotonic clock. */
 	readonly submit: (
@@ -104,7 +101,6 @@
 	two: scheduler.AcceptedJob,
 ): boolean => toCanonicalText(one) === toCanonicalText(two);
 
-/** Creates the submissions of an entry. */
 export const createSubmissions = (deps: SubmissionsDeps): Submissions => {
 	const {store, book, now, logger} = deps;
 	const queues = new Map<string, Queue>();
@@ -314,7 +310,7 @@
 			return true;
 		}
 
-		// The entry that passed it on has tried another way since.
+		// By its deadline, the calling entry has sent the job by another way.
 		const isLate = now() >= waiting.deadline;
 		if (isLate) {
 			refuse(waiting);
--- a/packages/daemon/src/jobs/executor-list.ts
+++ b/packages/daemon/src/jobs/executor-list.ts
@@ -3,14 +3,12 @@
 import type {FeedBatch, FeedEntry} from '@gullstand/ports';
 import type {RowFaults} from './rows/row-faults.js';
 
-/** The list of executors. */
 export type ExecutorList = {
 	readonly applyWhole: (batch: FeedBatch<scheduler.ListedExecutor>) => void;
 	readonly applyChanges: (batch: FeedBatch<scheduler.ListedExecutor>) => void;
 	readonly list: () => readonly scheduler.ListedExecutor[];
 };
 
-/** Dependencies of the list. */
 export type ExecutorListDeps = {
 	readonly rowFaults: RowFaults;
 	/** Whether the current configuration names the service. */
--- a/packages/daemon/src/jobs/job-daemon.test.fixture.ts
+++ b/packages/daemon/src/jobs/job-daemon.test.fixture.ts
@@ -9,7 +9,6 @@
 import type {RowFaults} from './rows/row-faults.js';
 import type {HeldShard} from './shards/held-shard.js';
 
-/** An in-memory platform. */
 export type TestPlatform = {
 	readonly store: ports.MemoryRowStore;
 	readonly operator: ports.MemoryFeed<ports.OperatorEntry>;
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -66,7 +66,6 @@
 	readonly waveStatus: WaveStatusPort;
 };
 
-/** Settings of the jobs side. */
 export type JobDaemonSettings = {
 	readonly name: string;
 	readonly peers: {readonly address: string; readonly port: number};
@@ -78,7 +77,6 @@
 	readonly machineTurnoverMs: number;
 };
 
-/** Dependencies of the daemon. */
 export type JobDaemonDeps = {
 	readonly settings: JobDaemonSettings;
 	readonly platform: JobPlatform;
@@ -87,7 +85,6 @@
 	readonly logger: Logger;
 };
 
-/** The jobs side of a daemon. */
 export type JobDaemon = {
 	/** Starts all parts; resolves once the daemon can serve callers. */
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
@@ -109,7 +106,6 @@
 /** Name of the operators' feed in log lines and metrics. */
 const operatorName = 'operator';
 
-/** Creates a daemon. */
 export const createJobDaemon = (deps: JobDaemonDeps): JobDaemon => {
 	const {settings, platform, clock, logger} = deps;
 	const {now} = clock;
@@ -439,7 +435,7 @@
 		onUnchanged: members.applyChanges,
 	});
 
-	// Makes a stalled follower visible long after its log line.
+	// Shows a stalled follower, also long after its log line.
 	for (const [name, follower] of [
 		[operatorName, operatorFollower],
 		['lease', leaseFollower],
--- a/packages/daemon/src/jobs/job-metrics.ts
+++ b/packages/daemon/src/jobs/job-metrics.ts
@@ -15,11 +15,9 @@
 	job: 'job_end',
 } as const;
 
-/** Name of a histogram. */
 export type HistogramName =
 	(typeof histogramNames)[keyof typeof histogramNames];
 
-/** Metrics of one daemon. */
 export type JobMetrics = {
 	/** Increments a counter with a label, such as a queue or a kind. */
 	readonly count: (name: string, label?: string) => void;
@@ -66,7 +64,6 @@
 	];
 };
 
-/** Creates empty metrics. */
 export const createJobMetrics = (): JobMetrics => {
 	const counters = new Map<string, number>();
 	const histograms = new Map<string, Histogram>();
--- a/packages/daemon/src/jobs/owner/apply-job-rows.ts
+++ b/packages/daemon/src/jobs/owner/apply-job-rows.ts
@@ -7,7 +7,6 @@
 import type {HeldShard} from '../shards/held-shard.js';
 import type {OwnerLog} from './owner-log.js';
 
-/** Dependencies of applying rows. */
 export type ApplyJobRowsDeps = {
 	readonly held: HeldShard;
 	readonly clock: Clock;
--- a/packages/daemon/src/jobs/owner/executor-link.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.ts
@@ -10,7 +10,6 @@
 import {createPause} from '../pause.js';
 import {periods} from '../periods.js';
 
-/** Dependencies of a link. */
 export type ExecutorLinkDeps = {
 	readonly owner: scheduler.Owner;
 	readonly executor: scheduler.Executor;
@@ -34,7 +33,6 @@
 /** A command that starts or stops a run. */
 type RunCommand = Exclude<scheduler.Order, {readonly kind: 'advise'}>;
 
-/** An open link. */
 export type ExecutorLink = {
 	/** Polls without waiting for the current pause to end. */
 	readonly pollNow: () => void;
--- a/packages/daemon/src/jobs/owner/executor-links.ts
+++ b/packages/daemon/src/jobs/owner/executor-links.ts
@@ -4,7 +4,6 @@
 
 type Link = Pick<ExecutorLink, 'close'>;
 
-/** Links by executor id. */
 export type ExecutorLinks<Opened extends Link> = {
 	readonly get: (executorId: string) => Opened | undefined;
 	/**
@@ -17,7 +16,6 @@
 	readonly closeAll: () => void;
 };
 
-/** Creates an empty set of links. */
 export const createExecutorLinks = <Opened extends Link>(
 	open: (executor: scheduler.Executor) => Opened,
 ): ExecutorLinks<Opened> => {
--- a/packages/daemon/src/jobs/owner/flusher.ts
+++ b/packages/daemon/src/jobs/owner/flusher.ts
@@ -1,7 +1,7 @@
 /**
  * Stores the progress of a service's jobs. Each flush checks the lease row, so
- * that a deposed owner stores nothing, and the flush row, which the previous
- * flush rewrote, so that a delayed flush changes nothing.
+ * that a deposed owner stores nothing. It also checks and rewrites the flush
+ * row, so that a delayed flush changes nothing.
  */
 import {scheduler} from '@gullstand/core';
 import type {RowStore, RowTransaction, StoredRow} from '@gullstand/ports';
@@ -21,7 +21,6 @@
 /** The store takes 100 entries a transaction, including checks. */
 const maxJobsPerFlush = 90;
 
-/** Dependencies of a flusher. */
 export type FlusherDeps = {
 	readonly store: RowStore;
 	readonly owner: scheduler.Owner;
@@ -53,7 +52,6 @@
 const isUrgent = ({dirty, isRosterDirty}: scheduler.Owner): boolean =>
 	isRosterDirty || [...dirty].some(({end}) => end !== undefined);
 
-/** Creates a flusher. */
 export const createFlusher = (deps: FlusherDeps): Flusher => {
 	const {store, owner, held, logger, clock} = deps;
 	const part = held.shard;
@@ -99,7 +97,7 @@
 		};
 	};
 
-	/** Returns whether a timed-out flush of this owner was stored after all. */
+	/** Returns whether the conflict came from a delayed flush of this owner. */
 	const resolveConflict = (rows: readonly StoredRow[]): boolean => {
 		const lease = rows.find(({table}) => table === tables.lease);
 		if (lease?.version !== held.version) {
--- a/packages/daemon/src/jobs/owner/job-remover.ts
+++ b/packages/daemon/src/jobs/owner/job-remover.ts
@@ -18,7 +18,6 @@
  */
 const backlogPeriodMs = 500;
 
-/** Dependencies of the remover. */
 export type JobRemoverDeps = {
 	readonly store: RowStore;
 	readonly held: HeldShard;
@@ -32,7 +31,6 @@
 	readonly removeDueJobs: (owner: scheduler.Owner) => Promise<void>;
 };
 
-/** Creates a remover. */
 export const createJobRemover = (deps: JobRemoverDeps): JobRemover => {
 	const {store, held, now, logger} = deps;
 	const part = held.shard;
--- a/packages/daemon/src/jobs/owner/load-owner.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.ts
@@ -18,7 +18,6 @@
 } from '../rows/tables.js';
 import type {HeldShard} from '../shards/held-shard.js';
 
-/** Dependencies of a load. */
 export type LoadOwnerDeps = {
 	readonly store: RowStore;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
@@ -132,9 +131,10 @@
 };
 
 /**
- * For how long an executor has been suspected and got no leases; absent if it
- * may have got some. Only a mark of the previous owner counts: an owner of a
- * release without marks keeps an older mark in the row and grants leases.
+ * For how many milliseconds an executor has been suspected, and so was granted
+ * no leases; undefined if it may have been granted some. Only a mark by the
+ * previous owner counts: a release without marks leaves an older mark in the
+ * row and still grants leases.
  */
 const getSuspectedMs = (
 	{darkSinceMs, markedBy}: Pick<RosterRow, 'darkSinceMs' | 'markedBy'>,
--- a/packages/daemon/src/jobs/owner/load-report.ts
+++ b/packages/daemon/src/jobs/owner/load-report.ts
@@ -1,7 +1,7 @@
 /**
  * Logs an owner's load every two seconds: waiting tasks, why executors accept
- * none, the durations of plans and starts, and timer delays. It tells an
- * overloaded owner from unresponsive executors.
+ * none, the durations of plans and starts, and timer delays. The log line shows
+ * whether the owner is overloaded or executors are unresponsive.
  */
 import {scheduler} from '@gullstand/core';
 import type {Logger} from '../../log/logger.js';
@@ -9,7 +9,6 @@
 /** Time between two log lines, in milliseconds. */
 const reportMs = 2000;
 
-/** Dependencies of the report. */
 export type LoadReportDeps = {
 	readonly logger: Pick<Logger, 'info'>;
 	readonly now: () => number;
@@ -19,7 +18,7 @@
 export type LoadReport = {
 	/** Records the duration of a plan, in milliseconds. */
 	readonly recordPlan: (tookMs: number) => void;
-	/** Records how long a start took until its answer or its timeout, in milliseconds. */
+	/** Records the time from a start to its answer or timeout, in milliseconds. */
 	readonly recordStart: (tookMs: number, isAnswered: boolean) => void;
 	/** Records by how many milliseconds a timer fired late. */
 	readonly recordTimerDelay: (lateMs: number) => void;
--- a/packages/daemon/src/jobs/owner/owned-services.ts
+++ b/packages/daemon/src/jobs/owner/owned-services.ts
@@ -21,7 +21,6 @@
 import type {HeldShard} from '../shards/held-shard.js';
 import {createOwnerRunner, type OwnerRunner} from './owner-runner.js';
 
-/** Dependencies of the owned services. */
 export type OwnedServicesDeps = {
 	readonly store: RowStore;
 	readonly executors: Executors;
@@ -70,7 +69,6 @@
 	) => readonly scheduler.TaskExplanation[] | undefined;
 };
 
-/** Creates an empty set of services. */
 export const createOwnedServices = (deps: OwnedServicesDeps): OwnedServices => {
 	const {clock, logger, reportFailure} = deps;
 	const runners = new Map<string, OwnerRunner>();
--- a/packages/daemon/src/jobs/owner/owner-log.ts
+++ b/packages/daemon/src/jobs/owner/owner-log.ts
@@ -21,7 +21,6 @@
 	readonly logFlush: (flush: scheduler.Flush) => void;
 };
 
-/** Dependencies of the log. */
 export type OwnerLogDeps = {
 	readonly service: string;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
@@ -29,7 +28,6 @@
 	readonly clock: Clock;
 };
 
-/** Creates the log. */
 export const createOwnerLog = (deps: OwnerLogDeps): OwnerLog => {
 	const {service, logger, metrics, clock} = deps;
 
--- a/packages/daemon/src/jobs/owner/owner-runner.ts
+++ b/packages/daemon/src/jobs/owner/owner-runner.ts
@@ -30,7 +30,6 @@
 import {applyJobRows} from './apply-job-rows.js';
 import {getInheritedGrantMs, loadOwner} from './load-owner.js';
 
-/** Dependencies of an owner's runner. */
 export type OwnerRunnerDeps = {
 	readonly held: HeldShard;
 	readonly service: string;
--- a/packages/daemon/src/jobs/pause.ts
+++ b/packages/daemon/src/jobs/pause.ts
@@ -8,7 +8,6 @@
 	readonly end: () => void;
 };
 
-/** Creates a pause without a waiter. */
 export const createPause = (): Pause => {
 	let endWait: () => void = () => undefined;
 	return {
--- a/packages/daemon/src/jobs/peer-handlers.ts
+++ b/packages/daemon/src/jobs/peer-handlers.ts
@@ -9,7 +9,6 @@
 import type {Members} from './shards/members.js';
 import type {ShardKeeper} from './shards/shard-keeper.js';
 
-/** Dependencies of the handlers. */
 export type PeerHandlersDeps = {
 	/** Incarnation of this daemon. */
 	readonly incarnation: string;
@@ -127,7 +126,6 @@
 	);
 };
 
-/** Registers the handlers of all methods of the jobs side. */
 export const registerPeerHandlers = (
 	channel: Pick<PeerChannel, 'addMethod'>,
 	deps: PeerHandlersDeps,
--- a/packages/daemon/src/jobs/run-entry.ts
+++ b/packages/daemon/src/jobs/run-entry.ts
@@ -10,10 +10,8 @@
 import {delay, type Clock} from './clock.js';
 import type {JobDaemon} from './job-daemon.js';
 
-/** Address and port of a listener. */
 export type ListenAddress = {readonly address: string; readonly port: number};
 
-/** Dependencies of an entry. */
 export type EntryDeps = {
 	readonly daemon: JobDaemon;
 	readonly clock: Clock;
@@ -32,7 +30,6 @@
 	readonly reload: () => Promise<void>;
 };
 
-/** A running entry. */
 export type Entry = {
 	readonly start: () => Promise<void>;
 	readonly stop: (code: number) => Promise<void>;
@@ -60,7 +57,6 @@
 
 const statuses = {ready: 200, notReady: 503} as const;
 
-/** Creates an entry. */
 export const createEntry = (deps: EntryDeps): Entry => {
 	const {daemon, clock, logger, listen, graceMs} = deps;
 	let isLeaving = false;
