--- a/packages/daemon/src/jobs/entry/queue-history.ts
+++ b/packages/daemon/src/jobs/entry/queue-history.ts
@@ -15,7 +15,7 @@
 import {periods} from '../periods.js';
 import {coalesceCalls} from '../coalesce-calls.js';
 import {decodeRow, parseServiceShard, sharedPart} from '../rows/tables.js';
-import {readWhole} from '../rows/table-feed.js';
+import {readRange} from '../rows/table-feed.js';
 
 export type QueueHistory = {
 	/** Reads what all daemons have stored; resolves to false on failure. */
@@ -70,7 +70,7 @@
 	};
 
 	const readPart = async (part: string): Promise<boolean> => {
-		const rows = await readWhole(
+		const rows = await readRange(
 			store,
 			{table: historyTable, part},
 			periods.storeTimeoutMs,
--- a/packages/daemon/src/jobs/entry/submission-batch.ts
+++ b/packages/daemon/src/jobs/entry/submission-batch.ts
@@ -1,6 +1,6 @@
 /** Groups submissions into transactions. */
 import type {scheduler} from '@gullstand/core';
-import {getValueBytes, maxValueBytes} from '../rows/transaction-size.js';
+import {getValueBytes, maxTransactionBytes} from '../rows/transaction-size.js';
 
 /** A submission and the value of its row. */
 export type BatchItem = {
@@ -45,7 +45,7 @@
 	let bytes = 0;
 
 	const hasBytesFor = (text: string): boolean =>
-		items.size === 0 || bytes + getValueBytes(text) <= maxValueBytes;
+		items.size === 0 || bytes + getValueBytes(text) <= maxTransactionBytes;
 
 	// If a job were stored before its queue was recorded, it could not be found
 	// once the queue had moved.
--- a/packages/daemon/src/jobs/entry/submissions.ts
+++ b/packages/daemon/src/jobs/entry/submissions.ts
@@ -14,7 +14,7 @@
 	jobSchema,
 	tables,
 } from '../rows/tables.js';
-import type {LeaseBook} from '../shards/lease-book.js';
+import type {LeaseCache} from '../shards/lease-cache.js';
 import {createHistoryRow} from './queue-history.js';
 import {createBatch, listUnrecordedQueues} from './submission-batch.js';
 
@@ -30,7 +30,7 @@
 
 export type SubmissionsDeps = {
 	readonly store: RowStore;
-	readonly book: LeaseBook;
+	readonly book: LeaseCache;
 	/** Whether the store is unresponsive, so that nothing should be sent to it. */
 	readonly isStoreUnresponsive: () => boolean;
 	readonly now: () => number;
@@ -138,7 +138,7 @@
 		const stored = new Map<string, StoredRow>();
 		for (const row of rows) {
 			if (row.table === tables.lease) {
-				book.note(row);
+				book.applyRow(row);
 			} else if (row.version > 0) {
 				stored.set(row.key, row);
 			}
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -28,7 +28,7 @@
 import {createRoutes, type Routes} from './entry/routes.js';
 import {createSubmissions} from './entry/submissions.js';
 import {createFleetRunner, type FleetRunner} from './fleet/fleet-runner.js';
-import type {WaveStatusPort} from './fleet/wave-round.js';
+import type {WaveStatusPort} from './fleet/machine-wave-runner.js';
 import {createJobMetrics, type JobMetrics} from './job-metrics.js';
 import {
 	createOwnedServices,
@@ -40,7 +40,7 @@
 import {createFeedFollower} from './rows/feed-follower.js';
 import {createRowFaults} from './rows/row-faults.js';
 import {watchStore} from './rows/store-health.js';
-import {createRecentFeed, createTableFeed} from './rows/table-feed.js';
+import {createChangesOnlyFeed, createTableFeed} from './rows/table-feed.js';
 import {
 	fleetShard,
 	getServiceShard,
@@ -49,7 +49,7 @@
 	type LeaseRow,
 } from './rows/tables.js';
 import {createHeartbeat} from './shards/heartbeat.js';
-import {createLeaseBook} from './shards/lease-book.js';
+import {createLeaseCache} from './shards/lease-cache.js';
 import {createMembers} from './shards/members.js';
 import type {HeldShard} from './shards/held-shard.js';
 import {createShardKeeper} from './shards/shard-keeper.js';
@@ -129,11 +129,11 @@
 		logger,
 		rowFaults,
 	});
-	const book = createLeaseBook({
+	const book = createLeaseCache({
 		logger,
 		rowFaults,
 		onChange(shard, lease) {
-			keeper.noteLease(shard, lease);
+			keeper.applyLease(shard, lease);
 		},
 	});
 
@@ -190,7 +190,7 @@
 
 	const submissions = createSubmissions({
 		store,
-		isStoreUnresponsive: watched.isSuspect,
+		isStoreUnresponsive: watched.isUnresponsive,
 		book,
 		now,
 		logger,
@@ -257,14 +257,15 @@
 		metrics,
 		rowFaults,
 		hasService,
-		getLeasesConfirmedAt: () => leaseFollower.getConfirmed(),
+		getLeasesConfirmedAt: () => leaseFollower.getConfirmedAt(),
+
 		hasReleased,
 		onOwnershipLost(shard, rows) {
 			for (const row of rows) {
-				book.note(row);
+				book.applyRow(row);
 			}
 
-			keeper.noteDeposed(shard);
+			keeper.handleFenced(shard);
 		},
 		reportFailure(err) {
 			reportFailure(err);
@@ -283,15 +284,15 @@
 			logger,
 			pools: settings.pools,
 			turnoverMs: settings.machineTurnoverMs,
-			beliefMs: settings.scheduler.ownerBeliefMs,
-			getConfirmed: leaseFollower.getConfirmed,
+			maxUnconfirmedMs: settings.scheduler.ownershipTimeoutMs,
+			getLeasesConfirmedAt: leaseFollower.getConfirmedAt,
 			listWaves: () => [...waves.values()],
 			hasOwner,
 			getStandbyPool: () =>
 				routes.get()?.services.find(({isStandby}) => isStandby)?.name,
 			onLost(reason) {
 				logger.warn('fleet shard lost', {reason});
-				keeper.noteDeposed(fleetShard);
+				keeper.handleFenced(fleetShard);
 			},
 			reportFailure,
 		});
@@ -326,15 +327,15 @@
 		capacity: settings.capacity,
 		getAddress,
 		members,
-		book,
+		leases: book,
 		listShards,
 		mayClaim() {
-			const membersReadAt = memberFollower.getConfirmed()?.at;
+			const membersReadAt = memberFollower.getConfirmedAt()?.at;
 			return (
 				membersReadAt !== undefined && now() - membersReadAt < periods.leaseMs
 			);
 		},
-		ensureHeartbeat: async () => heartbeat.ensure(),
+		ensureHeartbeat: async () => heartbeat.ensureRecent(),
 		isCandidate: () => role.isCandidate(),
 		now,
 		random: deps.random,
@@ -348,7 +349,7 @@
 	const role = createEntryRole({
 		self: {entry: self.entry, capacity: settings.capacity},
 		members,
-		book,
+		leases: book,
 		isHolding: () => keeper.isHolding(),
 		now,
 		logger,
@@ -396,7 +397,7 @@
 				waves.set(value.id, value);
 			})
 			.with({kind: 'unreadable'}, ({problem}) => {
-				rowFaults.note({table: operatorName, key, problem});
+				rowFaults.report({table: operatorName, key, problem});
 			})
 			.exhaustive();
 	};
@@ -407,7 +408,7 @@
 		periods: followPeriods.operator,
 		clock,
 		logger,
-		onWhole: applyOperatorBatch,
+		onSnapshot: applyOperatorBatch,
 		onChanges: applyOperatorBatch,
 	});
 
@@ -415,21 +416,21 @@
 		name: 'lease',
 		feed: createTableFeed(store, tables.lease, {kind: 'all'}),
 		periods: followPeriods.lease,
-		adjust: role.getLeasePeriods,
+		getOverrides: role.getLeasePeriods,
 		clock,
 		logger,
-		onWhole: book.apply,
+		onSnapshot: book.apply,
 		onChanges: book.apply,
 	});
 
 	const memberFollower = createFeedFollower({
 		name: 'daemon',
-		feed: createRecentFeed(store, tables.daemon),
+		feed: createChangesOnlyFeed(store, tables.daemon),
 		periods: followPeriods.daemon,
-		adjust: role.getDaemonPeriods,
+		getOverrides: role.getHeartbeatPeriods,
 		clock,
 		logger,
-		onWhole: members.applyChanges,
+		onSnapshot: members.applyChanges,
 		onChanges: members.applyChanges,
 		// Heartbeats age even if no daemon sends one any more.
 		onUnchanged: members.applyChanges,
@@ -442,7 +443,7 @@
 		['daemon', memberFollower],
 	] as const) {
 		metrics.registerGauge('feed_age_ms', name, () => {
-			const confirmed = follower.getConfirmed();
+			const confirmed = follower.getConfirmedAt();
 			return confirmed && Math.round(now() - confirmed.at);
 		});
 	}
@@ -474,7 +475,7 @@
 			routes,
 			keeper,
 			members,
-			readLeases: leaseFollower.hasten,
+			readLeases: leaseFollower.skipPause,
 			now,
 		});
 		await channel.start(reportFailure);
@@ -508,7 +509,7 @@
 		}
 
 		state.isStarted = true;
-		await heartbeat.beatOnce();
+		await heartbeat.writeNow();
 		await heartbeat.start(report);
 		await keeper.start(report);
 		logger.info('daemon started', {
@@ -546,6 +547,7 @@
 
 	return {
 		start,
+
 		handOverShards,
 		stop,
 		isReady,
--- a/packages/daemon/src/jobs/owner/executor-link.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.ts
@@ -20,7 +20,7 @@
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	/** Called when the owner's state changed, to store it and plan again. */
 	readonly onChange: () => void;
-	readonly onPoll: (changes: scheduler.LookChanges) => void;
+	readonly onPoll: (changes: scheduler.PollChanges) => void;
 	readonly onFenced: () => void;
 	readonly onOtherIncarnation: () => void;
 	/** Called with the answer to a start, for the log and the metrics. */
@@ -31,7 +31,7 @@
 };
 
 /** A command that starts or stops a run. */
-type RunCommand = Exclude<scheduler.Order, {readonly kind: 'advise'}>;
+type RunCommand = Exclude<scheduler.Command, {readonly kind: 'advise'}>;
 
 export type ExecutorLink = {
 	/** Polls without waiting for the current pause to end. */
@@ -40,7 +40,7 @@
 	readonly notifyAckable: () => void;
 	readonly close: () => void;
 	readonly send: (command: RunCommand) => void;
-	readonly sendThrottle: (command: scheduler.PaceOrder) => void;
+	readonly sendThrottle: (command: scheduler.ThrottleCommand) => void;
 };
 
 type State = {
@@ -75,14 +75,14 @@
 	const needsPoll = (): boolean =>
 		!executor.isAdopted ||
 		executor.runs.size > 0 ||
-		executor.strays > 0 ||
+		executor.orphanedRunCount > 0 ||
 		executor.acknowledgedUpto > state.ackSent ||
-		executor.silentSince !== undefined ||
+		executor.unresponsiveSince !== undefined ||
 		state.isPollRequested;
 
 	/** Whether the executor would list ends again in the next poll. */
 	const hasUnacked = (): boolean =>
-		executor.lastEnd > executor.acknowledgedUpto;
+		executor.lastEndNumber > executor.acknowledgedUpto;
 
 	const pauseForAck = async () => {
 		if (hasUnacked() && !state.isPollRequested) {
@@ -92,7 +92,7 @@
 
 	/** Waits, so that one poll lists several ends. */
 	const pauseForGap = async (answeredAt: number) => {
-		const gapMs = scheduler.getLookGapMs(owner.startWindow);
+		const gapMs = scheduler.getMinPollIntervalMs(owner.startWindow);
 		const remainingMs = gapMs - (now() - answeredAt);
 		if (remainingMs >= periods.minPollGapMs && !state.isPollRequested) {
 			await pollGap.wait(remainingMs);
@@ -103,8 +103,8 @@
 		state.retryMs = periods.pollRetryMs;
 		const {clockMs, running, ends} = answer;
 		const poll = {sentAt, receivedAt: now(), clockMs, running, ends};
-		const unresponsiveSince = executor.silentSince;
-		const changes = scheduler.takeLook(owner, executor, poll);
+		const {unresponsiveSince} = executor;
+		const changes = scheduler.applyPoll(owner, executor, poll);
 		if (changes.isFirst || unresponsiveSince !== undefined) {
 			logger.info('executor responded', {
 				executor: executor.id,
@@ -118,7 +118,7 @@
 			});
 		}
 
-		for (const {taskId, run} of changes.strays) {
+		for (const {taskId, run} of changes.orphanedRuns) {
 			void stopOrphanedRun(taskId, run);
 		}
 
@@ -141,7 +141,7 @@
 	};
 
 	const handleNoAnswer = async () => {
-		if (executor.silentSince === undefined) {
+		if (executor.unresponsiveSince === undefined) {
 			logger.warn('executor not responding', {
 				executor: executor.id,
 				address: target.address,
@@ -149,7 +149,7 @@
 			});
 		}
 
-		scheduler.noteSilence(owner, executor.id, now());
+		scheduler.markUnresponsive(owner, executor.id, now());
 		deps.onChange();
 		await delay(state.retryMs);
 		state.retryMs = Math.min(2 * state.retryMs, periods.pollRetryMaxMs);
@@ -157,9 +157,9 @@
 
 	const pollOnce = async () => {
 		const isResponsive =
-			executor.isAdopted && executor.silentSince === undefined;
+			executor.isAdopted && executor.unresponsiveSince === undefined;
 		const {acknowledgedUpto} = executor;
-		const isBusy = executor.runs.size > 0 || executor.strays > 0;
+		const isBusy = executor.runs.size > 0 || executor.orphanedRunCount > 0;
 		const mayWait = isResponsive && !state.isPollRequested && isBusy;
 		const waitMs = mayWait ? periods.pollWaitMs : 0;
 		state.isPollRequested = false;
@@ -225,7 +225,7 @@
 		deps.onChange();
 	};
 
-	const sendStart = async (command: scheduler.Order & {kind: 'start'}) => {
+	const sendStart = async (command: scheduler.Command & {kind: 'start'}) => {
 		const {run: started, leaseEndMs} = command;
 		const {task, number} = started;
 		const answer = await executors.start(
@@ -256,10 +256,10 @@
 			tookMs: Math.round(now() - started.askedAt),
 		});
 		deps.onStartAnswer(started, answer.kind);
-		applyEffect(scheduler.takeStartAnswer(owner, started, answer, now()));
+		applyEffect(scheduler.applyStartAnswer(owner, started, answer, now()));
 	};
 
-	const sendStop = async (command: scheduler.Order & {kind: 'stop'}) => {
+	const sendStop = async (command: scheduler.Command & {kind: 'stop'}) => {
 		const {run: stopped, reason} = command;
 		const {task, number} = stopped;
 		const answer = await executors.stop(
@@ -279,17 +279,17 @@
 			outcome: answer.kind,
 			percent: stopped.percent,
 		});
-		applyEffect(scheduler.takeStopAnswer(owner, stopped, answer, now()));
+		applyEffect(scheduler.applyStopAnswer(owner, stopped, answer, now()));
 	};
 
 	const sendThrottle = async ({
 		run: throttled,
 		percent,
 		tailShare,
-	}: scheduler.PaceOrder) => {
+	}: scheduler.ThrottleCommand) => {
 		const {task, number} = throttled;
-		const before = throttled.pacePercent;
-		throttled.pacePercent = percent;
+		const before = throttled.speedLimitPercent;
+		throttled.speedLimitPercent = percent;
 		const answer = await executors.pace(
 			target,
 			{taskId: task.id, run: number, fencingToken: owner.token, percent},
@@ -305,7 +305,7 @@
 			outcome: answer.kind,
 		});
 		if (answer.kind !== 'done') {
-			throttled.pacePercent = before;
+			throttled.speedLimitPercent = before;
 		}
 	};
 
--- a/packages/daemon/src/jobs/owner/flusher.test.ts
+++ b/packages/daemon/src/jobs/owner/flusher.test.ts
@@ -131,7 +131,7 @@
 			false,
 		);
 		scheduler.addOccurrence(job);
-		owner.dirty.add(job);
+		owner.dirtyJobs.add(job);
 	}
 
 	const inner = ports.createMemoryRowStore();
--- a/packages/daemon/src/jobs/owner/flusher.ts
+++ b/packages/daemon/src/jobs/owner/flusher.ts
@@ -8,7 +8,7 @@
 import type {Logger} from '../../log/logger.js';
 import {delay, getMoment, type Clock} from '../clock.js';
 import {periods} from '../periods.js';
-import {getLatestStoreMs, type StoreTime} from '../rows/store-time.js';
+import {getLatestStoreMs, type StoreClockReading} from '../rows/store-clock.js';
 import {
 	getLeaseCheck,
 	singleKeys,
@@ -28,7 +28,7 @@
 	readonly flushVersion: number;
 	readonly clock: Clock;
 	/** The store's clock at the takeover. */
-	readonly storeTime: StoreTime;
+	readonly storeTime: StoreClockReading;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 	/** Called with the executors whose latest ends may be acknowledged. */
 	readonly onAckable: (executors: readonly scheduler.Executor[]) => void;
@@ -49,8 +49,8 @@
 	readonly drain: () => Promise<void>;
 };
 
-const isUrgent = ({dirty, isRosterDirty}: scheduler.Owner): boolean =>
-	isRosterDirty || [...dirty].some(({end}) => end !== undefined);
+const isUrgent = ({dirtyJobs, isRosterDirty}: scheduler.Owner): boolean =>
+	isRosterDirty || [...dirtyJobs].some(({end}) => end !== undefined);
 
 export const createFlusher = (deps: FlusherDeps): Flusher => {
 	const {store, owner, held, logger, clock} = deps;
@@ -63,7 +63,8 @@
 
 	const toRosterRow = ({
 		listed,
-		darkSince: suspectedSince,
+
+		suspectedSince,
 	}: scheduler.RosterEntry): RosterRow =>
 		suspectedSince === undefined
 			? listed
@@ -178,7 +179,7 @@
 		}
 
 		if (!scheduler.needsFlush(owner)) {
-			deps.onAckable(scheduler.acknowledgeIdle(owner));
+			deps.onAckable(scheduler.acknowledgeAll(owner));
 			return;
 		}
 
@@ -204,7 +205,7 @@
 			clearTimeout(timer);
 			await running;
 			// So that the next owner need not wait for unresponsive executors again.
-			scheduler.markDark(owner, 0, clock.now());
+			scheduler.markSuspected(owner, 0, clock.now());
 			while (!state.isStopped && scheduler.needsFlush(owner)) {
 				if (!(await flushOnce())) {
 					return;
--- a/packages/daemon/src/jobs/owner/load-owner.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.ts
@@ -4,8 +4,8 @@
 import type {Logger} from '../../log/logger.js';
 import {periods} from '../periods.js';
 import {getMoment, type Clock} from '../clock.js';
-import type {StoreTime} from '../rows/store-time.js';
-import {readWhole} from '../rows/table-feed.js';
+import type {StoreClockReading} from '../rows/store-clock.js';
+import {readRange} from '../rows/table-feed.js';
 import {decodeRows} from '../rows/decode-rows.js';
 import {
 	jobSchema,
@@ -32,7 +32,7 @@
 	readonly version: number;
 	/** Version of the row that each flush rewrites; 0 if there is none. */
 	readonly flushVersion: number;
-	readonly storeTime: StoreTime;
+	readonly storeTime: StoreClockReading;
 };
 
 type Rows = {
@@ -40,7 +40,7 @@
 	readonly progress: readonly StoredRow[];
 	readonly ownerRows: readonly StoredRow[];
 	readonly version: number;
-	readonly storeTime: StoreTime;
+	readonly storeTime: StoreClockReading;
 };
 
 /**
@@ -54,7 +54,7 @@
 	part: string,
 ): Promise<Result<Rows, RowStoreError>> => {
 	const readTable = async (table: string) =>
-		readWhole(store, {table, part, limit: pageLimit}, periods.storeTimeoutMs);
+		readRange(store, {table, part, limit: pageLimit}, periods.storeTimeoutMs);
 	// Sequential reads: concurrent pages share the bandwidth and may time out.
 	const jobs = await readTable(tables.job);
 	if (!jobs.ok) {
@@ -90,8 +90,8 @@
 	{previous}: Pick<HeldShard, 'previous'>,
 	cfg: scheduler.SchedulerConfig,
 ): number => {
-	const granted = scheduler.getGrantedMs(cfg);
-	return previous === 'silent' ? granted + cfg.ownerBeliefMs : granted;
+	const granted = scheduler.getMaxLeaseDurationMs(cfg);
+	return previous === 'silent' ? granted + cfg.ownershipTimeoutMs : granted;
 };
 
 const addJobs = (
@@ -160,7 +160,10 @@
 			const remainingMs =
 				suspectedMs === undefined
 					? inheritedMs
-					: Math.min(inheritedMs, scheduler.getGrantedMs(cfg) - suspectedMs);
+					: Math.min(
+							inheritedMs,
+							scheduler.getMaxLeaseDurationMs(cfg) - suspectedMs,
+						);
 			const suspectedSince =
 				suspectedMs === undefined ? undefined : now - suspectedMs;
 			scheduler.inheritExecutor(
--- a/packages/daemon/src/jobs/owner/owner-log.ts
+++ b/packages/daemon/src/jobs/owner/owner-log.ts
@@ -9,7 +9,7 @@
 	readonly logJobEnd: (job: string, end: string, reason: string) => void;
 	readonly logPoll: (
 		executor: scheduler.Executor,
-		changes: scheduler.LookChanges,
+		changes: scheduler.PollChanges,
 	) => void;
 	/** Logs runs that are certainly over, without a reported end. */
 	readonly logFreedRuns: (
@@ -50,7 +50,7 @@
 				});
 			}
 
-			for (const key of changes.lost) {
+			for (const key of changes.vanished) {
 				logger.warn('run missing on executor', {
 					run: key,
 					executor: executor.id,
--- a/packages/daemon/src/jobs/owner/owner-runner.ts
+++ b/packages/daemon/src/jobs/owner/owner-runner.ts
@@ -109,7 +109,11 @@
 
 	const isOwnershipConfirmed = (): boolean =>
 		!state.isStopped &&
-		isConfirmedWithin(clock, deps.getLeasesConfirmedAt(), cfg.ownerBeliefMs);
+		isConfirmedWithin(
+			clock,
+			deps.getLeasesConfirmedAt(),
+			cfg.ownershipTimeoutMs,
+		);
 
 	const loseOwnership = (reason: string, rows: readonly StoredRow[] = []) => {
 		if (!state.isStopped) {
@@ -128,7 +132,7 @@
 
 	const applyPollChanges = (
 		executor: scheduler.Executor,
-		changes: scheduler.LookChanges,
+		changes: scheduler.PollChanges,
 	) => {
 		log.logPoll(executor, changes);
 		throttleRuns(executor);
@@ -137,11 +141,11 @@
 
 	const throttleRuns = (executor: scheduler.Executor) => {
 		const last = throttledAt.get(executor.id) ?? 0;
-		if (clock.now() - last < scheduler.paceConfig.intervalMs) {
+		if (clock.now() - last < scheduler.throttleConfig.intervalMs) {
 			return;
 		}
 
-		const commands = scheduler.planPaces(executor);
+		const commands = scheduler.planThrottling(executor);
 		for (const command of commands) {
 			links?.get(executor.id)?.sendThrottle(command);
 		}
@@ -153,7 +157,7 @@
 
 	const markTerminated = (id: string, reason: string) => {
 		if (owner) {
-			log.logFreedRuns(scheduler.noteGone(owner, id), reason);
+			log.logFreedRuns(scheduler.markTerminated(owner, id), reason);
 			onChange();
 		}
 	};
@@ -164,6 +168,7 @@
 			executor,
 			executors: deps.executors,
 			now: clock.now,
+
 			isOwnershipConfirmed,
 			logger,
 			onChange,
@@ -206,7 +211,7 @@
 			tookMs: Math.round(clock.now() - requestedAt),
 		});
 		// Counted from the receipt of the answer, which is later than its creation.
-		scheduler.takeAdvice(current, request, advice, clock.now());
+		scheduler.applyAdvice(current, request, advice, clock.now());
 		onChange();
 	};
 
@@ -222,11 +227,11 @@
 			scheduler.expireLeases(owner, now),
 			'its lease has expired',
 		);
-		scheduler.markDark(owner, scheduler.darkAfterMs, now);
+		scheduler.markSuspected(owner, scheduler.suspectAfterMs, now);
 		reconcileLinks(owner);
 		if (isOwnershipConfirmed() && !state.isStopping) {
 			scheduler.advanceSchedules(owner, clock.epochNow());
-			const commands = scheduler.planOrders(owner, now, clock.epochNow());
+			const commands = scheduler.planCommands(owner, now, clock.epochNow());
 			for (const command of commands) {
 				if (command.kind === 'advise') {
 					void requestAdvice(owner, command);
@@ -270,14 +275,14 @@
 			.listExecutors()
 			.filter((each) => each.service === service);
 		for (const each of listed) {
-			scheduler.listExecutor(owner, each);
+			scheduler.recordListedExecutor(owner, each);
 		}
 
 		const ids = new Set(listed.map(({id}) => id));
 		for (const {id, isListed} of owner.executors.values()) {
 			if (isListed && !ids.has(id)) {
 				logger.info('executor no longer listed', {executor: id, isWhole});
-				scheduler.unlistExecutor(owner, id);
+				scheduler.recordUnlistedExecutor(owner, id);
 			}
 		}
 
@@ -323,10 +328,10 @@
 			return;
 		}
 
-		while (!state.isStopped && current.unresolved.size > 0) {
+		while (!state.isStopped && current.unresolvedExecutors.size > 0) {
 			if (await deps.hasReleased(previousHolder)) {
 				const grantedMs = getInheritedGrantMs({previous: 'released'}, cfg);
-				scheduler.shortenInheritance(current, clock.now() + grantedMs);
+				scheduler.limitInheritedLeases(current, clock.now() + grantedMs);
 				logger.info('previous owner grants no more leases', {
 					holder: previousHolder.holder?.entry,
 				});
@@ -367,7 +372,7 @@
 			startVersion: loaded.version,
 			clock,
 			logger,
-			onWhole: applyBatch,
+			onSnapshot: applyBatch,
 			onChanges: applyBatch,
 		});
 		logger.info('service taken over', {
@@ -375,7 +380,7 @@
 			previous: held.previous,
 			jobs: owner.jobs.size,
 			open: owner.openJobs.size,
-			unresolvedExecutors: owner.unresolved.size,
+			unresolvedExecutors: owner.unresolvedExecutors.size,
 		});
 		updateExecutors(true);
 		follower.start(deps.reportFailure);
@@ -405,7 +410,9 @@
 			abandon();
 		},
 		abandon,
+
 		updateExecutors,
+
 		applyRows,
 		readJob(id, queue) {
 			if (!owner || !isOwnershipConfirmed()) {
--- a/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
+++ b/packages/daemon/src/jobs/owner/repeated-takeovers.test.ts
@@ -73,7 +73,10 @@
 		const {owner, flushVersion, storeTime} = loaded.value;
 		prepare(owner);
 		// An owner that lists a new executor stores its roster.
-		scheduler.listExecutor(owner, createListedExecutor(`new-${held.token}`));
+		scheduler.recordListedExecutor(
+			owner,
+			createListedExecutor(`new-${held.token}`),
+		);
 		const flusher = createFlusher({
 			store,
 			owner,
@@ -100,13 +103,13 @@
 	for (const intervalMs of takeoverIntervals) {
 		const {state, own} = createHarness();
 		await own((owner) => {
-			scheduler.listExecutor(owner, createListedExecutor('dark'));
+			scheduler.recordListedExecutor(owner, createListedExecutor('dark'));
 			const job = scheduler.addJob(
 				owner,
 				createAcceptedJob(createId(1)),
 				false,
 			);
-			owner.dirty.add(job);
+			owner.dirtyJobs.add(job);
 		});
 		// The executor never answers; its leases have expired by then, with a
 		// second to spare.
@@ -118,7 +121,7 @@
 				t.ok(executors.has('dark'));
 			});
 			scheduler.expireLeases(owner, state.now);
-			isUnresolved = owner.unresolved.has('dark');
+			isUnresolved = owner.unresolvedExecutors.has('dark');
 		}
 
 		t.notOk(isUnresolved, `a takeover each ${intervalMs} ms`);
@@ -131,7 +134,7 @@
 		for (const otherOwners of [0, 1]) {
 			const {state, own, takeOver} = createHarness();
 			await own((owner) => {
-				scheduler.listExecutor(owner, createListedExecutor('dark'));
+				scheduler.recordListedExecutor(owner, createListedExecutor('dark'));
 			});
 			await own(() => undefined);
 			state.now += getInheritedGrantMs({previous: 'released'}, cfg) + 1;
@@ -142,7 +145,7 @@
 
 			const owner = await own(() => undefined);
 			scheduler.expireLeases(owner, state.now);
-			t.equal(owner.unresolved.has('dark'), otherOwners > 0);
+			t.equal(owner.unresolvedExecutors.has('dark'), otherOwners > 0);
 		}
 	},
 );
--- a/packages/daemon/src/jobs/peer-handlers.ts
+++ b/packages/daemon/src/jobs/peer-handlers.ts
@@ -106,14 +106,14 @@
 	channel.addMethod('depose', jobPeerSchemas.depose, ({shard, token}) => {
 		const held = keeper.listHeld().find((each) => each.shard === shard);
 		if (held && held.token < token) {
-			keeper.noteDeposed(shard);
+			keeper.handleFenced(shard);
 		}
 
 		return {incarnation};
 	});
 	channel.addMethod('shardReleased', jobPeerSchemas.shardReleased, () => {
 		readLeases();
-		keeper.hasten();
+		keeper.checkNow();
 		return {};
 	});
 	channel.addMethod(
--- a/packages/daemon/src/membership/member-state.ts
+++ b/packages/daemon/src/membership/member-state.ts
@@ -2,7 +2,7 @@
 import type {
 	acknowledgement,
 	followedView,
-	standing,
+	membershipStatus,
 	View,
 	viewChange,
 } from '@gullstand/core';
@@ -13,7 +13,7 @@
 
 /** What membership needs from the rest of a daemon. */
 export type MemberDeps = {
-	readonly life: acknowledgement.EntryLife;
+	readonly life: acknowledgement.EntryIncarnation;
 	readonly availabilityZone: string;
 	readonly table: TableService;
 	readonly list: InstanceList;
@@ -28,7 +28,7 @@
 	readonly getInFlight: (instance: string) => number;
 	/** Puts the start marker and reads the snapshot; false if it failed. */
 	readonly confirmSnapshot: () => Promise<boolean>;
-	readonly settings: standing.MembershipSettings;
+	readonly settings: membershipStatus.MembershipSettings;
 	readonly heartbeatMs: number;
 	readonly listPollMs: number;
 	/** How often in-flight work is looked at for a new acknowledgement. */
@@ -47,7 +47,7 @@
 /** State of one life; changed in place by the parts of this folder. */
 export type MemberState = {
 	readonly startedAt: number;
-	standing: standing.Standing;
+	standing: membershipStatus.MembershipStatus;
 	isRegistered: boolean;
 	/** The quorum that the own committed row names. */
 	quorum: readonly string[];
