--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -129,7 +129,7 @@
 		logger,
 		rowFaults,
 	});
-	const book = createLeaseCache({
+	const leases = createLeaseCache({
 		logger,
 		rowFaults,
 		onChange(shard, lease) {
@@ -173,7 +173,7 @@
 	};
 
 	const owners = createOwnerChannel({
-		book,
+		book: leases,
 		peers: peerCalls,
 		getLocal: (shard) => owned.get(shard),
 	});
@@ -191,7 +191,7 @@
 	const submissions = createSubmissions({
 		store,
 		isStoreUnresponsive: watched.isUnresponsive,
-		book,
+		book: leases,
 		now,
 		logger,
 		onStored(shard, rows) {
@@ -202,7 +202,7 @@
 	const peerEntries = createPeerEntries({
 		self,
 		members,
-		listHolders: book.listHolders,
+		listHolders: leases.listHolders,
 		peers: peerCalls,
 		logger,
 	});
@@ -258,11 +258,10 @@
 		rowFaults,
 		hasService,
 		getLeasesConfirmedAt: () => leaseFollower.getConfirmedAt(),
-
 		hasReleased,
 		onOwnershipLost(shard, rows) {
 			for (const row of rows) {
-				book.applyRow(row);
+				leases.applyRow(row);
 			}
 
 			keeper.handleFenced(shard);
@@ -327,7 +326,7 @@
 		capacity: settings.capacity,
 		getAddress,
 		members,
-		leases: book,
+		leases,
 		listShards,
 		mayClaim() {
 			const membersReadAt = memberFollower.getConfirmedAt()?.at;
@@ -349,7 +348,7 @@
 	const role = createEntryRole({
 		self: {entry: self.entry, capacity: settings.capacity},
 		members,
-		leases: book,
+		leases,
 		isHolding: () => keeper.isHolding(),
 		now,
 		logger,
@@ -419,8 +418,8 @@
 		getOverrides: role.getLeasePeriods,
 		clock,
 		logger,
-		onSnapshot: book.apply,
-		onChanges: book.apply,
+		onSnapshot: leases.apply,
+		onChanges: leases.apply,
 	});
 
 	const memberFollower = createFeedFollower({
@@ -547,7 +546,6 @@
 
 	return {
 		start,
-
 		handOverShards,
 		stop,
 		isReady,
--- a/packages/daemon/src/jobs/owner/flusher.test.ts
+++ b/packages/daemon/src/jobs/owner/flusher.test.ts
@@ -21,10 +21,10 @@
 /** An owner with one end to store, and a store whose answers the test sends. */
 const createHarness = () => {
 	const owner = {
-		dirty: new Set(),
+		dirtyJobs: new Set(),
 		isRosterDirty: true,
-		flush: 1,
-		unresolved: new Map(),
+		flushNumber: 1,
+		unresolvedExecutors: new Map(),
 		executors: new Map([
 			[
 				'x',
@@ -32,7 +32,7 @@
 					id: 'x',
 					listed: {id: 'x'},
 					acknowledgedUpto: 0,
-					unackedEnds: [{number: 1, flush: 1}],
+					unackedEnds: [{number: 1, flushNumber: 1}],
 				},
 			],
 		]),
--- a/packages/daemon/src/jobs/owner/flusher.ts
+++ b/packages/daemon/src/jobs/owner/flusher.ts
@@ -63,7 +63,6 @@
 
 	const toRosterRow = ({
 		listed,
-
 		suspectedSince,
 	}: scheduler.RosterEntry): RosterRow =>
 		suspectedSince === undefined
--- a/packages/daemon/src/jobs/owner/load-owner.ts
+++ b/packages/daemon/src/jobs/owner/load-owner.ts
@@ -84,14 +84,14 @@
 /**
  * How long leases granted by the previous holder may last, in milliseconds. A
  * holder that released the shard, or whose process was replaced, grants no
- * more; an unresponsive one may grant leases for another `ownerBeliefMs`.
+ * more; an unresponsive one may grant leases for another `ownershipTimeoutMs`.
  */
 export const getInheritedGrantMs = (
 	{previous}: Pick<HeldShard, 'previous'>,
 	cfg: scheduler.SchedulerConfig,
 ): number => {
-	const granted = scheduler.getMaxLeaseDurationMs(cfg);
-	return previous === 'silent' ? granted + cfg.ownershipTimeoutMs : granted;
+	const leaseMs = scheduler.getMaxLeaseDurationMs(cfg);
+	return previous === 'silent' ? leaseMs + cfg.ownershipTimeoutMs : leaseMs;
 };
 
 const addJobs = (
--- a/packages/daemon/src/jobs/owner/owner-runner.ts
+++ b/packages/daemon/src/jobs/owner/owner-runner.ts
@@ -168,7 +168,6 @@
 			executor,
 			executors: deps.executors,
 			now: clock.now,
-
 			isOwnershipConfirmed,
 			logger,
 			onChange,
@@ -410,9 +409,7 @@
 			abandon();
 		},
 		abandon,
-
 		updateExecutors,
-
 		applyRows,
 		readJob(id, queue) {
 			if (!owner || !isOwnershipConfirmed()) {
