--- a/packages/daemon/src/jobs/owner/executor-link.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.ts
@@ -103,18 +103,18 @@
 		state.retryMs = periods.pollRetryMs;
 		const {clockMs, running, ends} = answer;
 		const poll = {sentAt, receivedAt: now(), clockMs, running, ends};
-		const {unresponsiveSince} = executor;
+		const wasUnresponsiveSince = executor.unresponsiveSince;
 		const changes = scheduler.applyPoll(owner, executor, poll);
-		if (changes.isFirst || unresponsiveSince !== undefined) {
+		if (changes.isFirst || wasUnresponsiveSince !== undefined) {
 			logger.info('executor responded', {
 				executor: executor.id,
 				address: target.address,
 				running: running.length,
 				ends: ends.length,
 				silentMs:
-					unresponsiveSince === undefined
+					wasUnresponsiveSince === undefined
 						? undefined
-						: Math.round(now() - unresponsiveSince),
+						: Math.round(now() - wasUnresponsiveSince),
 			});
 		}
 
--- a/packages/daemon/src/jobs/periods.ts
+++ b/packages/daemon/src/jobs/periods.ts
@@ -7,7 +7,7 @@
 	heartbeatIntervalMs: 500,
 	/** Time without a heartbeat after which a daemon's shards may be claimed. */
 	leaseMs: 1800,
-	/** Gap between reads after which the observed heartbeat ages start again. */
+	/** Gap between reads after which heartbeats are observed from the start. */
 	observationGapMs: 1500,
 	/** Between checks for shards to claim. */
 	claimIntervalMs: 100,
@@ -29,7 +29,7 @@
 	pollWaitMs: 800,
 	/** Timeout of a poll, in addition to its wait. */
 	pollTimeoutMs: 600,
-	/** Timeout of a command: a start, a stop or a throttle. */
+	/** Timeout of a command to start, stop or throttle a run. */
 	commandTimeoutMs: 600,
 	/**
 	 * Pause for the flush of unacknowledged ends: a poll that would list them
@@ -42,7 +42,7 @@
 	adviceTimeoutMs: 3000,
 	/** Between checks whether the previous owner has released the shard. */
 	previousHolderRetryMs: 300,
-	/** First pause after an unanswered poll; it doubles each time. */
+	/** First pause after an unanswered poll; it doubles with each further one. */
 	pollRetryMs: 50,
 	/** Longest pause after an unanswered poll. */
 	pollRetryMaxMs: 400,
