--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * One daemon of the fleet, without its listeners: follows the configuration,
- * claims shards, runs the services that it owns, answers callers and peers.
+ * The jobs side of a daemon, without its listeners: follows the configuration,
+ * claims shards, runs the services that it owns and serves callers and peers.
  */
 import {randomUUID} from 'node:crypto';
 import type {fleet, scheduler, shardAssignment} from '@gullstand/core';
@@ -55,7 +55,7 @@
 import {createShardKeeper} from './shards/shard-keeper.js';
 import {createEntryRole} from './shards/entry-role.js';
 
-/** The platform as the jobs side sees it. */
+/** The parts of the platform that the jobs side uses. */
 export type JobPlatform = {
 	readonly store: RowStore;
 	readonly operator: OperatorFeed;
@@ -66,19 +66,17 @@
 	readonly waveStatus: WaveStatusPort;
 };
 
-/** Settings of the jobs side. */
 export type JobDaemonSettings = {
 	readonly name: string;
 	readonly peers: {readonly address: string; readonly port: number};
-	/** What this machine has; shards go to the most capable daemons. */
+	/** Resources of this machine; shards go to the most capable daemons. */
 	readonly capacity?: shardAssignment.EntryCapacity;
 	readonly scheduler: scheduler.SchedulerConfig;
 	readonly pools: fleet.PoolConfig;
-	/** Time between orders of two holders for one machine, milliseconds. */
+	/** Time between commands of two holders for one machine, in milliseconds. */
 	readonly machineTurnoverMs: number;
 };
 
-/** What the daemon is built of. */
 export type JobDaemonDeps = {
 	readonly settings: JobDaemonSettings;
 	readonly platform: JobPlatform;
@@ -87,29 +85,27 @@
 	readonly logger: Logger;
 };
 
-/** The daemon. */
 export type JobDaemon = {
-	/** Resolves once it can answer callers. */
+	/** Starts all parts; resolves once the daemon can serve callers. */
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
-	/** Gives its shards back and is not ready any more; callers are answered. */
+	/** Becomes not ready and releases all shards; callers are still served. */
 	readonly handOverShards: () => Promise<void>;
-	/** Lets go of everything. */
+	/** Releases all shards and stops all parts. */
 	readonly stop: () => Promise<void>;
-	/** Whether callers should be sent here. */
+	/** Whether the balancer should send callers to this daemon. */
 	readonly isReady: () => boolean;
 	readonly service: JobService;
-	/** Jobs of the services that this daemon owns. */
+	/** Lists the jobs of the services that this daemon owns. */
 	readonly listJobs: OwnedServices['listJobs'];
-	/** Why tasks of a job do not run; absent unless this daemon owns it. */
+	/** Why tasks of a job do not run; absent if this daemon does not own it. */
 	readonly explain: OwnedServices['explain'];
 	readonly routes: Routes;
 	readonly metrics: JobMetrics;
 };
 
-/** Name of what operators write, in lines and counters. */
+/** Name of the operators' feed in log lines and metrics. */
 const operatorName = 'operator';
 
-/** Creates a daemon. */
 export const createJobDaemon = (deps: JobDaemonDeps): JobDaemon => {
 	const {settings, platform, clock, logger} = deps;
 	const {now} = clock;
@@ -122,7 +118,7 @@
 	const waves = new Map<string, WaveRequest>();
 	let peers: PeerChannel | undefined;
 	let fleetRunner: FleetRunner | undefined;
-	const state = {isLeaving: false, isStarted: false};
+	const state = {isStopping: false, isStarted: false};
 	let reportFailure: ReportFailure = () => undefined;
 
 	const getAddress = (): string => peers?.getAddress() ?? '';
@@ -133,7 +129,7 @@
 		logger,
 		rowFaults,
 	});
-	const book = createLeaseCache({
+	const leases = createLeaseCache({
 		logger,
 		rowFaults,
 		onChange(shard, lease) {
@@ -159,7 +155,7 @@
 			return [];
 		}
 
-		// Services without a queue too: jobs stay with theirs when a queue moves.
+		// Includes services without a queue, which may have jobs of a moved queue.
 		const services = new Set([
 			...configuration.routes.map((each) => each.service),
 			...configuration.services
@@ -169,7 +165,7 @@
 		return [fleetShard, ...[...services].map((each) => getServiceShard(each))];
 	};
 
-	const callPeers: Pick<PeerChannel, 'call'> = {
+	const peerCalls: Pick<PeerChannel, 'call'> = {
 		call: async (address, method, params, timeoutMs) =>
 			peers
 				? peers.call(address, method, params, timeoutMs)
@@ -177,34 +173,37 @@
 	};
 
 	const owners = createOwnerChannel({
-		book,
-		peers: callPeers,
+		book: leases,
+		peers: peerCalls,
 		getLocal: (shard) => owned.get(shard),
 	});
 
-	const tellOwner = async (shard: string, rows: readonly StoredRow[]) => {
-		const isTold = await owners.sendRows(shard, rows);
-		if (!isTold) {
-			logger.info('owner not told', {shard, jobs: rows.map(({key}) => key)});
+	const notifyOwner = async (shard: string, rows: readonly StoredRow[]) => {
+		const isNotified = await owners.sendRows(shard, rows);
+		if (!isNotified) {
+			logger.info('owner not notified', {
+				shard,
+				jobs: rows.map(({key}) => key),
+			});
 		}
 	};
 
 	const submissions = createSubmissions({
 		store,
 		isStoreUnresponsive: watched.isUnresponsive,
-		book,
+		book: leases,
 		now,
 		logger,
 		onStored(shard, rows) {
-			void tellOwner(shard, rows);
+			void notifyOwner(shard, rows);
 		},
 	});
 
-	const others = createPeerEntries({
+	const peerEntries = createPeerEntries({
 		self,
 		members,
-		listHolders: book.listHolders,
-		peers: callPeers,
+		listHolders: leases.listHolders,
+		peers: peerCalls,
 		logger,
 	});
 
@@ -219,11 +218,11 @@
 		clock,
 		logger,
 		metrics,
-		submitThroughPeer: others.submit,
-		cancelThroughPeer: others.cancel,
+		submitThroughPeer: peerEntries.submit,
+		cancelThroughPeer: peerEntries.cancel,
 	});
 
-	const hasLetGo = async ({
+	const hasReleased = async ({
 		shard,
 		holder,
 		address,
@@ -237,13 +236,13 @@
 			return true;
 		}
 
-		const answer = await callPeers.call(
+		const answer = await peerCalls.call(
 			address,
 			'depose',
 			{shard, token: token + 1},
 			periods.peerTimeoutMs,
 		);
-		// Whoever answers there is not that life, or has let go.
+		// An answer means that the holder was replaced or has released the shard.
 		return answer.ok;
 	};
 
@@ -259,10 +258,10 @@
 		rowFaults,
 		hasService,
 		getLeasesConfirmedAt: () => leaseFollower.getConfirmedAt(),
-		hasReleased: hasLetGo,
+		hasReleased,
 		onOwnershipLost(shard, rows) {
 			for (const row of rows) {
-				book.applyRow(row);
+				leases.applyRow(row);
 			}
 
 			keeper.handleFenced(shard);
@@ -272,7 +271,7 @@
 		},
 	});
 
-	const runFleet = (held: HeldShard) => {
+	const startFleetRunner = (held: HeldShard) => {
 		fleetRunner = createFleetRunner({
 			held,
 			holder: settings.name,
@@ -291,7 +290,7 @@
 			getStandbyPool: () =>
 				routes.get()?.services.find(({isStandby}) => isStandby)?.name,
 			onLost(reason) {
-				logger.warn('fleet lost', {reason});
+				logger.warn('fleet shard lost', {reason});
 				keeper.handleFenced(fleetShard);
 			},
 			reportFailure,
@@ -301,7 +300,7 @@
 
 	const onAcquired = (held: HeldShard) => {
 		if (held.shard === fleetShard) {
-			runFleet(held);
+			startFleetRunner(held);
 			return;
 		}
 
@@ -327,11 +326,13 @@
 		capacity: settings.capacity,
 		getAddress,
 		members,
-		leases: book,
+		leases,
 		listShards,
 		mayClaim() {
-			const readAt = memberFollower.getConfirmedAt()?.at;
-			return readAt !== undefined && now() - readAt < periods.leaseMs;
+			const membersReadAt = memberFollower.getConfirmedAt()?.at;
+			return (
+				membersReadAt !== undefined && now() - membersReadAt < periods.leaseMs
+			);
 		},
 		ensureHeartbeat: async () => heartbeat.ensureRecent(),
 		isCandidate: () => role.isCandidate(),
@@ -341,13 +342,13 @@
 		onAcquired,
 		beforeRelease: owned.release,
 		onLost,
-		onReleased: others.notifyReleased,
+		onReleased: peerEntries.notifyReleased,
 	});
 
 	const role = createEntryRole({
 		self: {entry: self.entry, capacity: settings.capacity},
 		members,
-		leases: book,
+		leases,
 		isHolding: () => keeper.isHolding(),
 		now,
 		logger,
@@ -365,7 +366,7 @@
 		isNeeded: role.step,
 	});
 
-	const applyOperator = ({entries}: FeedBatch<OperatorEntry>) => {
+	const applyOperatorBatch = ({entries}: FeedBatch<OperatorEntry>) => {
 		for (const {key, value} of entries) {
 			if (value?.kind !== 'unreadable') {
 				rowFaults.clear(operatorName, key);
@@ -406,8 +407,8 @@
 		periods: followPeriods.operator,
 		clock,
 		logger,
-		onSnapshot: applyOperator,
-		onChanges: applyOperator,
+		onSnapshot: applyOperatorBatch,
+		onChanges: applyOperatorBatch,
 	});
 
 	const leaseFollower = createFeedFollower({
@@ -417,8 +418,8 @@
 		getOverrides: role.getLeasePeriods,
 		clock,
 		logger,
-		onSnapshot: book.apply,
-		onChanges: book.apply,
+		onSnapshot: leases.apply,
+		onChanges: leases.apply,
 	});
 
 	const memberFollower = createFeedFollower({
@@ -430,11 +431,11 @@
 		logger,
 		onSnapshot: members.applyChanges,
 		onChanges: members.applyChanges,
-		// Where all that send heartbeats are gone, nothing changes any more.
+		// Heartbeats age even if no daemon sends one any more.
 		onUnchanged: members.applyChanges,
 	});
 
-	// A follower that does not get on shows here long after its line was written.
+	// Shows a stalled follower, also long after its log line.
 	for (const [name, follower] of [
 		[operatorName, operatorFollower],
 		['lease', leaseFollower],
@@ -452,8 +453,8 @@
 		() => routes.get()?.version,
 	);
 
-	const startPeers = async (): Promise<boolean> => {
-		const keyHex = await obtainPeerKey(store, logger, () => state.isLeaving);
+	const startPeerChannel = async (): Promise<boolean> => {
+		const keyHex = await obtainPeerKey(store, logger, () => state.isStopping);
 		if (keyHex === undefined) {
 			return false;
 		}
@@ -482,7 +483,7 @@
 	};
 
 	const loadHistory = async (): Promise<boolean> => {
-		while (!state.isLeaving) {
+		while (!state.isStopping) {
 			if (await history.load()) {
 				return true;
 			}
@@ -498,7 +499,11 @@
 		operatorFollower.start(report);
 		leaseFollower.start(report);
 		memberFollower.start(report);
-		if (!(await startPeers()) || !(await loadHistory()) || state.isLeaving) {
+		if (
+			!(await startPeerChannel()) ||
+			!(await loadHistory()) ||
+			state.isStopping
+		) {
 			return;
 		}
 
@@ -512,17 +517,17 @@
 		});
 	};
 
-	const handOver = async () => {
-		if (!state.isLeaving) {
-			state.isLeaving = true;
-			others.notifyLeaving();
+	const handOverShards = async () => {
+		if (!state.isStopping) {
+			state.isStopping = true;
+			peerEntries.notifyLeaving();
 		}
 
 		await keeper.stop();
 	};
 
 	const stop = async () => {
-		await handOver();
+		await handOverShards();
 		owned.dropAll();
 		for (const follower of [operatorFollower, leaseFollower, memberFollower]) {
 			follower.stop();
@@ -533,7 +538,7 @@
 	};
 
 	const isReady = (): boolean =>
-		!state.isLeaving &&
+		!state.isStopping &&
 		state.isStarted &&
 		routes.get() !== undefined &&
 		!leaseFollower.isLost() &&
@@ -541,7 +546,7 @@
 
 	return {
 		start,
-		handOverShards: handOver,
+		handOverShards,
 		stop,
 		isReady,
 		service,
