--- a/packages/daemon/src/caller/headers.ts
+++ b/packages/daemon/src/caller/headers.ts
@@ -1,5 +1,8 @@
 /** Header names of the caller's interface, and which fields are passed on. */
-import {passHeaders, type HeaderFields} from '../http/connection-headers.js';
+import {
+	removeConnectionHeaders,
+	type HeaderFields,
+} from '../http/connection-headers.js';
 
 /** Names of our own header fields. */
 export const headerNames = {
@@ -25,7 +28,7 @@
 export const selectRequestHeaders = (
 	headers: HeaderFields,
 ): Record<string, string | string[]> => {
-	const selected = passHeaders(headers);
+	const selected = removeConnectionHeaders(headers);
 	for (const name of ownedByEntry) {
 		// eslint-disable-next-line @typescript-eslint/no-dynamic-delete
 		delete selected[name];
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -33,7 +33,7 @@
 import {createOperatorApp} from './operator/operator-app.js';
 import type {Settings} from './settings/schema.js';
 import {createSupervisor, type Part} from './supervisor/supervisor.js';
-import {createUpstreamDispatch} from './upstream/call-handler.js';
+import {createUpstreamDispatch} from './upstream/upstream-dispatch.js';
 import {defaultUpstreamConfig} from './upstream/types.js';
 import {createEnvironment} from './view/environment.js';
 import type {ViewFollower} from './view/view-follower.js';
@@ -115,7 +115,7 @@
 		logger,
 		now,
 		route(view) {
-			dispatch.follow(view);
+			dispatch.applyView(view);
 		},
 	});
 	const {follower, member, leases, inFlight} = agreement;
--- a/packages/daemon/src/http/connection-headers.ts
+++ b/packages/daemon/src/http/connection-headers.ts
@@ -27,7 +27,7 @@
 };
 
 /** Drops the headers of one connection, also those that `connection` names. */
-export const passHeaders = (
+export const removeConnectionHeaders = (
 	headers: HeaderFields,
 ): Record<string, string | string[]> => {
 	const named = listNamed(headers);
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -25,7 +25,7 @@
 export {getJitteredMs} from './view/ticker.js';
 export * from './peers/peer-channel.js';
 export type * from './peers/peer-methods.js';
-export * from './upstream/call-handler.js';
+export * from './upstream/upstream-dispatch.js';
 export * as upstream from './upstream/upstream.js';
 export type * as upstreamTypes from './upstream/types.js';
 export {defaultUpstreamConfig} from './upstream/types.js';
--- a/packages/daemon/src/limits/credit-limits.ts
+++ b/packages/daemon/src/limits/credit-limits.ts
@@ -13,7 +13,7 @@
 	type CallResult,
 } from '../caller/call.js';
 import type {Part} from '../supervisor/supervisor.js';
-import {createLocalSlots} from '../upstream/slots.js';
+import {createLocalSlots} from '../upstream/local-slots.js';
 import type {TakeSlot} from '../upstream/types.js';
 import type {CreditChannel, CreditPeer} from './credit-channel.js';
 import * as gates from './pool-gate.js';
--- a/packages/daemon/src/operator/waves/app.ts
+++ b/packages/daemon/src/operator/waves/app.ts
@@ -20,7 +20,7 @@
 	type OperatorContext,
 } from '../objects/answers.js';
 import type {OperatorApp, OperatorDeps} from '../types.js';
-import {findWaveObstacles, previewWave, type PlanSources} from './plan-wave.js';
+import {findWaveBlockers, previewWave, type PlanSources} from './plan-wave.js';
 import {
 	createSettings,
 	getDurationMs,
@@ -131,7 +131,7 @@
 	const sources = await readSources(deps);
 	const author = c.get('operator').name;
 	const {wave, rows} = createWave(id, author, parsed.data, sources);
-	const problems = findWaveObstacles(wave, rows, sources);
+	const problems = findWaveBlockers(wave, rows, sources);
 	if (problems.length > 0) {
 		return refuseImpossible(problems);
 	}
@@ -232,7 +232,7 @@
 
 	const {value: wave} = loaded.value.header;
 	const sources = await readSources(deps);
-	const problems = findWaveObstacles(wave, getRows(loaded.value), sources);
+	const problems = findWaveBlockers(wave, getRows(loaded.value), sources);
 	return problems.length > 0 ? refuseImpossible(problems) : undefined;
 };
 
--- a/packages/daemon/src/operator/waves/plan-wave.ts
+++ b/packages/daemon/src/operator/waves/plan-wave.ts
@@ -49,7 +49,7 @@
 	);
 
 /** What stands in the way of a wave; none if it may start. */
-export const findWaveObstacles = (
+export const findWaveBlockers = (
 	wave: waves.Wave,
 	rows: readonly waves.WaveDomain[],
 	sources: PlanSources,
--- a/packages/daemon/src/platform/open-platform.test.ts
+++ b/packages/daemon/src/platform/open-platform.test.ts
@@ -1,6 +1,6 @@
 import * as tap from 'tap';
 import * as platform from '@gullstand/ports';
-import {countListed} from './open-platform.js';
+import {reportEntryCount} from './open-platform.js';
 
 tap.t.test('counts the entries that the list shows', async (t) => {
 	const list = platform.createMemoryInstanceList();
@@ -10,7 +10,7 @@
 		wait: async () => undefined,
 		timeoutMs: 1,
 	});
-	const shared = countListed(
+	const shared = reportEntryCount(
 		platform.faults.wrapInstanceList(list, control),
 		(count) => counts.push(count),
 	);
--- a/packages/daemon/src/platform/open-platform.ts
+++ b/packages/daemon/src/platform/open-platform.ts
@@ -37,7 +37,7 @@
 };
 
 /** Tells how many entries each read of the list shows. */
-export const countListed = (
+export const reportEntryCount = (
 	list: platform.InstanceList,
 	setListed: (entries: number) => void,
 ): platform.InstanceList => ({
@@ -106,7 +106,7 @@
 				platform.createHttpObjectStore(connection),
 				guard,
 			),
-			list: countListed(
+			list: reportEntryCount(
 				platform.createHttpInstanceList(connection),
 				sharing.setListed,
 			),
--- a/packages/daemon/src/settings/load-settings.ts
+++ b/packages/daemon/src/settings/load-settings.ts
@@ -68,7 +68,7 @@
 };
 
 /** Checks TOML against a form; `file` only names it in faults. */
-export const checkAgainst = <Value>(
+export const parseTomlWithSchema = <Value>(
 	schema: z.ZodType<Value>,
 	file: string,
 	text: string,
@@ -99,10 +99,10 @@
 	file: string,
 	text: string,
 ): Result<Settings, readonly SettingsFault[]> =>
-	checkAgainst(settingsSchema, file, text);
+	parseTomlWithSchema(settingsSchema, file, text);
 
 /** Reads and checks a file against a form. */
-export const loadAgainst = async <Value>(
+export const loadTomlWithSchema = async <Value>(
 	schema: z.ZodType<Value>,
 	file: string,
 ): Promise<Result<Value, readonly SettingsFault[]>> => {
@@ -116,14 +116,14 @@
 		]);
 	}
 
-	return checkAgainst(schema, file, text);
+	return parseTomlWithSchema(schema, file, text);
 };
 
 /** Reads and checks a settings file. */
 export const loadSettings = async (
 	file: string,
 ): Promise<Result<Settings, readonly SettingsFault[]>> =>
-	loadAgainst(settingsSchema, file);
+	loadTomlWithSchema(settingsSchema, file);
 
 /** One line for a fault. */
 export const formatFault = (fault: SettingsFault): string =>
--- a/packages/daemon/src/supervisor/supervisor.ts
+++ b/packages/daemon/src/supervisor/supervisor.ts
@@ -44,7 +44,7 @@
 	Math.min(policy.maxBackoffMs, policy.backoffMs * 2 ** (restarts - 1));
 
 /** Times of the restarts that still count at `now`, with this one. */
-export const countRestart = (
+export const addRestart = (
 	policy: RestartPolicy,
 	restarts: readonly number[],
 	now: number,
@@ -79,7 +79,7 @@
 	const restart = async (child: Child, cause: Error): Promise<void> => {
 		let err = cause;
 		for (;;) {
-			child.restarts = countRestart(policy, child.restarts, deps.now());
+			child.restarts = addRestart(policy, child.restarts, deps.now());
 			if (child.restarts.length > policy.maxRestarts) {
 				giveUp(child, err);
 				return;
--- a/packages/daemon/src/upstream/attempt.ts
+++ b/packages/daemon/src/upstream/attempt.ts
@@ -3,7 +3,10 @@
 import * as pools from './connection-pool.js';
 import type {Connection} from './connection.js';
 import * as exchanges from './exchange.js';
-import {startPatientTimer, type PatientTimer} from './patient-timer.js';
+import {
+	startPauseTolerantTimer,
+	type PauseTolerantTimer,
+} from './pause-tolerant-timer.js';
 import * as states from './state.js';
 import type {ExecutorLink, UpstreamState} from './state.js';
 import type {Target} from './target.js';
@@ -18,10 +21,10 @@
 	/** Its connection must have been proved since then. */
 	readonly provedSince: number | undefined;
 	/** True once it has gone without a byte for longer than the threshold. */
-	silent: boolean;
+	isUnresponsive: boolean;
 	aborted: boolean;
 	exchange: exchanges.Exchange | undefined;
-	timer: PatientTimer | undefined;
+	timer: PauseTolerantTimer | undefined;
 };
 
 /** Where an attempt goes. */
@@ -32,7 +35,7 @@
 	/** Once, unless aborted before. */
 	readonly onEnd: (attempt: Attempt, end: exchanges.ExchangeEnd) => void;
 	/** Each time that the threshold has passed without a byte. */
-	readonly onSilent: (attempt: Attempt) => void;
+	readonly onUnresponsive: (attempt: Attempt) => void;
 };
 
 type Context = {
@@ -53,14 +56,14 @@
 		const quietMs = state.clock() - Math.max(sentAt, connection.provedAt);
 		const limitMs = core.connectionSilence.getSilenceMs(
 			state.serviceTime,
-			state.cfg.silence,
+			state.cfg.unresponsiveDetection,
 		);
 		if (quietMs >= limitMs) {
-			events.onSilent(attempt);
+			events.onUnresponsive(attempt);
 		}
 
 		const nextMs = quietMs >= limitMs ? limitMs : limitMs - quietMs;
-		attempt.timer = startPatientTimer(nextMs, check);
+		attempt.timer = startPauseTolerantTimer(nextMs, check);
 	};
 
 	check();
@@ -97,8 +100,8 @@
 
 const connect = async (ctx: Context): Promise<void> => {
 	const {attempt, req, events} = ctx;
-	const {pool, silence} = attempt.link;
-	const suspectedAt = getLater(silence.suspectedAt, attempt.provedSince);
+	const {pool, probeState} = attempt.link;
+	const suspectedAt = getLater(probeState.suspectedAt, attempt.provedSince);
 	const {repeatable} = req;
 	const connection = await pools.acquire(pool, {repeatable, suspectedAt});
 	if (typeof connection === 'string') {
@@ -138,7 +141,7 @@
 		releaseSlot: holdSlot(state, slot),
 		startedAt: state.clock(),
 		provedSince,
-		silent: false,
+		isUnresponsive: false,
 		aborted: false,
 		exchange: undefined,
 		timer: undefined,
--- a/packages/daemon/src/upstream/connection.ts
+++ b/packages/daemon/src/upstream/connection.ts
@@ -5,7 +5,7 @@
  */
 import * as net from 'node:net';
 import {Client} from 'undici';
-import {startPatientTimer} from './patient-timer.js';
+import {startPauseTolerantTimer} from './pause-tolerant-timer.js';
 import type {UpstreamConfig} from './types.js';
 
 /** An open connection. Times by the clock of the upstream. */
@@ -65,7 +65,7 @@
 ): Promise<Connection | undefined> =>
 	new Promise((resolve) => {
 		const socket = net.connect({...splitAddress(address), noDelay: true});
-		const timer = startPatientTimer(cfg.connectTimeoutMs, () => {
+		const timer = startPauseTolerantTimer(cfg.connectTimeoutMs, () => {
 			socket.destroy();
 		});
 		const connection = {
--- a/packages/daemon/src/upstream/dispatcher.ts
+++ b/packages/daemon/src/upstream/dispatcher.ts
@@ -19,75 +19,76 @@
 >;
 
 /** A request on its way. */
-export type Run = {
+export type ActiveRequest = {
 	readonly state: UpstreamState;
 	readonly req: UpstreamRequest;
 	readonly resolve: (result: AttemptResult) => void;
-	readonly running: Set<Attempt>;
+	readonly activeAttempts: Set<Attempt>;
 	readonly failures: AttemptError[];
-	readonly history: targets.History;
+	readonly history: targets.AttemptHistory;
 	attempts: number;
 	/** Ended attempts of which no byte went out. */
-	unsent: number;
+	unsentAttempts: number;
 	/** When the first attempt that went silent began. */
-	silentSince: number | undefined;
-	settled: boolean;
+	unresponsiveSince: number | undefined;
+	isCompleted: boolean;
 	timer: NodeJS.Timeout | undefined;
 	stopListening: (() => void) | undefined;
 };
 
-const settle = (run: Run, result: AttemptResult): void => {
-	run.settled = true;
+const settle = (run: ActiveRequest, result: AttemptResult): void => {
+	run.isCompleted = true;
 	clearTimeout(run.timer);
 	run.stopListening?.();
-	for (const each of run.running) {
+	for (const each of run.activeAttempts) {
 		attempts.abortAttempt(each);
 	}
 
-	run.running.clear();
+	run.activeAttempts.clear();
 	run.resolve(result);
 };
 
-const settleWithError = (run: Run): void => {
+const settleWithError = (run: ActiveRequest): void => {
 	const {error, outcome} = core.attemptOutcome.combineErrors(run.failures);
 	settle(run, {kind: 'error', error, outcome, attempts: run.attempts});
 };
 
-const getFacts = (run: Run, target: targets.Target | undefined) => ({
+const getFacts = (run: ActiveRequest, target: targets.Target | undefined) => ({
 	idempotent: run.req.repeatable,
 	bodyReplayable: !(run.req.body instanceof Readable),
 	attempts:
-		run.attempts - Math.min(run.unsent, run.state.cfg.maxUnsentAttempts),
+		run.attempts -
+		Math.min(run.unsentAttempts, run.state.cfg.maxUnsentAttempts),
 	maxAttempts: run.state.cfg.maxAttempts,
 	deadline: run.req.deadline,
 	expectedMs: run.state.serviceTime.meanMs,
 	hasAlternative: target !== undefined,
 });
 
-const launch = (run: Run, target: targets.Target): void => {
+const launch = (run: ActiveRequest, target: targets.Target): void => {
 	const {state, req} = run;
 	run.attempts += 1;
 	state.stats.attempts += 1;
 	run.history.tried.add(target.link.id);
-	const {silentSince: provedSince} = run;
+	const {unresponsiveSince: provedSince} = run;
 	const to = {...target, provedSince};
 	const attempt = attempts.startAttempt(state, req, to, {
 		onEnd(ended, end) {
 			handleEnd(run, ended, end);
 		},
-		onSilent(silent) {
+		onUnresponsive(silent) {
 			handleSilence(run, silent);
 		},
 	});
-	run.running.add(attempt);
+	run.activeAttempts.add(attempt);
 };
 
 /** Takes a target and asks the decision; gives the slot back on a no. */
 const tryAgain = (
-	run: Run,
+	run: ActiveRequest,
 	decide: (facts: core.retry.RetryFacts) => core.retry.RetryDecision,
 ): boolean => {
-	const target = targets.takeTarget(run.state, run.history);
+	const target = targets.acquireTarget(run.state, run.history);
 	const decision = decide(getFacts(run, target));
 	if (decision.kind === 'retry' && target !== undefined) {
 		launch(run, target);
@@ -102,16 +103,20 @@
 	return false;
 };
 
-const takeAnswer = (run: Run, attempt: Attempt, answer: Answer): void => {
+const takeAnswer = (
+	run: ActiveRequest,
+	attempt: Attempt,
+	answer: Answer,
+): void => {
 	const {state} = run;
 	const {link} = attempt;
 	core.connectionSilence.recordServiceTime(
 		state.serviceTime,
-		state.cfg.silence,
+		state.cfg.unresponsiveDetection,
 		state.clock() - attempt.startedAt,
 	);
-	if (attempt.silent) {
-		link.silentAttempts = Math.max(0, link.silentAttempts - 1);
+	if (attempt.isUnresponsive) {
+		link.unresponsiveAttempts = Math.max(0, link.unresponsiveAttempts - 1);
 	}
 
 	settle(run, {
@@ -124,11 +129,11 @@
 };
 
 const handleEnd = (
-	run: Run,
+	run: ActiveRequest,
 	attempt: Attempt,
 	{end, answer}: ExchangeEnd,
 ): void => {
-	run.running.delete(attempt);
+	run.activeAttempts.delete(attempt);
 	const {state} = run;
 	const {refusal} = state.service;
 	const found = core.attemptOutcome.decideOutcome(end, refusal);
@@ -144,11 +149,11 @@
 
 	if (found.kind === 'error') {
 		run.failures.push(found);
-		run.unsent += attempts.getBytesSent(attempt) === 0 ? 1 : 0;
+		run.unsentAttempts += attempts.getBytesSent(attempt) === 0 ? 1 : 0;
 	}
 
 	run.history.failedZones.add(attempt.link.availabilityZone);
-	const waiting = [...run.running].some((each) => !each.silent);
+	const waiting = [...run.activeAttempts].some((each) => !each.isUnresponsive);
 	if (waiting) {
 		return;
 	}
@@ -161,25 +166,25 @@
 	});
 	if (again) {
 		state.stats.retries += 1;
-	} else if (run.running.size === 0) {
+	} else if (run.activeAttempts.size === 0) {
 		settleWithError(run);
 	}
 };
 
-const handleSilence = (run: Run, attempt: Attempt): void => {
+const handleSilence = (run: ActiveRequest, attempt: Attempt): void => {
 	const {state} = run;
 	const {link, startedAt} = attempt;
 	const now = state.clock();
-	if (!attempt.silent) {
-		attempt.silent = true;
-		run.silentSince ??= startedAt;
-		link.silentAttempts += 1;
+	if (!attempt.isUnresponsive) {
+		attempt.isUnresponsive = true;
+		run.unresponsiveSince ??= startedAt;
+		link.unresponsiveAttempts += 1;
 		const event = {kind: 'slow', elapsedMs: now - startedAt} as const;
 		core.health.recordEvent(state.health, link.id, event, now);
 	}
 
-	probes.suspect(state, link);
-	const waiting = [...run.running].some((each) => !each.silent);
+	probes.suspectConnections(state, link);
+	const waiting = [...run.activeAttempts].some((each) => !each.isUnresponsive);
 	if (waiting) {
 		return;
 	}
@@ -194,10 +199,10 @@
 };
 
 /** Ends a request from outside: its deadline has passed or its caller left. */
-const stop = (run: Run, kind: 'deadline' | 'cancelled'): void => {
+const stop = (run: ActiveRequest, kind: 'deadline' | 'cancelled'): void => {
 	const {state} = run;
 	const {refusal} = state.service;
-	for (const each of run.running) {
+	for (const each of run.activeAttempts) {
 		const end = {kind, bytesSent: attempts.getBytesSent(each)} as const;
 		const found = core.attemptOutcome.decideOutcome(end, refusal);
 		healthRecord.recordHealth(state, each, end, false);
@@ -209,7 +214,7 @@
 	settleWithError(run);
 };
 
-const watchCaller = (run: Run): void => {
+const watchCaller = (run: ActiveRequest): void => {
 	const {req, state} = run;
 	const leftMs = Math.max(0, req.deadline - state.clock());
 	run.timer = setTimeout(() => {
@@ -244,21 +249,21 @@
 			return;
 		}
 
-		const run: Run = {
+		const run: ActiveRequest = {
 			state,
 			req,
 			resolve,
-			running: new Set(),
+			activeAttempts: new Set(),
 			failures: [],
 			history: {tried: new Set(), failedZones: new Set()},
 			attempts: 0,
-			unsent: 0,
-			silentSince: undefined,
-			settled: false,
+			unsentAttempts: 0,
+			unresponsiveSince: undefined,
+			isCompleted: false,
 			timer: undefined,
 			stopListening: undefined,
 		};
-		const target = targets.takeTarget(run.state, run.history);
+		const target = targets.acquireTarget(run.state, run.history);
 		if (target === undefined) {
 			resolve(refuse(state, 'overloaded'));
 			return;
--- a/packages/daemon/src/upstream/exchange.ts
+++ b/packages/daemon/src/upstream/exchange.ts
@@ -7,7 +7,7 @@
 import {Readable} from 'node:stream';
 import {errors, type Dispatcher} from 'undici';
 import type * as core from '@gullstand/core';
-import {passHeaders} from '../http/connection-headers.js';
+import {removeConnectionHeaders} from '../http/connection-headers.js';
 import type {Connection} from './connection.js';
 import type {Headers, UpstreamConfig, UpstreamRequest} from './types.js';
 
@@ -81,7 +81,7 @@
 	const headerNames = new Set(Object.keys(headers));
 	return {
 		end: {kind: 'answered', status, headerNames},
-		answer: {status, headers: passHeaders(headers), body},
+		answer: {status, headers: removeConnectionHeaders(headers), body},
 	};
 };
 
--- a/packages/daemon/src/upstream/health-record.ts
+++ b/packages/daemon/src/upstream/health-record.ts
@@ -31,7 +31,7 @@
 		case 'broken': {
 			record({kind: 'failed'});
 			// A probe tells at once whether the executor itself is gone.
-			probes.suspect(state, link);
+			probes.suspectConnections(state, link);
 			break;
 		}
 
--- a/packages/daemon/src/upstream/patient-timer.test.ts
+++ b/packages/daemon/src/upstream/pause-tolerant-timer.test.ts
@@ -1,5 +1,5 @@
 import * as tap from 'tap';
-import {startPatientTimer} from './patient-timer.js';
+import {startPauseTolerantTimer} from './pause-tolerant-timer.js';
 
 const blockFor = (ms: number) => {
 	const until = performance.now() + ms;
@@ -11,7 +11,7 @@
 tap.t.test('a pause of this process does not use up the time', async (t) => {
 	const startedAt = performance.now();
 	const expired = new Promise<void>((resolve) => {
-		startPatientTimer(200, resolve);
+		startPauseTolerantTimer(200, resolve);
 	});
 	blockFor(400);
 	await expired;
@@ -24,7 +24,7 @@
 	await new Promise<void>((resolve) => {
 		// Begun in the check phase, so that the timer is due before the next.
 		setImmediate(() => {
-			startPatientTimer(10, () => {
+			startPauseTolerantTimer(10, () => {
 				order.push('expired');
 				resolve();
 			});
@@ -39,7 +39,7 @@
 
 tap.t.test('a cancelled timer never expires', async (t) => {
 	for (const delayMs of [0, 60]) {
-		const timer = startPatientTimer(delayMs, () => {
+		const timer = startPauseTolerantTimer(delayMs, () => {
 			t.fail('expired');
 		});
 		timer.cancel();
--- a/packages/daemon/src/upstream/patient-timer.ts
+++ b/packages/daemon/src/upstream/pause-tolerant-timer.ts
@@ -5,15 +5,15 @@
  */
 
 /** A running timeout. */
-export type PatientTimer = {readonly cancel: () => void};
+export type PauseTolerantTimer = {readonly cancel: () => void};
 
 const sliceMs = 50;
 
 /** Calls `expire` after `delayMs` in which this process could read. */
-export const startPatientTimer = (
+export const startPauseTolerantTimer = (
 	delayMs: number,
 	expire: () => void,
-): PatientTimer => {
+): PauseTolerantTimer => {
 	let leftMs = delayMs;
 	let timer: NodeJS.Timeout;
 	let immediate: NodeJS.Immediate | undefined;
--- a/packages/daemon/src/upstream/probe.ts
+++ b/packages/daemon/src/upstream/probe.ts
@@ -3,7 +3,7 @@
 import * as pools from './connection-pool.js';
 import type {Connection} from './connection.js';
 import * as exchanges from './exchange.js';
-import {startPatientTimer} from './patient-timer.js';
+import {startPauseTolerantTimer} from './pause-tolerant-timer.js';
 import type {ExecutorLink, UpstreamState} from './state.js';
 
 /** Undefined if there was no connection to spare for it. */
@@ -36,10 +36,13 @@
 				}
 			},
 		});
-		const timer = startPatientTimer(state.cfg.silence.probeTimeoutMs, () => {
-			exchange.abort();
-			resolve('failed');
-		});
+		const timer = startPauseTolerantTimer(
+			state.cfg.unresponsiveDetection.probeTimeoutMs,
+			() => {
+				exchange.abort();
+				resolve('failed');
+			},
+		);
 	});
 
 const probe = async (
@@ -71,16 +74,16 @@
 ): Promise<void> => {
 	const result = await probe(state, link);
 	if (result === undefined) {
-		link.silence.probing = false;
+		link.probeState.probing = false;
 		return;
 	}
 
 	const verdict = core.connectionSilence.recordProbe(
-		link.silence,
+		link.probeState,
 		result === 'answered',
-		link.silentAttempts > 0,
+		link.unresponsiveAttempts > 0,
 	);
-	link.silentAttempts = 0;
+	link.unresponsiveAttempts = 0;
 	if (verdict.kind === 'retire-older') {
 		const retired = pools.retireOlder(link.pool, verdict.before);
 		state.stats.retiredConnections += retired;
@@ -91,10 +94,19 @@
 };
 
 /** Puts the connections of an executor in doubt and probes if one is due. */
-export const suspect = (state: UpstreamState, link: ExecutorLink): void => {
-	const {silence} = state.cfg;
+export const suspectConnections = (
+	state: UpstreamState,
+	link: ExecutorLink,
+): void => {
+	const {unresponsiveDetection} = state.cfg;
 	const now = state.clock();
-	if (core.connectionSilence.recordSilence(link.silence, silence, now)) {
+	if (
+		core.connectionSilence.recordSilence(
+			link.probeState,
+			unresponsiveDetection,
+			now,
+		)
+	) {
 		void probeSuspected(state, link);
 	}
 };
@@ -104,14 +116,14 @@
 	state: UpstreamState,
 	link: ExecutorLink,
 ): Promise<void> => {
-	if (link.silence.probing) {
+	if (link.probeState.probing) {
 		return;
 	}
 
-	link.silence.probing = true;
-	link.silence.lastProbeAt = state.clock();
+	link.probeState.probing = true;
+	link.probeState.lastProbeAt = state.clock();
 	const result = await probe(state, link);
-	link.silence.probing = false;
+	link.probeState.probing = false;
 	if (result !== undefined) {
 		const kind = result === 'answered' ? 'probed' : 'unreachable';
 		core.health.recordEvent(state.health, link.id, {kind}, state.clock());
@@ -121,9 +133,15 @@
 /** Starts every probe that is due; call it every `sweepMs`. */
 export const startDueProbes = (state: UpstreamState): void => {
 	const now = state.clock();
-	const {silence} = state.cfg;
+	const {unresponsiveDetection} = state.cfg;
 	for (const link of state.links.values()) {
-		if (core.connectionSilence.startProbeIfDue(link.silence, silence, now)) {
+		if (
+			core.connectionSilence.startProbeIfDue(
+				link.probeState,
+				unresponsiveDetection,
+				now,
+			)
+		) {
 			void probeSuspected(state, link);
 		}
 	}
--- a/packages/daemon/src/upstream/state.ts
+++ b/packages/daemon/src/upstream/state.ts
@@ -8,9 +8,9 @@
 	readonly id: string;
 	readonly availabilityZone: string;
 	readonly pool: pools.ConnectionPool;
-	readonly silence: core.connectionSilence.SilenceState;
+	readonly probeState: core.connectionSilence.SilenceState;
 	/** Attempts that went silent since the last probe and never answered. */
-	silentAttempts: number;
+	unresponsiveAttempts: number;
 };
 
 /** State of the path to one service. */
@@ -60,8 +60,8 @@
 		pool: pools.createPool(address, cfg, clock, () => {
 			onLost(link);
 		}),
-		silence: core.connectionSilence.createSilenceState(),
-		silentAttempts: 0,
+		probeState: core.connectionSilence.createSilenceState(),
+		unresponsiveAttempts: 0,
 	};
 	return link;
 };
--- a/packages/daemon/src/upstream/target.ts
+++ b/packages/daemon/src/upstream/target.ts
@@ -7,7 +7,7 @@
 export type Target = {readonly link: ExecutorLink; readonly slot: Slot};
 
 /** Where a request has been already. */
-export type History = {
+export type AttemptHistory = {
 	/** Executors by id. */
 	readonly tried: Set<string>;
 	readonly failedZones: Set<string>;
@@ -20,7 +20,7 @@
 	const now = state.clock();
 	const weighted = core.executorWeights.listWeights(state.health, now);
 	return weighted.map(({id, weight}) => {
-		const doubtful = state.links.get(id)?.silence.suspectedAt !== undefined;
+		const doubtful = state.links.get(id)?.probeState.suspectedAt !== undefined;
 		return {id, weight: doubtful ? weight * suspectedWeightFactor : weight};
 	});
 };
@@ -29,9 +29,9 @@
  * Takes a slot on an executor; prefers those not tried, and zones that have
  * not failed this request. Undefined if all are full.
  */
-export const takeTarget = (
+export const acquireTarget = (
 	state: UpstreamState,
-	{tried, failedZones}: History,
+	{tried, failedZones}: AttemptHistory,
 ): Target | undefined => {
 	const all = listCandidates(state);
 	const untried = all.filter(({id}) => !tried.has(id));
--- a/packages/daemon/src/upstream/call-handler.test.ts
+++ b/packages/daemon/src/upstream/upstream-dispatch.test.ts
@@ -10,7 +10,7 @@
 import {createResponse} from '../caller/answer.js';
 import type {Call} from '../caller/call.js';
 import {createCancellation} from '../caller/cancellation.js';
-import {createUpstreamDispatch} from './call-handler.js';
+import {createUpstreamDispatch} from './upstream-dispatch.js';
 import {defaultUpstreamConfig} from './types.js';
 
 type Cleanup = {readonly teardown: (fn: () => Promise<unknown>) => void};
--- a/packages/daemon/src/upstream/call-handler.ts
+++ b/packages/daemon/src/upstream/upstream-dispatch.ts
@@ -13,7 +13,7 @@
 import * as upstreams from './upstream.js';
 
 /** What the handler needs. */
-export type CallHandlerDeps = {
+export type UpstreamDispatchDeps = {
 	readonly getView: () => core.View;
 	readonly now: () => number;
 	/** Draws a number in [0, 1). */
@@ -34,7 +34,7 @@
 	readonly getInFlight: (instance: string) => number;
 	readonly close: () => Promise<void>;
 	/** Puts a view in force: every later pick is made by it. */
-	readonly follow: (view: core.View) => void;
+	readonly applyView: (view: core.View) => void;
 	/** Health of the executors of each service. */
 	readonly listExecutors: () => ReadonlyMap<
 		string,
@@ -73,7 +73,7 @@
 
 /** Creates the handler. */
 export const createUpstreamDispatch = (
-	deps: CallHandlerDeps,
+	deps: UpstreamDispatchDeps,
 ): UpstreamDispatch => {
 	const paths = new Map<string, ServicePath>();
 	/** Paths of services that were changed or removed; they finish their work. */
@@ -155,7 +155,7 @@
 
 	return {
 		handle,
-		follow(view) {
+		applyView(view) {
 			if (view.revision !== revision) {
 				follow(view);
 			}
--- a/packages/daemon/src/upstream/upstream.test.ts
+++ b/packages/daemon/src/upstream/upstream.test.ts
@@ -28,7 +28,11 @@
 const cfg = {
 	...defaultUpstreamConfig,
 	retryBudget: {ratio: 0.09, initialTokens: 50, maxTokens: 80},
-	silence: {...defaultUpstreamConfig.silence, maxMs: 100, probeTimeoutMs: 200},
+	unresponsiveDetection: {
+		...defaultUpstreamConfig.unresponsiveDetection,
+		maxMs: 100,
+		probeTimeoutMs: 200,
+	},
 	// Work that may not run twice always gets a new connection.
 	reuse: {...defaultUpstreamConfig.reuse, provedForMs: -1},
 };
--- a/packages/daemon/src/upstream/upstream.ts
+++ b/packages/daemon/src/upstream/upstream.ts
@@ -6,7 +6,7 @@
 import * as pools from './connection-pool.js';
 import * as dispatcher from './dispatcher.js';
 import * as probes from './probe.js';
-import * as slots from './slots.js';
+import * as slots from './local-slots.js';
 import * as states from './state.js';
 import type {
 	AttemptResult,
@@ -70,7 +70,7 @@
 		slots.createLocalSlots(getLocalLimit(service, cfg), random);
 	const state: states.UpstreamState = {
 		onLost(link) {
-			probes.suspect(state, link);
+			probes.suspectConnections(state, link);
 		},
 		service,
 		cfg,
