--- a/packages/daemon/src/admission/admission-layer.ts
+++ b/packages/daemon/src/admission/admission-layer.ts
@@ -1,12 +1,12 @@
 /**
- * The layer that admits calls, one queue a service, kept up with the view.
- * It stands inside the layer of at-most-once and around dispatch.
+ * Call layer for admission with one queue per service of the view. It runs
+ * inside the idempotency layer and wraps dispatch.
  */
 import * as core from '@gullstand/core';
 import type {CallLayer} from '../caller/call.js';
 import {createServiceQueue, type ServiceQueue} from './service-queue.js';
 
-/** What the layer needs. */
+/** Dependencies of the layer. */
 export type AdmissionLayerDeps = {
 	readonly getView: () => core.View;
 	readonly now: () => number;
@@ -14,20 +14,20 @@
 		core.admission.AdmissionSettings,
 		'maxQueued' | 'transitMs'
 	>;
-	/** This entry's part of each contracted rate, such as 1/9. */
+	/** Fraction of each contracted rate that this entry admits, such as 1/9. */
 	readonly getShare: () => number;
 	/**
 	 * Requests of a service that this entry may have in flight; 0 only if no
-	 * executor serves. Asked at each call and each answer.
+	 * executor serves. Called for each call and each answer.
 	 */
 	readonly getSlots: (service: core.Service) => number;
 };
 
-/** The layer and what operators see of it. */
+/** The layer and its status for operators. */
 export type AdmissionLayer = {
 	readonly layer: CallLayer;
 	readonly getStatus: () => ReadonlyMap<string, core.admission.AdmissionStatus>;
-	/** Stops looking after queues; what waits is not answered any more. */
+	/** Stops the timer; waiting calls no longer expire. */
 	readonly close: () => void;
 };
 
@@ -43,14 +43,14 @@
 	let revision = -1;
 	let share = 0;
 
-	const update = (name: string, queue: ServiceQueue) => {
+	const updateTerms = (name: string, queue: ServiceQueue) => {
 		const {contracts} = getView();
 		const terms = core.admission.getTerms(contracts.values(), name);
 		queue.update(terms, share);
 	};
 
-	/** Takes over a changed view or a changed number of entries. */
-	const follow = () => {
+	/** Applies a changed view or a changed share to all queues. */
+	const applyChanges = () => {
 		const view = getView();
 		if (view.revision === revision && share === getShare()) {
 			return;
@@ -59,15 +59,15 @@
 		revision = view.revision;
 		share = getShare();
 		for (const [name, queue] of queues) {
-			update(name, queue);
+			updateTerms(name, queue);
 			if (!view.services.has(name) && !queue.expire()) {
 				queues.delete(name);
 			}
 		}
 	};
 
-	const tick = () => {
-		follow();
+	const expireQueues = () => {
+		applyChanges();
 		let isBusy = false;
 		for (const queue of queues.values()) {
 			isBusy = queue.expire() || isBusy;
@@ -79,9 +79,9 @@
 		}
 	};
 
-	/** Looks after queues as long as any call waits. */
-	const watch = () => {
-		timer ??= setInterval(tick, expireEveryMs);
+	/** Expires queued calls periodically while any call waits. */
+	const startTimer = () => {
+		timer ??= setInterval(expireQueues, expireEveryMs);
 	};
 
 	const findQueue = (name: string): ServiceQueue => {
@@ -93,20 +93,20 @@
 		const settings = {...core.admission.defaultSettings, ...deps.settings};
 		const created = createServiceQueue(settings, {
 			now,
-			onWait: watch,
+			onWait: startTimer,
 			getSlots() {
 				const service = getView().services.get(name);
 				return service ? getSlots(service) : 0;
 			},
 		});
 		queues.set(name, created);
-		update(name, created);
+		updateTerms(name, created);
 		return created;
 	};
 
 	const layer: CallLayer = (next) => async (call) => {
-		follow();
-		// Dispatch knows why there is none, and no slot is spent.
+		applyChanges();
+		// Without executors, dispatch returns the error and needs no slot.
 		return getSlots(call.service) === 0
 			? next(call)
 			: findQueue(call.service.name).run(call, next);
--- a/packages/daemon/src/admission/admission.test.ts
+++ b/packages/daemon/src/admission/admission.test.ts
@@ -1,4 +1,4 @@
-/** Admission behind real sockets; dispatch and time are the test's. */
+/** Admission behind real sockets with simulated dispatch and time. */
 import {once} from 'node:events';
 import type {Server} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -46,7 +46,7 @@
 
 type Running = {call: Call; end: (result: CallResult) => void};
 
-/** Executors that answer when the test says so, or when cancelled. */
+/** Executors that answer when the test ends a call or it is cancelled. */
 const createExecutors = () => {
 	const running = new Set<Running>();
 	let calls = 0;
@@ -164,7 +164,7 @@
 	};
 };
 
-/** Waits until a state is reached; the runner's timeout ends a wait in vain. */
+/** Waits until a state is reached; the test runner's timeout is the limit. */
 const until = async (isReached: () => boolean) => {
 	while (!isReached()) {
 		await new Promise((resolve) => {
@@ -214,7 +214,7 @@
 	t.match(getStatus(), {inFlight: 0, queued: 0});
 });
 
-tap.t.test('a hopeless call is answered when it becomes so', async (t) => {
+tap.t.test('a call that cannot meet its deadline is dropped', async (t) => {
 	const entry = await startEntry(t);
 	const all = Array.from({length: slots + 1}, async () => entry.send('quiet'));
 	await until(() => entry.getStatus()?.queued === 1);
@@ -230,7 +230,7 @@
 	await Promise.all(all);
 });
 
-tap.t.test('slots that come let waiting calls go', async (t) => {
+tap.t.test('added slots dispatch queued calls', async (t) => {
 	const entry = await startEntry(t);
 	const {executors, getStatus} = entry;
 	const all = Array.from({length: slots + 2}, async () => entry.send('quiet'));
@@ -241,7 +241,7 @@
 	entry.setSlots(1);
 	executors.answerAll();
 	await until(() => executors.running.size === 1);
-	t.equal(getStatus()?.inFlight, 1, 'slots that went are not given out');
+	t.equal(getStatus()?.inFlight, 1, 'removed slots are not reused');
 	executors.answerAll();
 	const answers = await Promise.all(all);
 	t.ok(answers.every((res) => res.status === 200));
@@ -263,13 +263,13 @@
 		},
 	],
 	[
-		'is cut',
+		'fails',
 		(controller) => {
-			controller.error(new Error('cut by the test'));
+			controller.error(new Error('failed by the test'));
 		},
 	],
 	[
-		'is left by its caller',
+		'is cancelled by its caller',
 		(_controller, caller) => {
 			caller.abort();
 		},
@@ -300,7 +300,7 @@
 	});
 }
 
-tap.t.test('a wave of callers that leave frees slots and queue', async (t) => {
+tap.t.test('cancelled calls release slots and leave the queue', async (t) => {
 	const entry = await startEntry(t);
 	const {executors, getStatus} = entry;
 	const abort = new AbortController();
@@ -340,7 +340,7 @@
 ];
 
 for (const [executors, share, expected] of shares) {
-	tap.t.test(`slots of ${executors} executors by ${share}`, async (t) => {
+	tap.t.test(`slots of ${executors} executors, share ${share}`, async (t) => {
 		t.equal(getSlotShare(service, executors, share, 9), expected);
 	});
 }
--- a/packages/daemon/src/admission/entry-share.ts
+++ b/packages/daemon/src/admission/entry-share.ts
@@ -1,6 +1,6 @@
 /**
- * This entry's part of each contracted rate and of each executor's slots: one
- * over the number of live entries on the lagging list.
+ * Fraction of each contracted rate and of each executor's slots that this entry
+ * uses: one over the number of live entries on the platform's delayed list.
  */
 import type * as core from '@gullstand/core';
 import type {InstanceList} from '@gullstand/ports';
@@ -8,12 +8,12 @@
 import type {Part} from '../supervisor/supervisor.js';
 import {createTicker} from '../view/ticker.js';
 
-/** The share, and the part that keeps it. */
+/** The share and the part that updates it. */
 export type EntryShare = Part & {readonly getShare: () => number};
 
 const pollMs = 5000;
 
-/** Follows the list; a list that can't be read changes nothing. */
+/** Polls the list; a failed read leaves the share unchanged. */
 export const createEntryShare = (
 	list: InstanceList,
 	entriesUntilKnown: number,
@@ -41,20 +41,20 @@
 	};
 };
 
-/** Requests of one entry on one executor; one connection is for probes. */
+/** Requests of one entry to one executor; one connection is for probes. */
 const getExecutorLimit = (service: core.Service, entries: number): number => {
 	const connections = Math.floor(service.connectionsPerExecutor / entries);
 	return Math.max(1, Math.min(service.slotsPerExecutor, connections - 1));
 };
 
-/** What counting slots needs. */
+/** Dependencies of `createSlotShare`. */
 export type SlotShareDeps = {
 	readonly getView: () => core.View;
 	readonly getShare: () => number;
 	readonly entriesSharingConnections: number;
 };
 
-/** Counts slots by `getSlotShare`, once for each change of view or share. */
+/** Caches `getSlotShare` by service until the view or the share changes. */
 export const createSlotShare = (
 	deps: SlotShareDeps,
 ): ((service: core.Service) => number) => {
@@ -88,9 +88,9 @@
 };
 
 /**
- * Slots that an even split between entries gives this one, at least one if
- * any executor serves, at most what its connections to each allow when they
- * are split between `entriesSharingConnections`.
+ * Slots of this entry in an even split: at least one if any executor serves,
+ * at most what its connections allow, which are split between
+ * `entriesSharingConnections`.
  */
 export const getSlotShare = (
 	service: core.Service,
--- a/packages/daemon/src/admission/service-queue.ts
+++ b/packages/daemon/src/admission/service-queue.ts
@@ -1,4 +1,4 @@
-/** Admission of one service's calls: who waits, who goes, who is told no. */
+/** Admission of one service's calls: dispatches, queues or refuses them. */
 import * as core from '@gullstand/core';
 import {
 	createError,
@@ -10,7 +10,7 @@
 
 type Ticket = core.admission.Ticket;
 
-/** A call that waits for its slot. */
+/** A call that waits for a slot. */
 type Waiting = {
 	readonly call: Call;
 	readonly next: CallHandler;
@@ -18,10 +18,10 @@
 	readonly stopListening: () => void;
 };
 
-/** What a queue needs. */
+/** Dependencies of a queue. */
 export type ServiceQueueDeps = {
 	readonly now: () => number;
-	/** Told of each call that waits. */
+	/** Called for each call that is queued. */
 	readonly onWait: () => void;
 	/** Requests that may be in flight now. */
 	readonly getSlots: () => number;
@@ -30,17 +30,17 @@
 /** Admission of one service. */
 export type ServiceQueue = {
 	readonly run: (call: Call, next: CallHandler) => Promise<CallResult>;
-	/** Puts changed contracts in force. */
+	/** Applies changed contracts and a changed share. */
 	readonly update: (
 		terms: readonly core.admission.CustomerTerms[],
 		share: number,
 	) => void;
 	readonly getStatus: () => core.admission.AdmissionStatus;
-	/** Fills free slots, drops the hopeless; true while calls wait. */
+	/** Drops calls past their deadline, fills free slots; true if calls wait. */
 	readonly expire: () => boolean;
 };
 
-/** Results whose time shows how long the service takes. */
+/** True if the duration of a result reflects the service time. */
 const isMeasured = (result: CallResult): boolean =>
 	result.kind === 'answer' || result.error === 'upstream-timeout';
 
@@ -51,9 +51,9 @@
 ): ServiceQueue => {
 	const state = core.admission.createAdmission(settings, now());
 	const waiting = new Map<Ticket, Waiting>();
-	let isDrainPlanned = false;
+	let isDrainScheduled = false;
 
-	const takeWaiting = (ticket: Ticket): Waiting | undefined => {
+	const removeWaiting = (ticket: Ticket): Waiting | undefined => {
 		const found = waiting.get(ticket);
 		waiting.delete(ticket);
 		found?.stopListening();
@@ -61,7 +61,7 @@
 	};
 
 	const drop = ({ticket, error, retryAfterMs}: core.admission.Dropped) => {
-		takeWaiting(ticket)?.resolve(createError(error, 0, retryAfterMs));
+		removeWaiting(ticket)?.resolve(createError(error, 0, retryAfterMs));
 	};
 
 	const drain = () => {
@@ -72,7 +72,7 @@
 				drop(decision);
 			} else {
 				const {ticket} = decision;
-				const found = takeWaiting(ticket);
+				const found = removeWaiting(ticket);
 				found?.resolve(send(ticket, found.call, found.next));
 			}
 
@@ -80,22 +80,22 @@
 		}
 	};
 
-	/** Lets a wave of cancellations leave the queue before slots are given. */
-	const planDrain = () => {
-		if (!isDrainPlanned) {
-			isDrainPlanned = true;
+	/** Defers the drain, so that simultaneous cancellations leave the queue first. */
+	const scheduleDrain = () => {
+		if (!isDrainScheduled) {
+			isDrainScheduled = true;
 			setImmediate(() => {
-				isDrainPlanned = false;
+				isDrainScheduled = false;
 				drain();
 			});
 		}
 	};
 
-	/** Frees the slot of a call that has ended; later calls change nothing. */
+	/** Releases the slot of a call that has ended. */
 	const finish = (ticket: Ticket, call: Call, measured: boolean) => {
 		core.admission.finish(state, ticket, {measured}, now());
 		if (call.cancellation.isCancelled()) {
-			planDrain();
+			scheduleDrain();
 		} else {
 			drain();
 		}
@@ -119,7 +119,7 @@
 			return result;
 		}
 
-		// The executor is busy until the last byte of a streamed answer.
+		// A streamed answer occupies its slot until its last byte.
 		call.cancellation.onCancel(() => {
 			finish(ticket, call, false);
 		});
@@ -133,7 +133,7 @@
 		new Promise<CallResult>((resolve) => {
 			const stopListening = call.cancellation.onCancel(() => {
 				if (core.admission.cancel(state, ticket) === 'left-queue') {
-					takeWaiting(ticket)?.resolve(createError('cancelled'));
+					removeWaiting(ticket)?.resolve(createError('cancelled'));
 				}
 			});
 			waiting.set(ticket, {call, next, resolve, stopListening});
--- a/packages/daemon/src/admission/watch-end.ts
+++ b/packages/daemon/src/admission/watch-end.ts
@@ -1,6 +1,6 @@
-/** Tells when a streamed body has ended, was cut or is not read any more. */
+/** Detects when a streamed body ends, fails or is cancelled by its reader. */
 
-/** Passes a stream on; `onEnd` is called once. */
+/** Forwards a stream and calls `onEnd` once when it is over. */
 export const watchEnd = (
 	body: ReadableStream<Uint8Array>,
 	onEnd: () => void,
--- a/packages/daemon/src/caller/answer.ts
+++ b/packages/daemon/src/caller/answer.ts
@@ -1,4 +1,4 @@
-/** Turns the result of a call into an HTTP answer. */
+/** Converts the result of a call to an HTTP response. */
 import * as core from '@gullstand/core';
 import type {errors} from '@gullstand/core';
 import type {CallResult} from './call.js';
@@ -14,7 +14,7 @@
 	headers.set(headerNames.retryAfterMs, String(Math.ceil(retryAfterMs)));
 };
 
-/** Answer for an error kind, by the one table. */
+/** Creates the response for an error kind from the error table. */
 export const createErrorResponse = (
 	kind: errors.ErrorKind,
 	requestId: string,
@@ -43,10 +43,10 @@
 	return new Response(body, {status: row.status, headers});
 };
 
-// Statuses that carry no body (RFC 9110, section 6.4.1).
+// Statuses without a body (RFC 9110, section 6.4.1).
 const statusesWithoutBody = new Set([204, 205, 304]);
 
-/** Answer for the result of a call. */
+/** Creates the response for the result of a call. */
 export const createResponse = (
 	result: CallResult,
 	requestId: string,
--- a/packages/daemon/src/caller/call.ts
+++ b/packages/daemon/src/caller/call.ts
@@ -1,4 +1,4 @@
-/** One caller's request on its way through an entry, and its result. */
+/** Types of a caller's request and its result. */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {
 	Contract,
@@ -9,7 +9,7 @@
 } from '@gullstand/core';
 import type {Cancellation} from './cancellation.js';
 
-/** A checked request of an authenticated caller. */
+/** A validated request of an authenticated caller. */
 export type Call = {
 	readonly requestId: string;
 	readonly contract: Contract;
@@ -17,39 +17,39 @@
 	readonly service: Service;
 	readonly requestClass: RequestClass;
 	readonly method: string;
-	/** Path and query as the executor is to see them. */
+	/** Path and query as sent to the executor. */
 	readonly path: string;
 	readonly headers: IncomingHttpHeaders;
 	readonly body: Uint8Array;
-	/** When the entry took the request, in milliseconds of its clock. */
+	/** When the entry received the request, in milliseconds of its clock. */
 	readonly receivedAt: number;
-	/** When an answer is late, in milliseconds of the entry's clock. */
+	/** Latest time for an answer, in milliseconds of the entry's clock. */
 	readonly deadline: number;
-	/** False for a service or route that may not be repeated. */
+	/** False for a service or route whose requests may not be repeated. */
 	readonly idempotent: boolean;
-	/** Happens when the caller goes away. */
+	/** Fires when the caller disconnects. */
 	readonly cancellation: Cancellation;
 };
 
-/** An executor's whole answer, or a stream that ends whole or resets. */
+/** An executor's complete answer, or a stream that completes or fails. */
 export type AnswerBody = Uint8Array | ReadableStream<Uint8Array>;
 
-/** What became of a call. */
+/** Result of a call. */
 export type CallResult =
 	| {
 			readonly kind: 'answer';
 			readonly status: number;
 			readonly headers: ReadonlyArray<readonly [string, string]>;
 			readonly body: AnswerBody;
-			/** Instance that answered. */
+			/** Id of the instance that answered. */
 			readonly executor: string;
-			/** Times that the request was sent to an executor. */
+			/** Number of times the request was sent to an executor. */
 			readonly attempts: number;
 	  }
 	| {
 			readonly kind: 'error';
 			readonly error: errors.ErrorKind;
-			/** When to come back, if the error's advice is `later` or `same-key`. */
+			/** Delay before a retry, if the error allows `later` or `same-key`. */
 			readonly retryAfterMs?: number;
 			readonly attempts: number;
 	  };
@@ -57,10 +57,10 @@
 /** Handles a call; never rejects for an expected failure. */
 export type CallHandler = (call: Call) => Promise<CallResult>;
 
-/** Wraps a handler with one concern, such as admission. */
+/** Wraps a handler, for example with admission. */
 export type CallLayer = (next: CallHandler) => CallHandler;
 
-/** An error result. */
+/** Creates an error result. */
 export const createError = (
 	error: errors.ErrorKind,
 	attempts = 0,
--- a/packages/daemon/src/caller/caller-app.ts
+++ b/packages/daemon/src/caller/caller-app.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP interface: checks a request, runs it, answers it. */
+/** The callers' HTTP API: validates, handles and answers requests. */
 import {randomUUID} from 'node:crypto';
 import type {IncomingMessage} from 'node:http';
 import type {HttpBindings} from '@hono/node-server';
@@ -16,7 +16,7 @@
 import {headerNames} from './headers.js';
 import {indexTokens, parseHead, type ParsedHead} from './parse-call.js';
 
-/** What the callers' interface needs. */
+/** Dependencies of the callers' API. */
 export type CallerDeps = {
 	readonly settings: Settings['caller'];
 	readonly getView: () => View;
@@ -24,13 +24,13 @@
 	readonly now: () => number;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
-	/** True once the entry takes no new requests. */
+	/** True once the entry accepts no new requests. */
 	readonly isStopping: () => boolean;
 };
 
 type Env = {Bindings: HttpBindings};
 
-/** Keeps a token index that follows the view. */
+/** Creates a lookup by token hash that is rebuilt when the view changes. */
 const createTokenIndex = (getView: () => View) => {
 	let revision = -1;
 	let index: ReadonlyMap<string, Contract> = new Map();
@@ -51,8 +51,8 @@
 		: core.errors.getErrorAnswer(result.error).outcome;
 
 /**
- * A refusal before the key of a request was looked up: one with the same key
- * may have run, so that no repeat is told `not-run` and to come back.
+ * Error kind of a refusal before the idempotency key was looked up. A request
+ * with the same key may have run, so the answer must not claim `not-run`.
  */
 const getRefusal = (
 	kind: errors.ErrorKind,
@@ -82,7 +82,7 @@
 			durationMs,
 		});
 		const level = result.kind === 'error' ? 'info' : 'debug';
-		// Winston formats a line before it drops it.
+		// Winston formats a line before it checks the level.
 		if (!deps.logger.isLevelEnabled(level)) {
 			return;
 		}
@@ -144,7 +144,7 @@
 	): Response => {
 		const res = createErrorResponse(getRefusal(kind, incoming), requestId);
 		if (hasBody(incoming)) {
-			// The rest of the body is not read, so the connection cannot go on.
+			// The body is not read, so the connection cannot be reused.
 			res.headers.set('connection', 'close');
 		}
 
--- a/packages/daemon/src/caller/cancellation.ts
+++ b/packages/daemon/src/caller/cancellation.ts
@@ -1,22 +1,21 @@
 /**
- * Tells the layers of a call that its caller went away. An AbortController a
- * call cost 12% of the daemon's time (bench overhead), a set of listeners
- * nothing that shows.
+ * Notifies the layers of a call that its caller has disconnected. A set of
+ * listeners is much cheaper per call than an AbortController.
  */
 
-/** Whether a caller has gone, and who wants to know. */
+/** Cancellation state of a call and its listeners. */
 export type Cancellation = {
 	readonly isCancelled: () => boolean;
-	/** Calls back at once if already cancelled; returns the removal. */
+	/** Adds a listener, called at once if cancelled; returns its removal. */
 	readonly onCancel: (listener: () => void) => () => void;
 };
 
-/** A cancellation and the way to cause it. */
+/** A cancellation that can be triggered. */
 export type CancellationSource = Cancellation & {
 	readonly cancel: () => void;
 };
 
-/** Creates a cancellation that has not happened. */
+/** Creates a cancellation that has not been triggered. */
 export const createCancellation = (): CancellationSource => {
 	let isCancelled = false;
 	let listeners: Set<() => void> | undefined;
--- a/packages/daemon/src/caller/headers.ts
+++ b/packages/daemon/src/caller/headers.ts
@@ -1,10 +1,10 @@
-/** Header names of the caller's interface, and which fields are passed on. */
+/** Header names of the callers' API and the selection of forwarded fields. */
 import {
 	removeConnectionHeaders,
 	type HeaderFields,
 } from '../http/connection-headers.js';
 
-/** Names of our own header fields. */
+/** Names of header fields that the entry reads or sets. */
 export const headerNames = {
 	service: 'gullstand-service',
 	customer: 'gullstand-customer',
@@ -17,14 +17,14 @@
 	retryAfterMs: 'gullstand-retry-after-ms',
 	attempts: 'gullstand-attempts',
 	idempotencyKey: 'idempotency-key',
-	/** Set to `true` on an answer given before; the name is in common use. */
+	/** Set to `true` on a stored answer that is sent again. */
 	idempotentReplayed: 'idempotent-replayed',
 } as const;
 
-/** The entry sets these itself, or keeps them from the executor. */
+/** Fields that the entry sets itself or withholds from the executor. */
 const ownedByEntry = new Set(['content-length', 'authorization']);
 
-/** Fields of a request that go on to an executor. */
+/** Selects the fields of a request that are forwarded to an executor. */
 export const selectRequestHeaders = (
 	headers: HeaderFields,
 ): Record<string, string | string[]> => {
@@ -37,7 +37,7 @@
 	return selected;
 };
 
-/** Fields of an executor's answer, as its connection passed them on. */
+/** Selects the fields of an executor's answer that are sent to the caller. */
 export const selectAnswerHeaders = (
 	headers: HeaderFields,
 ): Array<readonly [string, string]> =>
--- a/packages/daemon/src/caller/parse-call.test.ts
+++ b/packages/daemon/src/caller/parse-call.test.ts
@@ -49,7 +49,7 @@
 	['/s/claims/list', '/list', true],
 	['/s/claims/intake', '/intake', false],
 	['/s/claims/intake/7?x=%00', '/intake/7?x=%00', false],
-	// A path that an executor may normalise to a non-repeatable route.
+	// Paths that an executor may normalize to a non-repeatable route.
 	['/s/claims//intake', '//intake', false],
 	['/s/claims/./intake', '/./intake', false],
 	['/s/claims/a/../intake', '/a/../intake', false],
@@ -86,7 +86,7 @@
 
 const runs = {seed: 7, numRuns: 2000};
 
-tap.t.test('no request without the token is taken', async (t) => {
+tap.t.test('requests without the token are refused', async (t) => {
 	fc.assert(
 		fc.property(fc.string(), headers, (url, fields) => {
 			const {authorization: found} = fields;
@@ -98,7 +98,7 @@
 	t.pass();
 });
 
-tap.t.test('a budget is a whole time within the contract', async (t) => {
+tap.t.test('budgets are positive integers within the terms', async (t) => {
 	fc.assert(
 		fc.property(fc.oneof(fc.string(), fc.nat().map(String)), (text) => {
 			const head = parse('/s/claims/', {
@@ -117,7 +117,7 @@
 	t.pass();
 });
 
-tap.t.test('hop-by-hop fields and those they name are dropped', async (t) => {
+tap.t.test('connection headers are not forwarded', async (t) => {
 	fc.assert(
 		fc.property(headers, (fields) => {
 			const kept = selectRequestHeaders(fields);
--- a/packages/daemon/src/caller/parse-call.ts
+++ b/packages/daemon/src/caller/parse-call.ts
@@ -1,4 +1,4 @@
-/** Checks a caller's request line and header against the view. */
+/** Validates a caller's request line and headers against the view. */
 import {createHash} from 'node:crypto';
 import type {IncomingHttpHeaders} from 'node:http';
 import * as core from '@gullstand/core';
@@ -13,7 +13,7 @@
 } from '@gullstand/core';
 import {headerNames} from './headers.js';
 
-/** What is read of a request before its body. */
+/** Request line and headers of a request. */
 export type RequestHead = {
 	readonly method: string;
 	/** Path and query as received. */
@@ -21,7 +21,7 @@
 	readonly headers: IncomingHttpHeaders;
 };
 
-/** A request head that names a service which its caller may use. */
+/** A valid request head for a service that its caller may use. */
 export type ParsedHead = {
 	readonly contract: Contract;
 	readonly terms: ServiceTerms;
@@ -59,7 +59,7 @@
 		),
 	);
 
-const readOne = (
+const readField = (
 	headers: IncomingHttpHeaders,
 	name: string,
 ): string | undefined => {
@@ -70,7 +70,7 @@
 const findTarget = (
 	head: RequestHead,
 ): {service: string; path: string} | undefined => {
-	const named = readOne(head.headers, headerNames.service);
+	const named = readField(head.headers, headerNames.service);
 	if (named !== undefined) {
 		return {service: named, path: head.url};
 	}
@@ -94,7 +94,7 @@
 	headers: IncomingHttpHeaders,
 	terms: ServiceTerms,
 ): number | undefined => {
-	const text = readOne(headers, headerNames.deadlineMs);
+	const text = readField(headers, headerNames.deadlineMs);
 	if (text === undefined) {
 		return terms.answerWithinMs;
 	}
@@ -105,9 +105,9 @@
 };
 
 /**
- * The form in which routes are compared: decoded, in lower case, with empty
- * and dot segments resolved (RFC 3986, section 5.2.4), as an executor might
- * read the path. Undefined if it cannot be decoded.
+ * Normalizes a path for the comparison with routes, as an executor might:
+ * decoded, in lower case, without empty and dot segments (RFC 3986, section
+ * 5.2.4). Undefined if it cannot be decoded.
  */
 const normalizePath = (path: string): string | undefined => {
 	const [raw = ''] = path.split('?', 1);
@@ -128,8 +128,8 @@
 };
 
 /**
- * Whether a request may be sent again after an unknown outcome. A path that
- * an executor might read as a non-repeatable route counts as one.
+ * True if a request may be sent again after an unknown outcome. A path that
+ * an executor might normalize to a non-repeatable route counts as one.
  */
 export const isIdempotent = (service: Service, path: string): boolean => {
 	if (!service.idempotent || service.nonRepeatableRoutes.length === 0) {
@@ -155,13 +155,13 @@
 		return core.fail('unauthenticated');
 	}
 
-	const named = readOne(head.headers, headerNames.customer);
+	const named = readField(head.headers, headerNames.customer);
 	return named === undefined || named === contract.customer
 		? core.succeed(contract)
 		: core.fail('forbidden');
 };
 
-/** Checks token, customer, service, class and deadline, in that order. */
+/** Validates token, customer, service, class and deadline, in that order. */
 export const parseHead = (
 	head: RequestHead,
 	view: View,
@@ -185,7 +185,7 @@
 	}
 
 	const requestClass =
-		readOne(head.headers, headerNames.requestClass) ?? 'standard';
+		readField(head.headers, headerNames.requestClass) ?? 'standard';
 	const budgetMs = readBudget(head.headers, terms);
 	if (!isRequestClass(requestClass) || budgetMs === undefined) {
 		return core.fail('bad-request');
--- a/packages/daemon/src/upstream/attempt.ts
+++ b/packages/daemon/src/upstream/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request: a slot, a connection, an exchange. */
+/** Runs one attempt of a request: acquires a connection and sends on it. */
 import * as core from '@gullstand/core';
 import * as pools from './connection-pool.js';
 import type {Connection} from './connection.js';
@@ -15,26 +15,26 @@
 /** A running attempt. */
 export type Attempt = {
 	readonly link: ExecutorLink;
-	/** Gives the slot back; later calls do nothing. */
+	/** Returns the slot; later calls do nothing. */
 	readonly releaseSlot: Slot['release'];
 	readonly startedAt: number;
-	/** Its connection must have been proved since then. */
+	/** Only connections that received bytes after this time are reused. */
 	readonly provedSince: number | undefined;
-	/** True once it has gone without a byte for longer than the threshold. */
+	/** True once no byte was received for longer than the threshold. */
 	isUnresponsive: boolean;
 	aborted: boolean;
 	exchange: exchanges.Exchange | undefined;
 	timer: PauseTolerantTimer | undefined;
 };
 
-/** Where an attempt goes. */
+/** Executor, slot and connection requirement of an attempt. */
 export type AttemptTarget = Target & Pick<Attempt, 'provedSince'>;
 
-/** What the dispatcher is told. */
+/** Callbacks of an attempt to the dispatcher. */
 export type AttemptEvents = {
-	/** Once, unless aborted before. */
+	/** Called once, unless the attempt was aborted. */
 	readonly onEnd: (attempt: Attempt, end: exchanges.ExchangeEnd) => void;
-	/** Each time that the threshold has passed without a byte. */
+	/** Called each time the threshold passes without a received byte. */
 	readonly onUnresponsive: (attempt: Attempt) => void;
 };
 
@@ -45,24 +45,24 @@
 	readonly events: AttemptEvents;
 };
 
-/** Bytes of the request that were handed to the socket. */
+/** Bytes of the request that were written to the socket. */
 export const getBytesSent = ({exchange}: Attempt): number =>
 	exchange?.getBytesSent() ?? 0;
 
-const watchSilence = (ctx: Context, connection: Connection): void => {
+const watchResponsiveness = (ctx: Context, connection: Connection): void => {
 	const {state, attempt, events} = ctx;
 	const sentAt = state.clock();
 	const check = () => {
-		const quietMs = state.clock() - Math.max(sentAt, connection.provedAt);
+		const idleMs = state.clock() - Math.max(sentAt, connection.provedAt);
 		const limitMs = core.connectionSilence.getSilenceMs(
 			state.serviceTime,
 			state.cfg.unresponsiveDetection,
 		);
-		if (quietMs >= limitMs) {
+		if (idleMs >= limitMs) {
 			events.onUnresponsive(attempt);
 		}
 
-		const nextMs = quietMs >= limitMs ? limitMs : limitMs - quietMs;
+		const nextMs = idleMs >= limitMs ? limitMs : limitMs - idleMs;
 		attempt.timer = startPauseTolerantTimer(nextMs, check);
 	};
 
@@ -87,21 +87,21 @@
 			}
 		},
 	});
-	watchSilence(ctx, connection);
+	watchResponsiveness(ctx, connection);
 };
 
-const getLater = (
-	one: number | undefined,
-	other: number | undefined,
+const getLatest = (
+	first: number | undefined,
+	second: number | undefined,
 ): number | undefined =>
-	one === undefined || other === undefined
-		? (one ?? other)
-		: Math.max(one, other);
+	first === undefined || second === undefined
+		? (first ?? second)
+		: Math.max(first, second);
 
 const connect = async (ctx: Context): Promise<void> => {
 	const {attempt, req, events} = ctx;
 	const {pool, probeState} = attempt.link;
-	const suspectedAt = getLater(probeState.suspectedAt, attempt.provedSince);
+	const suspectedAt = getLatest(probeState.suspectedAt, attempt.provedSince);
 	const {repeatable} = req;
 	const connection = await pools.acquire(pool, {repeatable, suspectedAt});
 	if (typeof connection === 'string') {
@@ -116,8 +116,8 @@
 	}
 };
 
-/** Counts the attempt until its slot is given back, which happens once. */
-const holdSlot = (state: UpstreamState, slot: Slot): Slot['release'] => {
+/** Counts the attempt as in flight until its slot is released. */
+const countInFlight = (state: UpstreamState, slot: Slot): Slot['release'] => {
 	let held = true;
 	states.addInFlight(state, slot.executor, 1);
 	return (mayStillRun) => {
@@ -129,7 +129,7 @@
 	};
 };
 
-/** Starts an attempt on an executor whose slot has been taken. */
+/** Starts an attempt on the executor of an acquired slot. */
 export const startAttempt = (
 	state: UpstreamState,
 	req: UpstreamRequest,
@@ -138,7 +138,7 @@
 ): Attempt => {
 	const attempt: Attempt = {
 		link,
-		releaseSlot: holdSlot(state, slot),
+		releaseSlot: countInFlight(state, slot),
 		startedAt: state.clock(),
 		provedSince,
 		isUnresponsive: false,
@@ -150,7 +150,7 @@
 	return attempt;
 };
 
-/** Gives an attempt up; its connection is destroyed if it carried bytes. */
+/** Aborts an attempt; its connection is destroyed if the exchange began. */
 export const abortAttempt = (attempt: Attempt): void => {
 	attempt.aborted = true;
 	attempt.timer?.cancel();
--- a/packages/daemon/src/upstream/connection-pool.ts
+++ b/packages/daemon/src/upstream/connection-pool.ts
@@ -1,4 +1,4 @@
-/** The connections of one entry to one executor. */
+/** Pools the connections of one entry to one executor. */
 import * as core from '@gullstand/core';
 import * as connections from './connection.js';
 import type {Connection} from './connection.js';
@@ -9,22 +9,22 @@
 	readonly address: string;
 	readonly cfg: UpstreamConfig;
 	readonly clock: () => number;
-	/** Told when the other end closes a connection that was in good use. */
+	/** Called when the executor closes a connection soon after its last use. */
 	readonly onLost: () => void;
 	readonly open: Set<Connection>;
 	readonly idle: Set<Connection>;
-	/** Connections being made; they count against the limit. */
+	/** Connections being opened; they count against the limit. */
 	opening: number;
 	closed: boolean;
 };
 
-/** Closed sooner after its last use: no idle limit of a sound executor. */
+/** A close earlier than this is not an idle timeout of the executor. */
 const earlyCloseMs = 1000;
 
-/** Why there is no connection. */
+/** Why no connection was acquired. */
 export type AcquireError = 'connect-failed' | 'no-connection';
 
-/** Makes a pool without connections. */
+/** Creates an empty pool. */
 export const createPool = (
 	address: string,
 	cfg: UpstreamConfig,
@@ -41,24 +41,24 @@
 	closed: false,
 });
 
-/** Closes one connection and forgets it. */
+/** Closes a connection and removes it from the pool. */
 export const discard = (pool: ConnectionPool, connection: Connection): void => {
 	pool.open.delete(connection);
 	pool.idle.delete(connection);
 	connections.destroyConnection(connection);
 };
 
-/** What a new connection is for: the last free place is kept for probes. */
+/** Purpose of a new connection; one connection is reserved for probes. */
 type Purpose = 'request' | 'probe';
 
 const isFull = (pool: ConnectionPool, purpose: Purpose): boolean => {
 	const limit = pool.cfg.connectionsPerExecutor;
-	const kept = purpose === 'probe' || limit === 1 ? 0 : 1;
-	return pool.open.size + pool.opening >= limit - kept;
+	const reserved = purpose === 'probe' || limit === 1 ? 0 : 1;
+	return pool.open.size + pool.opening >= limit - reserved;
 };
 
-/** Makes room by closing the idle connection that was proved longest ago. */
-const makeRoom = (pool: ConnectionPool, purpose: Purpose): boolean => {
+/** Closes the least recently used idle connection if the pool is full. */
+const ensureCapacity = (pool: ConnectionPool, purpose: Purpose): boolean => {
 	if (!isFull(pool, purpose)) {
 		return true;
 	}
@@ -77,19 +77,19 @@
 	return !isFull(pool, purpose);
 };
 
-/** True if the other end closed it although it had just been of use. */
+/** True if the executor closed a connection soon after its last use. */
 const isLost = (
 	pool: ConnectionPool,
 	{retired, provedAt}: Connection,
 ): boolean =>
 	!retired && !pool.closed && pool.clock() - provedAt < earlyCloseMs;
 
-/** Opens a connection that is in use from the start. */
+/** Opens a connection that is not idle. */
 export const openNew = async (
 	pool: ConnectionPool,
 	purpose: Purpose,
 ): Promise<Connection | AcquireError> => {
-	if (pool.closed || !makeRoom(pool, purpose)) {
+	if (pool.closed || !ensureCapacity(pool, purpose)) {
 		return 'no-connection';
 	}
 
@@ -137,14 +137,14 @@
 	}
 };
 
-/** Takes an idle connection that may carry the request, or opens one. */
+/** Takes an idle connection that fits the request, or opens one. */
 export const acquire = async (
 	pool: ConnectionPool,
 	needs: core.connectionReuse.ReuseNeeds,
 ): Promise<Connection | AcquireError> =>
 	takeIdle(pool, needs) ?? openNew(pool, 'request');
 
-/** Puts a connection back whose answer was whole, or closes it. */
+/** Returns a connection after a complete answer; closes an unusable one. */
 export const release = (pool: ConnectionPool, connection: Connection): void => {
 	if (pool.closed || !connections.isUsable(connection)) {
 		discard(pool, connection);
@@ -154,7 +154,7 @@
 	pool.idle.add(connection);
 };
 
-/** Retires every connection opened before a time; counts them. */
+/** Retires all connections opened before a time; returns their number. */
 export const retireOlder = (pool: ConnectionPool, before: number): number => {
 	let retired = 0;
 	for (const each of pool.open) {
@@ -163,7 +163,7 @@
 		}
 
 		retired += 1;
-		// One in use may still bring its answer.
+		// A connection in use may still receive its answer.
 		each.retired = true;
 		if (pool.idle.has(each)) {
 			discard(pool, each);
@@ -173,7 +173,7 @@
 	return retired;
 };
 
-/** Closes idle connections that are past their bounds. */
+/** Closes idle connections that are past the limits of `cfg.reuse`. */
 export const sweep = (pool: ConnectionPool): void => {
 	const now = pool.clock();
 	for (const each of pool.idle) {
@@ -183,7 +183,7 @@
 	}
 };
 
-/** Takes no more requests; what is in flight finishes. */
+/** Closes idle connections and refuses new ones; requests in flight finish. */
 export const closePool = (pool: ConnectionPool): void => {
 	pool.closed = true;
 	for (const each of pool.idle) {
--- a/packages/daemon/src/upstream/connection.ts
+++ b/packages/daemon/src/upstream/connection.ts
@@ -1,23 +1,22 @@
 /**
- * One TCP connection to an executor and the undici client upon it. The
- * client never connects again by itself: when the connection is gone, so is
- * the client, and every byte handed to the socket is counted.
+ * One TCP connection to an executor with its undici client. The client never
+ * reconnects, so the socket's byte counter covers all requests of the client.
  */
 import * as net from 'node:net';
 import {Client} from 'undici';
 import {startPauseTolerantTimer} from './pause-tolerant-timer.js';
 import type {UpstreamConfig} from './types.js';
 
-/** An open connection. Times by the clock of the upstream. */
+/** An open connection; times are read from the clock of the upstream. */
 export type Connection = {
 	readonly socket: net.Socket;
 	readonly client: Client;
 	readonly openedAt: number;
-	/** When it was made or last received bytes. */
+	/** When it was established or last received bytes. */
 	provedAt: number;
-	/** Carries no further request. */
+	/** True if no further request may be sent on it. */
 	retired: boolean;
-	/** True once the other end has closed, or an error came. */
+	/** True once the executor has closed it or an error occurred. */
 	ended: boolean;
 };
 
@@ -26,7 +25,7 @@
 	socket: net.Socket,
 	cfg: UpstreamConfig,
 ): Client => {
-	let taken = false;
+	let isSocketTaken = false;
 	return new Client(`http://${address}`, {
 		pipelining: 1,
 		headersTimeout: 0,
@@ -35,12 +34,12 @@
 		keepAliveMaxTimeout: cfg.reuse.maxIdleMs,
 		maxHeaderSize: cfg.maxHeaderBytes,
 		connect(_options, callback) {
-			const gone = taken;
-			taken = true;
-			// The client expects its answer in a later step.
+			const wasTaken = isSocketTaken;
+			isSocketTaken = true;
+			// The client expects the callback to be called asynchronously.
 			queueMicrotask(() => {
-				if (gone) {
-					callback(new Error('the connection is gone'), null);
+				if (wasTaken) {
+					callback(new Error('the connection has been closed'), null);
 				} else {
 					callback(null, socket);
 				}
@@ -57,7 +56,10 @@
 	};
 };
 
-/** Opens a connection to `address` (IP number and port), or fails in time. */
+/**
+ * Opens a connection to `address` (IP number and port); undefined if that
+ * fails or takes longer than `connectTimeoutMs`.
+ */
 export const openConnection = async (
 	address: string,
 	cfg: UpstreamConfig,
@@ -82,8 +84,8 @@
 			resolve(undefined);
 		};
 
-		// Before the client's own listeners: an answer that ends only because
-		// the connection did must be told from a whole one.
+		// Added before the client's listeners, so that an answer ended only by
+		// the end of the connection is not mistaken for a complete one.
 		socket.on('end', end);
 		socket.on('error', end);
 		socket.on('close', end);
@@ -95,13 +97,13 @@
 	});
 
 /**
- * True if the connection can carry a request. Bytes that wait unread before
- * any request was sent are no answer to it.
+ * True if a request can be sent on the connection. Bytes received before the
+ * request are no answer to it, so they make the connection unusable.
  */
 export const isUsable = ({socket, ended, retired}: Connection): boolean =>
 	!ended && !retired && !socket.destroyed && socket.readableLength === 0;
 
-/** Destroys a connection; whatever comes on it later is never seen. */
+/** Destroys a connection; bytes that arrive later are ignored. */
 export const destroyConnection = (connection: Connection): void => {
 	connection.retired = true;
 	connection.socket.destroy();
--- a/packages/daemon/src/upstream/dispatcher.ts
+++ b/packages/daemon/src/upstream/dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Carries one admitted request to its answer: attempts one after another,
- * a hedge beside a silent one, all within the deadline and the budget.
+ * Dispatches one admitted request: retries failed attempts and hedges
+ * unresponsive ones, within the deadline and the retry budget.
  */
 import {Readable} from 'node:stream';
 import * as core from '@gullstand/core';
@@ -18,7 +18,7 @@
 	{kind: 'error'}
 >;
 
-/** A request on its way. */
+/** State of a request that has been dispatched and not yet answered. */
 export type ActiveRequest = {
 	readonly state: UpstreamState;
 	readonly req: UpstreamRequest;
@@ -27,88 +27,91 @@
 	readonly failures: AttemptError[];
 	readonly history: targets.AttemptHistory;
 	attempts: number;
-	/** Ended attempts of which no byte went out. */
+	/** Ended attempts that sent no byte. */
 	unsentAttempts: number;
-	/** When the first attempt that went silent began. */
+	/** Start of the first attempt that became unresponsive. */
 	unresponsiveSince: number | undefined;
 	isCompleted: boolean;
 	timer: NodeJS.Timeout | undefined;
 	stopListening: (() => void) | undefined;
 };
 
-const settle = (run: ActiveRequest, result: AttemptResult): void => {
-	run.isCompleted = true;
-	clearTimeout(run.timer);
-	run.stopListening?.();
-	for (const each of run.activeAttempts) {
+const complete = (active: ActiveRequest, result: AttemptResult): void => {
+	active.isCompleted = true;
+	clearTimeout(active.timer);
+	active.stopListening?.();
+	for (const each of active.activeAttempts) {
 		attempts.abortAttempt(each);
 	}
 
-	run.activeAttempts.clear();
-	run.resolve(result);
+	active.activeAttempts.clear();
+	active.resolve(result);
 };
 
-const settleWithError = (run: ActiveRequest): void => {
-	const {error, outcome} = core.attemptOutcome.combineErrors(run.failures);
-	settle(run, {kind: 'error', error, outcome, attempts: run.attempts});
+const completeWithError = (active: ActiveRequest): void => {
+	const {error, outcome} = core.attemptOutcome.combineErrors(active.failures);
+	complete(active, {kind: 'error', error, outcome, attempts: active.attempts});
 };
 
-const getFacts = (run: ActiveRequest, target: targets.Target | undefined) => ({
-	idempotent: run.req.repeatable,
-	bodyReplayable: !(run.req.body instanceof Readable),
+const getRetryFacts = (
+	active: ActiveRequest,
+	target: targets.Target | undefined,
+) => ({
+	idempotent: active.req.repeatable,
+	bodyReplayable: !(active.req.body instanceof Readable),
 	attempts:
-		run.attempts -
-		Math.min(run.unsentAttempts, run.state.cfg.maxUnsentAttempts),
-	maxAttempts: run.state.cfg.maxAttempts,
-	deadline: run.req.deadline,
-	expectedMs: run.state.serviceTime.meanMs,
+		active.attempts -
+		Math.min(active.unsentAttempts, active.state.cfg.maxUnsentAttempts),
+	maxAttempts: active.state.cfg.maxAttempts,
+	deadline: active.req.deadline,
+	expectedMs: active.state.serviceTime.meanMs,
 	hasAlternative: target !== undefined,
 });
 
-const launch = (run: ActiveRequest, target: targets.Target): void => {
-	const {state, req} = run;
-	run.attempts += 1;
+const launch = (active: ActiveRequest, target: targets.Target): void => {
+	const {state, req} = active;
+	active.attempts += 1;
 	state.stats.attempts += 1;
-	run.history.tried.add(target.link.id);
-	const {unresponsiveSince: provedSince} = run;
+	active.history.tried.add(target.link.id);
+	const {unresponsiveSince: provedSince} = active;
 	const to = {...target, provedSince};
 	const attempt = attempts.startAttempt(state, req, to, {
 		onEnd(ended, end) {
-			handleEnd(run, ended, end);
+			handleEnd(active, ended, end);
 		},
-		onUnresponsive(silent) {
-			handleSilence(run, silent);
+		onUnresponsive(unresponsive) {
+			handleUnresponsive(active, unresponsive);
 		},
 	});
-	run.activeAttempts.add(attempt);
+	active.activeAttempts.add(attempt);
 };
 
-/** Takes a target and asks the decision; gives the slot back on a no. */
-const tryAgain = (
-	run: ActiveRequest,
+/** Starts another attempt if the decision allows it; true if started. */
+const startIfAllowed = (
+	active: ActiveRequest,
 	decide: (facts: core.retry.RetryFacts) => core.retry.RetryDecision,
 ): boolean => {
-	const target = targets.acquireTarget(run.state, run.history);
-	const decision = decide(getFacts(run, target));
+	const target = targets.acquireTarget(active.state, active.history);
+	const decision = decide(getRetryFacts(active, target));
 	if (decision.kind === 'retry' && target !== undefined) {
-		launch(run, target);
+		launch(active, target);
 		return true;
 	}
 
 	target?.slot.release(false);
 	if (decision.kind === 'give-up' && decision.reason === 'budget') {
-		run.state.stats.budgetDenied += 1;
+		active.state.stats.budgetDenied += 1;
 	}
 
 	return false;
 };
 
-const takeAnswer = (
-	run: ActiveRequest,
+const applyAnswer = (
+	active: ActiveRequest,
 	attempt: Attempt,
 	answer: Answer,
 ): void => {
-	const {state} = run;
+	const {state} = active;
 	const {link} = attempt;
 	core.connectionSilence.recordServiceTime(
 		state.serviceTime,
@@ -119,27 +122,27 @@
 		link.unresponsiveAttempts = Math.max(0, link.unresponsiveAttempts - 1);
 	}
 
-	settle(run, {
+	complete(active, {
 		kind: 'answer',
 		outcome: 'ran',
 		...answer,
 		executor: link.id,
-		attempts: run.attempts,
+		attempts: active.attempts,
 	});
 };
 
 const handleEnd = (
-	run: ActiveRequest,
+	active: ActiveRequest,
 	attempt: Attempt,
 	{end, answer}: ExchangeEnd,
 ): void => {
-	run.activeAttempts.delete(attempt);
-	const {state} = run;
+	active.activeAttempts.delete(attempt);
+	const {state} = active;
 	const {refusal} = state.service;
 	const found = core.attemptOutcome.decideOutcome(end, refusal);
 	healthRecord.recordHealth(state, attempt, end, found.kind === 'answer');
 	if (found.kind === 'answer' && answer !== undefined) {
-		takeAnswer(run, attempt, answer);
+		applyAnswer(active, attempt, answer);
 		return;
 	}
 
@@ -148,49 +151,53 @@
 	}
 
 	if (found.kind === 'error') {
-		run.failures.push(found);
-		run.unsentAttempts += attempts.getBytesSent(attempt) === 0 ? 1 : 0;
+		active.failures.push(found);
+		active.unsentAttempts += attempts.getBytesSent(attempt) === 0 ? 1 : 0;
 	}
 
-	run.history.failedZones.add(attempt.link.availabilityZone);
-	const waiting = [...run.activeAttempts].some((each) => !each.isUnresponsive);
-	if (waiting) {
+	active.history.failedZones.add(attempt.link.availabilityZone);
+	const hasResponsiveAttempt = [...active.activeAttempts].some(
+		(each) => !each.isUnresponsive,
+	);
+	if (hasResponsiveAttempt) {
 		return;
 	}
 
-	const again = tryAgain(run, (facts) => {
-		const failed = found.kind === 'error' ? found : run.failures.at(-1);
+	const retried = startIfAllowed(active, (facts) => {
+		const failed = found.kind === 'error' ? found : active.failures.at(-1);
 		return failed === undefined
 			? {kind: 'give-up', reason: 'hopeless'}
 			: core.retry.decideRetry(failed, facts, state.budget, state.clock());
 	});
-	if (again) {
+	if (retried) {
 		state.stats.retries += 1;
-	} else if (run.activeAttempts.size === 0) {
-		settleWithError(run);
+	} else if (active.activeAttempts.size === 0) {
+		completeWithError(active);
 	}
 };
 
-const handleSilence = (run: ActiveRequest, attempt: Attempt): void => {
-	const {state} = run;
+const handleUnresponsive = (active: ActiveRequest, attempt: Attempt): void => {
+	const {state} = active;
 	const {link, startedAt} = attempt;
 	const now = state.clock();
 	if (!attempt.isUnresponsive) {
 		attempt.isUnresponsive = true;
-		run.unresponsiveSince ??= startedAt;
+		active.unresponsiveSince ??= startedAt;
 		link.unresponsiveAttempts += 1;
 		const event = {kind: 'slow', elapsedMs: now - startedAt} as const;
 		core.health.recordEvent(state.health, link.id, event, now);
 	}
 
 	probes.suspectConnections(state, link);
-	const waiting = [...run.activeAttempts].some((each) => !each.isUnresponsive);
-	if (waiting) {
+	const hasResponsiveAttempt = [...active.activeAttempts].some(
+		(each) => !each.isUnresponsive,
+	);
+	if (hasResponsiveAttempt) {
 		return;
 	}
 
-	run.history.failedZones.add(link.availabilityZone);
-	const hedged = tryAgain(run, (facts) =>
+	active.history.failedZones.add(link.availabilityZone);
+	const hedged = startIfAllowed(active, (facts) =>
 		core.retry.decideHedge(facts, state.budget, now),
 	);
 	if (hedged) {
@@ -198,30 +205,30 @@
 	}
 };
 
-/** Ends a request from outside: its deadline has passed or its caller left. */
-const stop = (run: ActiveRequest, kind: 'deadline' | 'cancelled'): void => {
-	const {state} = run;
+/** Ends a request whose deadline has passed or whose caller has disconnected. */
+const stop = (active: ActiveRequest, kind: 'deadline' | 'cancelled'): void => {
+	const {state} = active;
 	const {refusal} = state.service;
-	for (const each of run.activeAttempts) {
+	for (const each of active.activeAttempts) {
 		const end = {kind, bytesSent: attempts.getBytesSent(each)} as const;
 		const found = core.attemptOutcome.decideOutcome(end, refusal);
 		healthRecord.recordHealth(state, each, end, false);
 		if (found.kind === 'error') {
-			run.failures.push(found);
+			active.failures.push(found);
 		}
 	}
 
-	settleWithError(run);
+	completeWithError(active);
 };
 
-const watchCaller = (run: ActiveRequest): void => {
-	const {req, state} = run;
+const watchCaller = (active: ActiveRequest): void => {
+	const {req, state} = active;
 	const leftMs = Math.max(0, req.deadline - state.clock());
-	run.timer = setTimeout(() => {
-		stop(run, 'deadline');
+	active.timer = setTimeout(() => {
+		stop(active, 'deadline');
 	}, leftMs);
-	run.stopListening = req.cancellation?.onCancel(() => {
-		stop(run, 'cancelled');
+	active.stopListening = req.cancellation?.onCancel(() => {
+		stop(active, 'cancelled');
 	});
 };
 
@@ -233,7 +240,7 @@
 	return {kind: 'error', error, outcome: 'not-run', attempts: 0};
 };
 
-/** Sends an admitted request; resolves with its answer or its one error. */
+/** Dispatches an admitted request; resolves to its answer or its error. */
 export const dispatch = async (
 	state: UpstreamState,
 	req: UpstreamRequest,
@@ -249,7 +256,7 @@
 			return;
 		}
 
-		const run: ActiveRequest = {
+		const active: ActiveRequest = {
 			state,
 			req,
 			resolve,
@@ -263,7 +270,7 @@
 			timer: undefined,
 			stopListening: undefined,
 		};
-		const target = targets.acquireTarget(run.state, run.history);
+		const target = targets.acquireTarget(active.state, active.history);
 		if (target === undefined) {
 			resolve(refuse(state, 'overloaded'));
 			return;
@@ -271,6 +278,6 @@
 
 		state.stats.requests += 1;
 		core.retryBudget.recordRequest(state.budget);
-		watchCaller(run);
-		launch(run, target);
+		watchCaller(active);
+		launch(active, target);
 	});
--- a/packages/daemon/src/upstream/exchange.test.ts
+++ b/packages/daemon/src/upstream/exchange.test.ts
@@ -17,7 +17,7 @@
 	refusal: {statuses: []},
 };
 
-/** Starts a path to one raw server. */
+/** Starts an upstream with one raw TCP server as its executor. */
 const start = async (
 	t: Cleanup,
 	onSocket: (socket: net.Socket) => void,
@@ -45,7 +45,7 @@
 	return path;
 };
 
-/** The body of the answer, or the error and its outcome. */
+/** Returns the body of the answer, or the error and its outcome. */
 const send = async (path: upstream.Upstream): Promise<string> => {
 	const result = await path.dispatch({
 		method: 'GET',
@@ -62,7 +62,7 @@
 
 const head = 'HTTP/1.1 200 OK\r\n';
 const lost = 'upstream-reset, unknown';
-const wireCases: ReadonlyArray<[string, string, string]> = [
+const rawAnswerCases: ReadonlyArray<[string, string, string]> = [
 	['whole', `${head}Content-Length: 2\r\n\r\nok`, 'ok'],
 	[
 		'whole chunks',
@@ -121,16 +121,16 @@
 	],
 ];
 
-for (const [name, wire, wanted] of wireCases) {
-	tap.t.test(`on the wire: ${name}: ${wanted}`, async (t) => {
+for (const [name, rawAnswer, wanted] of rawAnswerCases) {
+	tap.t.test(`on the rawAnswer: ${name}: ${wanted}`, async (t) => {
 		const path = await start(t, (socket) => {
-			socket.once('data', () => socket.end(wire));
+			socket.once('data', () => socket.end(rawAnswer));
 		});
 		t.equal(await send(path), wanted);
 	});
 }
 
-tap.t.test('bytes after an answer are never the next one', async (t) => {
+tap.t.test('bytes after an answer are not the next answer', async (t) => {
 	let requests = 0;
 	const path = await start(t, (socket) => {
 		socket.on('data', () => {
--- a/packages/daemon/src/upstream/exchange.ts
+++ b/packages/daemon/src/upstream/exchange.ts
@@ -1,7 +1,8 @@
 /**
- * One request and its answer on one connection. An answer counts as whole
- * only if its length or its last chunk was seen; up to a bound it is held
- * back until then, above the bound it streams and a cut becomes an error.
+ * Sends one request on one connection and reads its answer. An answer is
+ * complete only if its full length or its last chunk was received. Answers up
+ * to `maxBufferedBytes` are buffered until complete; larger ones are streamed,
+ * and the stream fails if the answer is truncated.
  */
 import {Buffer} from 'node:buffer';
 import {Readable} from 'node:stream';
@@ -11,32 +12,32 @@
 import type {Connection} from './connection.js';
 import type {Headers, UpstreamConfig, UpstreamRequest} from './types.js';
 
-/** An answer, whole or as a stream. */
+/** An answer with a buffered or a streamed body. */
 export type Answer = {
 	readonly status: number;
 	readonly headers: Headers;
 	readonly body: Uint8Array | Readable;
 };
 
-/** How the exchange ended, or that its answer streams from now on. */
+/** How the exchange ended; also reported when an answer starts to stream. */
 export type ExchangeEnd = {
 	readonly end: core.attemptOutcome.AttemptEnd;
 	readonly answer?: Answer;
 };
 
-/** What the owner of the exchange is told. */
+/** Callbacks of an exchange to its owner. */
 export type ExchangeEvents = {
-	/** Once, unless aborted before. */
+	/** Called once, unless the exchange was aborted. */
 	readonly onEnd: (end: ExchangeEnd) => void;
-	/** Once, when the connection is free again or broken for good. */
+	/** Called once, when the connection is reusable (`whole`) or unusable. */
 	readonly onFree: (whole: boolean) => void;
 };
 
 /** A running exchange. */
 export type Exchange = {
-	/** Bytes of the request handed to the socket so far. */
+	/** Bytes of the request that have been written to the socket. */
 	readonly getBytesSent: () => number;
-	/** Ends it without `onEnd`; the connection is broken for good. */
+	/** Ends the exchange without `onEnd`; the connection becomes unusable. */
 	readonly abort: () => void;
 };
 
@@ -50,7 +51,7 @@
 	status: number;
 	headers: Headers;
 	chunks: Buffer[];
-	held: number;
+	bufferedBytes: number;
 	stream?: Readable;
 	ended: boolean;
 	freed: boolean;
@@ -66,7 +67,7 @@
 	}
 };
 
-const free = (state: State, whole: boolean): void => {
+const releaseConnection = (state: State, whole: boolean): void => {
 	if (!state.freed) {
 		state.freed = true;
 		state.events.onFree(whole);
@@ -89,14 +90,14 @@
 	err instanceof errors.InvalidArgumentError ||
 	err instanceof errors.RequestContentLengthMismatchError;
 
-const breakOff = (state: State, err: Error): void => {
+const fail = (state: State, err: Error): void => {
 	state.stream?.destroy(err);
 	const bytesSent = getBytesSent(state);
 	const invalid = bytesSent === 0 && isInvalidRequest(err);
 	finish(state, {
 		end: invalid ? {kind: 'invalid-request'} : {kind: 'broken', bytesSent},
 	});
-	free(state, false);
+	releaseConnection(state, false);
 };
 
 const abort = (state: State): void => {
@@ -104,7 +105,7 @@
 	const reason = new errors.RequestAbortedError();
 	state.controller?.abort(reason);
 	state.stream?.destroy(reason);
-	free(state, false);
+	releaseConnection(state, false);
 };
 
 const startStream = (state: State): Readable => {
@@ -121,7 +122,7 @@
 			callback(err);
 		},
 	});
-	// Whoever reads the stream sees the error; with no reader it is dropped.
+	// Prevents an unhandled error event when nothing reads the stream.
 	stream.on('error', () => undefined);
 	for (const chunk of state.chunks) {
 		stream.push(chunk);
@@ -131,7 +132,7 @@
 	return stream;
 };
 
-const takeChunk = (state: State, chunk: Buffer): void => {
+const handleChunk = (state: State, chunk: Buffer): void => {
 	state.connection.provedAt = state.clock();
 	if (state.stream !== undefined) {
 		if (!state.stream.push(chunk)) {
@@ -142,31 +143,31 @@
 	}
 
 	state.chunks.push(chunk);
-	state.held += chunk.length;
-	if (state.held > state.cfg.maxBufferedBytes) {
+	state.bufferedBytes += chunk.length;
+	if (state.bufferedBytes > state.cfg.maxBufferedBytes) {
 		state.stream = startStream(state);
 		state.controller?.pause();
 		finish(state, createAnswered(state, state.stream));
 	}
 };
 
-const takeEnd = (state: State): void => {
+const handleEnd = (state: State): void => {
 	if (state.connection.ended) {
-		// Neither length nor last chunk: nothing tells it from a cut answer.
-		breakOff(state, new Error('the answer ended with the connection'));
+		// Without a length or a last chunk, a truncated answer looks the same.
+		fail(state, new Error('the answer ended with the connection'));
 		return;
 	}
 
 	if (state.stream === undefined) {
-		const body = Buffer.concat(state.chunks, state.held);
+		const body = Buffer.concat(state.chunks, state.bufferedBytes);
 		finish(state, createAnswered(state, body));
 	} else {
-		// Before the stream ends, so that its end is not taken for an abort.
-		free(state, true);
+		// Released first, so that destroying the ended stream does not abort.
+		releaseConnection(state, true);
 		state.stream.push(null);
 	}
 
-	free(state, true);
+	releaseConnection(state, true);
 };
 
 const createHandler = (state: State): Dispatcher.DispatchHandler => ({
@@ -178,23 +179,23 @@
 		if (status >= 200) {
 			state.status = status;
 			state.headers = headers;
-			// Announced, so that its end is no sign of a fault.
+			// An announced close is not a fault of the executor.
 			const {connection = ''} = headers;
 			state.connection.retired ||= /\bclose\b/iv.test(String(connection));
 		}
 	},
 	onResponseData(_controller, chunk) {
-		takeChunk(state, chunk);
+		handleChunk(state, chunk);
 	},
 	onResponseEnd() {
-		takeEnd(state);
+		handleEnd(state);
 	},
 	onResponseError(_controller, err) {
-		breakOff(state, err);
+		fail(state, err);
 	},
 });
 
-/** Sends a request on a connection that nothing else is using. */
+/** Sends a request on a connection without another exchange. */
 export const startExchange = (
 	connection: Connection,
 	req: Pick<UpstreamRequest, 'method' | 'path' | 'headers' | 'body'>,
@@ -210,14 +211,14 @@
 		status: 0,
 		headers: {},
 		chunks: [],
-		held: 0,
+		bufferedBytes: 0,
 		ended: false,
 		freed: false,
 	};
 	const {method, path, headers, body} = req;
-	const sent = body instanceof Readable ? body : (body ?? null);
+	const dispatchedBody = body instanceof Readable ? body : (body ?? null);
 	connection.client.dispatch(
-		{method, path, headers, body: sent},
+		{method, path, headers, body: dispatchedBody},
 		createHandler(state),
 	);
 	return {
--- a/packages/daemon/src/upstream/health-record.ts
+++ b/packages/daemon/src/upstream/health-record.ts
@@ -1,10 +1,10 @@
-/** What the end of an attempt says of its executor's health. */
+/** Records the end of an attempt in the health of its executor. */
 import * as core from '@gullstand/core';
 import type {Attempt} from './attempt.js';
 import * as probes from './probe.js';
 import type {UpstreamState} from './state.js';
 
-/** Records how an attempt ended; `isAnswer` is false for refusals. */
+/** Records the end of an attempt; `isAnswer` is false for refusals. */
 export const recordHealth = (
 	state: UpstreamState,
 	{link, startedAt}: Attempt,
@@ -30,7 +30,7 @@
 
 		case 'broken': {
 			record({kind: 'failed'});
-			// A probe tells at once whether the executor itself is gone.
+			// A probe determines whether the executor is still reachable.
 			probes.suspectConnections(state, link);
 			break;
 		}
--- a/packages/daemon/src/upstream/local-slots.ts
+++ b/packages/daemon/src/upstream/local-slots.ts
@@ -1,12 +1,12 @@
 /**
- * Slots on executors as one entry counts them: the least loaded candidate
- * for its weight. Stands in where no limit across entries is wired.
+ * Takes slots on the executor with the least load for its weight, counting
+ * requests of this entry only. Used where no limit across entries is set.
  */
 import type {Slot, TakeSlot} from './types.js';
 
 const tieTolerance = 1e-9;
 
-/** Makes a taker of slots that counts only this entry's own requests. */
+/** Creates a function that takes slots by the requests of this entry. */
 export const createLocalSlots = (
 	slotsPerExecutor: number,
 	random: () => number,
@@ -15,12 +15,12 @@
 
 	const take = (id: string): Slot => {
 		inFlight.set(id, (inFlight.get(id) ?? 0) + 1);
-		let held = true;
+		let isHeld = true;
 		return {
 			executor: id,
 			release() {
-				if (held) {
-					held = false;
+				if (isHeld) {
+					isHeld = false;
 					inFlight.set(id, (inFlight.get(id) ?? 1) - 1);
 				}
 			},
--- a/packages/daemon/src/upstream/pause-tolerant-timer.test.ts
+++ b/packages/daemon/src/upstream/pause-tolerant-timer.test.ts
@@ -4,25 +4,25 @@
 const blockFor = (ms: number) => {
 	const until = performance.now() + ms;
 	while (performance.now() < until) {
-		// Hold the event loop up.
+		// Blocks the event loop.
 	}
 };
 
-tap.t.test('a pause of this process does not use up the time', async (t) => {
+tap.t.test('pauses of the process are not counted', async (t) => {
 	const startedAt = performance.now();
 	const expired = new Promise<void>((resolve) => {
 		startPauseTolerantTimer(200, resolve);
 	});
 	blockFor(400);
 	await expired;
-	// Three of four slices were left when the pause ended.
+	// Three of four slices remained after the pause.
 	t.ok(performance.now() - startedAt >= 400 + 140);
 });
 
-tap.t.test('what came in during a pause is read first', async (t) => {
+tap.t.test('input received in a pause is read before expiry', async (t) => {
 	const order: string[] = [];
 	await new Promise<void>((resolve) => {
-		// Begun in the check phase, so that the timer is due before the next.
+		// Started in the check phase, so that the timer is due before the next.
 		setImmediate(() => {
 			startPauseTolerantTimer(10, () => {
 				order.push('expired');
--- a/packages/daemon/src/upstream/pause-tolerant-timer.ts
+++ b/packages/daemon/src/upstream/pause-tolerant-timer.ts
@@ -1,7 +1,7 @@
 /**
- * A timeout that does not blame others for this process's own pauses. It
- * runs in short slices, and a slice that ends late counts no more than its
- * length; at the end, what has come in meanwhile is read first.
+ * A timeout that excludes pauses of this process. It runs in short slices, a
+ * slice that ends late counts with its nominal length, and pending input is
+ * read before the timeout expires.
  */
 
 /** A running timeout. */
@@ -9,7 +9,7 @@
 
 const sliceMs = 50;
 
-/** Calls `expire` after `delayMs` in which this process could read. */
+/** Calls `expire` after `delayMs`, not counting pauses of the event loop. */
 export const startPauseTolerantTimer = (
 	delayMs: number,
 	expire: () => void,
@@ -30,7 +30,7 @@
 			return;
 		}
 
-		// An immediate runs after the loop has polled for input.
+		// An immediate runs after the event loop has polled for input.
 		immediate = setImmediate(expire);
 	};
 
--- a/packages/daemon/src/upstream/probe.ts
+++ b/packages/daemon/src/upstream/probe.ts
@@ -1,4 +1,4 @@
-/** Probes on new connections, and what follows from them. */
+/** Probes executors on new connections and applies the results. */
 import * as core from '@gullstand/core';
 import * as pools from './connection-pool.js';
 import type {Connection} from './connection.js';
@@ -6,7 +6,7 @@
 import {startPauseTolerantTimer} from './pause-tolerant-timer.js';
 import type {ExecutorLink, UpstreamState} from './state.js';
 
-/** Undefined if there was no connection to spare for it. */
+/** Undefined if no connection was available for the probe. */
 type ProbeResult = 'answered' | 'failed' | undefined;
 
 const probeRequest = {
@@ -16,8 +16,8 @@
 	body: undefined,
 } as const;
 
-/** Any status will do: it proves that bytes go both ways. */
-const ask = async (
+/** Sends the probe request; an answer with any status is a success. */
+const sendProbeRequest = async (
 	state: UpstreamState,
 	{pool}: ExecutorLink,
 	connection: Connection,
@@ -64,10 +64,10 @@
 		return 'answered';
 	}
 
-	return ask(state, link, connection);
+	return sendProbeRequest(state, link, connection);
 };
 
-/** Finds out whether old connections are dead or the executor is. */
+/** Probes whether only old connections are broken or the executor is down. */
 const probeSuspected = async (
 	state: UpstreamState,
 	link: ExecutorLink,
@@ -78,22 +78,22 @@
 		return;
 	}
 
-	const verdict = core.connectionSilence.recordProbe(
+	const decision = core.connectionSilence.recordProbe(
 		link.probeState,
 		result === 'answered',
 		link.unresponsiveAttempts > 0,
 	);
 	link.unresponsiveAttempts = 0;
-	if (verdict.kind === 'retire-older') {
-		const retired = pools.retireOlder(link.pool, verdict.before);
+	if (decision.kind === 'retire-older') {
+		const retired = pools.retireOlder(link.pool, decision.before);
 		state.stats.retiredConnections += retired;
-	} else if (verdict.kind === 'unreachable') {
+	} else if (decision.kind === 'unreachable') {
 		const event = {kind: 'unreachable'} as const;
 		core.health.recordEvent(state.health, link.id, event, state.clock());
 	}
 };
 
-/** Puts the connections of an executor in doubt and probes if one is due. */
+/** Marks the connections of an executor as suspected and probes if due. */
 export const suspectConnections = (
 	state: UpstreamState,
 	link: ExecutorLink,
@@ -111,7 +111,7 @@
 	}
 };
 
-/** An ejected executor whose time is over returns only after an answer. */
+/** Probes an ejected executor, which returns only after an answered probe. */
 const probeEjected = async (
 	state: UpstreamState,
 	link: ExecutorLink,
@@ -130,7 +130,7 @@
 	}
 };
 
-/** Starts every probe that is due; call it every `sweepMs`. */
+/** Starts all due probes; called every `sweepMs`. */
 export const startDueProbes = (state: UpstreamState): void => {
 	const now = state.clock();
 	const {unresponsiveDetection} = state.cfg;
--- a/packages/daemon/src/upstream/state.ts
+++ b/packages/daemon/src/upstream/state.ts
@@ -1,28 +1,28 @@
-/** What the parts of one upstream share. */
+/** Shared state of one upstream. */
 import * as core from '@gullstand/core';
 import * as pools from './connection-pool.js';
 import type {TakeSlot, UpstreamConfig, UpstreamStats} from './types.js';
 
-/** One executor as this entry reaches it. */
+/** Connections and probe state of one executor. */
 export type ExecutorLink = {
 	readonly id: string;
 	readonly availabilityZone: string;
 	readonly pool: pools.ConnectionPool;
 	readonly probeState: core.connectionSilence.SilenceState;
-	/** Attempts that went silent since the last probe and never answered. */
+	/** Attempts unresponsive since the last probe, without an answer. */
 	unresponsiveAttempts: number;
 };
 
-/** State of the path to one service. */
+/** State of the upstream of one service. */
 export type UpstreamState = {
 	readonly service: core.Service;
 	readonly cfg: UpstreamConfig;
 	readonly clock: () => number;
 	readonly takeSlot: TakeSlot;
-	/** Told when an executor closes a connection that was in good use. */
+	/** Called when an executor closes a connection soon after its last use. */
 	readonly onLost: (link: ExecutorLink) => void;
 	readonly links: Map<string, ExecutorLink>;
-	/** Attempts in flight by executor, also on those off the list. */
+	/** Attempts in flight by executor, including removed executors. */
 	readonly inFlight: Map<string, number>;
 	readonly health: core.health.PoolHealth;
 	readonly budget: core.retryBudget.RetryBudget;
@@ -30,7 +30,7 @@
 	readonly stats: UpstreamStats;
 };
 
-/** Counts attempts that start or end on an executor. */
+/** Changes the number of attempts in flight on an executor. */
 export const addInFlight = (
 	{inFlight}: UpstreamState,
 	id: string,
@@ -44,7 +44,7 @@
 	}
 };
 
-/** An executor that may take requests. */
+/** Identity and address of an executor that may receive requests. */
 export type ExecutorTarget = Pick<
 	core.Instance,
 	'id' | 'address' | 'availabilityZone'
@@ -67,8 +67,8 @@
 };
 
 /**
- * Takes over the list of serving executors. One that has left the list, or
- * has moved to another address, gets no new work; in-flight work finishes.
+ * Applies the list of serving executors. An executor that was removed or has
+ * a new address gets no new requests there; requests in flight finish.
  */
 export const setExecutors = (
 	state: UpstreamState,
--- a/packages/daemon/src/upstream/types.ts
+++ b/packages/daemon/src/upstream/types.ts
@@ -1,9 +1,9 @@
-/** Types of the path from an entry to the executors of one service. */
+/** Types of the upstream of one service. */
 import type {Readable} from 'node:stream';
 import * as core from '@gullstand/core';
 import type {Cancellation} from '../caller/cancellation.js';
 
-/** Header of a message; names in lower case. */
+/** Header fields of a message by lower-case name. */
 export type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
 /** One request that has been admitted. */
@@ -12,17 +12,17 @@
 	/** Path and query. */
 	readonly path: string;
 	readonly headers: Headers;
-	/** Bytes may be sent again; a stream goes out once. */
+	/** A `Uint8Array` can be sent again, a stream only once. */
 	readonly body: Uint8Array | Readable | undefined;
-	/** True if it may run twice. */
+	/** True if the request may run more than once. */
 	readonly repeatable: boolean;
-	/** When the caller stops waiting, by the clock of the upstream. */
+	/** When the caller stops waiting, in ms of the upstream's clock. */
 	readonly deadline: number;
-	/** Happens when the caller goes away. */
+	/** Fires when the caller disconnects. */
 	readonly cancellation?: Cancellation;
 };
 
-/** What became of a request. */
+/** Result of a request after all its attempts. */
 export type AttemptResult =
 	| {
 			readonly kind: 'answer';
@@ -30,8 +30,8 @@
 			readonly status: number;
 			readonly headers: Headers;
 			/**
-			 * Whole bytes, checked; or a stream when larger than the bound. A
-			 * stream that is cut ends with an error: reset the caller then.
+			 * Complete bytes, or a stream if larger than `maxBufferedBytes`. A
+			 * truncated stream ends with an error; reset the caller then.
 			 */
 			readonly body: Uint8Array | Readable;
 			readonly executor: string;
@@ -44,31 +44,31 @@
 			readonly attempts: number;
 	  };
 
-/** Settings of the path; times in milliseconds. */
+/** Settings of an upstream; times in milliseconds. */
 export type UpstreamConfig = {
 	readonly health: core.healthConfig.HealthConfig;
 	readonly retryBudget: core.retryBudget.RetryBudgetConfig;
 	readonly reuse: core.connectionReuse.ReuseConfig;
 	readonly unresponsiveDetection: core.connectionSilence.SilenceConfig;
-	/** Attempts of one request that sent bytes, hedges included. */
+	/** Most attempts of one request that sent bytes, including hedges. */
 	readonly maxAttempts: number;
-	/** Attempts of one request beyond those, of which no byte went out. */
+	/** Most further attempts of one request that sent no byte. */
 	readonly maxUnsentAttempts: number;
 	readonly connectTimeoutMs: number;
-	/** Open connections of this entry to one executor, at most. */
+	/** Most open connections of this entry to one executor. */
 	readonly connectionsPerExecutor: number;
-	/** An answer up to this size is checked whole before it is passed on. */
+	/** Answers up to this size are buffered until complete. */
 	readonly maxBufferedBytes: number;
 	readonly maxHeaderBytes: number;
-	/** Time without a byte after which a streamed answer is cut. */
+	/** Time without a byte after which a streamed answer is aborted. */
 	readonly streamIdleMs: number;
 	/** `connect` sends nothing; `options` sends `OPTIONS /`. */
 	readonly probe: 'connect' | 'options';
-	/** Time between two rounds of probes and of closing idle connections. */
+	/** Interval of probes and of closing idle connections. */
 	readonly sweepMs: number;
 };
 
-/** Settings that the bench `faults` was measured with. */
+/** Default settings of an upstream. */
 export const defaultUpstreamConfig: UpstreamConfig = {
 	health: core.healthConfig.defaultHealthConfig,
 	retryBudget: core.retryBudget.defaultRetryBudgetConfig,
@@ -88,25 +88,25 @@
 /** A slot on an executor, held by one attempt. */
 export type Slot = {
 	readonly executor: string;
-	/** `mayStillRun`: the attempt was given up, the executor may not know. */
+	/** `mayStillRun`: the executor may still run the aborted attempt. */
 	readonly release: (mayStillRun: boolean) => void;
 };
 
 /**
- * Chooses one of the candidates and takes a slot on it; undefined if all
- * are full. Candidates are in order of no preference but their weight.
+ * Takes a slot on one of the candidates by weight; undefined if none has a
+ * free slot. The order of the candidates has no meaning.
  */
 export type TakeSlot = (
 	candidates: readonly core.executorWeights.WeightedExecutor[],
 ) => Slot | undefined;
 
-/** What has been counted since the start. */
+/** Counters since the start. */
 export type UpstreamStats = {
-	/** Requests of which at least one attempt was launched. */
+	/** Requests with at least one attempt. */
 	requests: number;
 	/** Requests refused before any attempt. */
 	refused: number;
-	/** Attempts launched, whether or not a connection could be made. */
+	/** Started attempts, including those without a connection. */
 	attempts: number;
 	retries: number;
 	hedges: number;
--- a/packages/daemon/src/upstream/upstream-dispatch.test.ts
+++ b/packages/daemon/src/upstream/upstream-dispatch.test.ts
@@ -114,7 +114,7 @@
 	return {executors, dispatch, setView};
 };
 
-tap.t.test('a large answer that is cut ends the caller in error', async (t) => {
+tap.t.test('a truncated large answer is reset for the caller', async (t) => {
 	const {executors, dispatch} = await start(t, 1);
 	const server = createServer((req, res) => {
 		const listener = getRequestListener(async () => {
@@ -141,7 +141,7 @@
 	}
 });
 
-tap.t.test('an executor off the list is counted to its end', async (t) => {
+tap.t.test('requests on a removed executor stay counted', async (t) => {
 	const {executors, dispatch, setView} = await start(t, 1, 300);
 	const first = dispatch.handle(createCall('a', 10));
 	while (executors[0]?.runs.length === 0) {
@@ -155,7 +155,7 @@
 	t.equal(dispatch.getInFlight('e0'), 0);
 });
 
-tap.t.test('a changed service is served by its new terms', async (t) => {
+tap.t.test('a changed service gets a new upstream', async (t) => {
 	const {executors, dispatch, setView} = await start(t, 1, 300);
 	const first = dispatch.handle(createCall('a', 10));
 	while (executors[0]?.runs.length === 0) {
@@ -164,7 +164,7 @@
 
 	setView(createView(2, executors, {slotsPerExecutor: 4}));
 	const second = dispatch.handle(createCall('b', 10));
-	t.equal(dispatch.getInFlight('e0'), 2, 'old and new path together');
+	t.equal(dispatch.getInFlight('e0'), 2, 'old and new upstream together');
 	t.match(await Promise.all([first, second]), [
 		{kind: 'answer'},
 		{kind: 'answer'},
--- a/packages/daemon/src/upstream/upstream-dispatch.ts
+++ b/packages/daemon/src/upstream/upstream-dispatch.ts
@@ -1,4 +1,4 @@
-/** Handles callers' calls by one upstream a service, kept up with the view. */
+/** Dispatches callers' calls to one upstream per service of the view. */
 import {Readable} from 'node:stream';
 import type * as core from '@gullstand/core';
 import {
@@ -12,28 +12,28 @@
 import type {AttemptResult, TakeSlot, UpstreamConfig} from './types.js';
 import * as upstreams from './upstream.js';
 
-/** What the handler needs. */
+/** Dependencies of the dispatch. */
 export type UpstreamDispatchDeps = {
 	readonly getView: () => core.View;
 	readonly now: () => number;
 	/** Draws a number in [0, 1). */
 	readonly random: () => number;
 	readonly cfg: Omit<UpstreamConfig, 'connectionsPerExecutor'>;
-	/** Entries that share the connections of an executor. */
+	/** Number of entries that share the connections of an executor. */
 	readonly entries: number;
-	/** Slots of a service across entries, where a limit is wired. */
+	/** Takes slots of a service by limits that entries share, if configured. */
 	readonly getTakeSlot?: (service: core.Service) => TakeSlot;
-	/** Wraps each taker of slots, such as to count and gate the picks. */
+	/** Wraps each function that takes slots, for example to count them. */
 	readonly wrapTakeSlot?: (takeSlot: TakeSlot) => TakeSlot;
 };
 
-/** The handler and what it holds open. */
+/** The call handler and the upstreams that it owns. */
 export type UpstreamDispatch = {
 	readonly handle: CallHandler;
 	/** Requests in flight from this entry to one instance. */
 	readonly getInFlight: (instance: string) => number;
 	readonly close: () => Promise<void>;
-	/** Puts a view in force: every later pick is made by it. */
+	/** Applies a view; later calls use its services and executors. */
 	readonly applyView: (view: core.View) => void;
 	/** Health of the executors of each service. */
 	readonly listExecutors: () => ReadonlyMap<
@@ -42,14 +42,15 @@
 	>;
 };
 
-type ServicePath = {
-	readonly form: string;
-	readonly path: upstreams.Upstream;
+type ServiceUpstream = {
+	/** JSON of the service, to detect changes. */
+	readonly serviceJson: string;
+	readonly upstream: upstreams.Upstream;
 };
 
 const closeDeadlineMs = 10_000;
 
-/** One for requests, one kept for probes. */
+/** One connection for requests and one reserved for probes. */
 const minConnections = 2;
 
 const toResult = (result: AttemptResult): CallResult => {
@@ -75,12 +76,12 @@
 export const createUpstreamDispatch = (
 	deps: UpstreamDispatchDeps,
 ): UpstreamDispatch => {
-	const paths = new Map<string, ServicePath>();
-	/** Paths of services that were changed or removed; they finish their work. */
+	const upstreamsByName = new Map<string, ServiceUpstream>();
+	/** Upstreams of changed or removed services, until their calls end. */
 	const closing = new Set<upstreams.Upstream>();
 	let revision = -1;
 
-	const createPath = (service: core.Service): upstreams.Upstream => {
+	const createUpstream = (service: core.Service): upstreams.Upstream => {
 		const share = Math.floor(service.connectionsPerExecutor / deps.entries);
 		const connectionsPerExecutor = Math.max(minConnections, share);
 		return upstreams.createUpstream({
@@ -93,50 +94,53 @@
 		});
 	};
 
-	const closePath = async (name: string): Promise<void> => {
-		const known = paths.get(name);
+	const closeUpstream = async (name: string): Promise<void> => {
+		const known = upstreamsByName.get(name);
 		if (known !== undefined) {
-			paths.delete(name);
-			closing.add(known.path);
-			await known.path.close(closeDeadlineMs);
-			closing.delete(known.path);
+			upstreamsByName.delete(name);
+			closing.add(known.upstream);
+			await known.upstream.close(closeDeadlineMs);
+			closing.delete(known.upstream);
 		}
 	};
 
-	const follow = (view: core.View): void => {
+	const applyView = (view: core.View): void => {
 		revision = view.revision;
-		for (const name of paths.keys()) {
-			const form = JSON.stringify(view.services.get(name));
-			if (form !== paths.get(name)?.form) {
-				void closePath(name);
+		for (const name of upstreamsByName.keys()) {
+			const serviceJson = JSON.stringify(view.services.get(name));
+			if (serviceJson !== upstreamsByName.get(name)?.serviceJson) {
+				void closeUpstream(name);
 			}
 		}
 
-		for (const [name, {path}] of paths) {
+		for (const [name, {upstream}] of upstreamsByName) {
 			const pool = view.services.get(name)?.pool ?? '';
-			path.setExecutors(listServing(view, pool));
+			upstream.setExecutors(listServing(view, pool));
 		}
 	};
 
-	const findPath = (view: core.View, service: core.Service) => {
-		const known = paths.get(service.name);
+	const findUpstream = (view: core.View, service: core.Service) => {
+		const known = upstreamsByName.get(service.name);
 		if (known !== undefined) {
-			return known.path;
+			return known.upstream;
 		}
 
-		const path = createPath(service);
-		path.setExecutors(listServing(view, service.pool));
-		paths.set(service.name, {form: JSON.stringify(service), path});
-		return path;
+		const upstream = createUpstream(service);
+		upstream.setExecutors(listServing(view, service.pool));
+		upstreamsByName.set(service.name, {
+			serviceJson: JSON.stringify(service),
+			upstream,
+		});
+		return upstream;
 	};
 
 	const handle = async (call: Call): Promise<CallResult> => {
 		const view = deps.getView();
 		if (view.revision !== revision) {
-			follow(view);
+			applyView(view);
 		}
 
-		const result = await findPath(view, call.service).dispatch({
+		const result = await findUpstream(view, call.service).dispatch({
 			method: call.method,
 			path: call.path,
 			headers: selectRequestHeaders(call.headers),
@@ -148,8 +152,8 @@
 		return toResult(result);
 	};
 
-	const listPaths = () => [
-		...[...paths.values()].map(({path}) => path),
+	const listUpstreams = () => [
+		...[...upstreamsByName.values()].map(({upstream}) => upstream),
 		...closing,
 	];
 
@@ -157,21 +161,28 @@
 		handle,
 		applyView(view) {
 			if (view.revision !== revision) {
-				follow(view);
+				applyView(view);
 			}
 		},
 		getInFlight(instance) {
 			let count = 0;
-			for (const path of listPaths()) {
-				count += path.getInFlight(instance);
+			for (const upstream of listUpstreams()) {
+				count += upstream.getInFlight(instance);
 			}
 
 			return count;
 		},
 		listExecutors: () =>
-			new Map([...paths].map(([name, {path}]) => [name, path.listExecutors()])),
+			new Map(
+				[...upstreamsByName].map(([name, {upstream}]) => [
+					name,
+					upstream.listExecutors(),
+				]),
+			),
 		async close() {
-			await Promise.all([...paths.keys()].map(async (name) => closePath(name)));
+			await Promise.all(
+				[...upstreamsByName.keys()].map(async (name) => closeUpstream(name)),
+			);
 		},
 	};
 };
--- a/packages/daemon/src/upstream/upstream.test.ts
+++ b/packages/daemon/src/upstream/upstream.test.ts
@@ -33,11 +33,11 @@
 		maxMs: 100,
 		probeTimeoutMs: 200,
 	},
-	// Work that may not run twice always gets a new connection.
+	// Non-repeatable requests always get a new connection.
 	reuse: {...defaultUpstreamConfig.reuse, provedForMs: -1},
 };
 
-// A fixed draw: every choice between equals falls on the same one.
+// A constant draw makes the choice among equal executors deterministic.
 const random = () => 0;
 const longMs = 20_000;
 
@@ -98,8 +98,8 @@
 };
 
 /**
- * The executor that the path prefers while all are well. A first request on
- * cold code may be hedged, so three in a row must agree.
+ * Finds the executor that the upstream prefers while all are healthy. The
+ * first requests may be hedged, so three in a row must agree.
  */
 const findPreferred = async (path: upstream.Upstream): Promise<string> => {
 	let preferred = '';
@@ -118,7 +118,7 @@
 	readonly repeatable: boolean;
 	readonly wanted: 'answer' | core.errors.ErrorKind;
 	readonly outcome: core.Outcome;
-	/** Whether the faulty executor ran it. */
+	/** Whether the faulty executor ran the request. */
 	readonly ran: boolean;
 };
 
@@ -147,7 +147,7 @@
 	{fault: hang, repeatable: true, ...answered, ran: false},
 	{fault: hang, repeatable: false, ...late, ran: false},
 	{fault: old, repeatable: true, ...answered, ran: false},
-	// It goes on a new connection, and the executor itself is well.
+	// It uses a new connection, and the executor is healthy.
 	{fault: old, repeatable: false, ...answered, ran: true},
 ];
 
@@ -178,7 +178,7 @@
 	});
 }
 
-tap.t.test('all gone: not-run; back: answered again', async (t) => {
+tap.t.test('not-run without executors, answered on return', async (t) => {
 	const executors = await startExecutors(t, 3);
 	const path = start(t, executors);
 	await Promise.all(executors.map(async (each) => each.setFault(gone)));
@@ -190,7 +190,7 @@
 	t.ok(isOwnAnswer(await send(path, 'y'), 'y'), 'the pool fails open');
 });
 
-tap.t.test('no executor at all', async (t) => {
+tap.t.test('a request without any executor is refused', async (t) => {
 	const path = start(t, []);
 	const result = await send(path, 'x');
 	t.match(result, {error: 'no-executor', outcome: 'not-run', attempts: 0});
@@ -211,7 +211,7 @@
 	t.equal(getStatus(), 'returning');
 });
 
-tap.t.test('a silent connection retires all older ones', async (t) => {
+tap.t.test('an unresponsive connection retires all older ones', async (t) => {
 	const [only] = await startExecutors(t, 1);
 	const path = start(t, only ? [only] : []);
 	const ids = ['a', 'b', 'c', 'd'];
@@ -229,7 +229,7 @@
 	t.equal(path.getStats().attempts, attempts + ids.length, 'no more retries');
 });
 
-tap.t.test('a large answer streams whole', async (t) => {
+tap.t.test('a large answer is streamed completely', async (t) => {
 	const executors = await startExecutors(t, 1);
 	const path = start(t, executors);
 	const bytes = 1_000_000;
@@ -247,7 +247,7 @@
 });
 
 for (const framing of ['length', 'chunked'] as const) {
-	tap.t.test(`a large answer cut, by ${framing}, is an error`, async (t) => {
+	tap.t.test(`a truncated large answer (${framing}) is an error`, async (t) => {
 		const executors = await startExecutors(t, 1);
 		const path = start(t, executors);
 		await executors[0]?.setFault(half(framing));
@@ -262,7 +262,7 @@
 	});
 }
 
-tap.t.test('a streamed request body goes out once', async (t) => {
+tap.t.test('a streamed request body is sent only once', async (t) => {
 	const executors = await startExecutors(t, 2);
 	const path = start(t, executors);
 	for (const each of executors) {
@@ -274,7 +274,7 @@
 	t.match(result, {error: 'upstream-reset', outcome: 'unknown', attempts: 1});
 });
 
-tap.t.test('a cancelled wave leaves no slot held', async (t) => {
+tap.t.test('cancelled requests release their slots', async (t) => {
 	const executors = await startExecutors(t, 1);
 	const path = start(t, executors, {connectionsPerExecutor: 9});
 	await executors[0]?.setFault(hang);
@@ -295,7 +295,7 @@
 	}
 });
 
-tap.t.test('one taken off the list finishes, gets no new work', async (t) => {
+tap.t.test('a removed executor only finishes its requests', async (t) => {
 	const executors = await startExecutors(t, 2);
 	const path = start(t, executors);
 	const inFlight = ['a', 'b'].map(async (id) => send(path, id));
--- a/packages/daemon/src/upstream/upstream.ts
+++ b/packages/daemon/src/upstream/upstream.ts
@@ -1,6 +1,6 @@
 /**
- * The path from this entry to one service: connections, health, retries,
- * hedges, probes. Source: docs/design/upstream-faults.md.
+ * Upstream of one service: connections, health, retries, hedges and probes.
+ * Source: docs/design/upstream-faults.md.
  */
 import * as core from '@gullstand/core';
 import * as pools from './connection-pool.js';
@@ -16,21 +16,21 @@
 	UpstreamStats,
 } from './types.js';
 
-/** What an upstream is made from. */
+/** Options of an upstream. */
 export type UpstreamOptions = {
 	readonly service: core.Service;
 	readonly cfg: UpstreamConfig;
-	/** Present time in milliseconds; deadlines are in the same clock. */
+	/** Present time in milliseconds; deadlines use the same clock. */
 	readonly clock: () => number;
 	/** Draws a number in [0, 1). */
 	readonly random: () => number;
-	/** Takes slots across entries; by default this entry counts its own. */
+	/** Takes slots; by default, only requests of this entry are counted. */
 	readonly takeSlot?: TakeSlot;
-	/** Wraps the taker, such as to count and gate the picks. */
+	/** Wraps `takeSlot`, for example to count slots. */
 	readonly wrapTakeSlot?: (takeSlot: TakeSlot) => TakeSlot;
 };
 
-/** Health of one executor as operators see it. */
+/** Health of one executor as reported to operators. */
 export type ExecutorReport = {
 	readonly id: string;
 	readonly status: core.health.HealthStatus['kind'];
@@ -39,24 +39,24 @@
 	readonly failureRate: number;
 };
 
-/** Executors that serve now. */
+/** Executors that are serving. */
 export type Targets = readonly states.ExecutorTarget[];
 
-/** The path to one service. */
+/** The upstream of one service. */
 export type Upstream = {
 	/** Never rejects: every failure is a result with a kind and an outcome. */
 	readonly dispatch: (req: UpstreamRequest) => Promise<AttemptResult>;
-	/** The executors that serve now; those left out get no new work. */
+	/** Sets the serving executors; removed ones get no new requests. */
 	readonly setExecutors: (targets: Targets) => void;
 	readonly getStats: () => Readonly<UpstreamStats>;
-	/** Attempts in flight on an executor, also when it has left the list. */
+	/** Attempts in flight on an executor, even a removed one. */
 	readonly getInFlight: (executor: string) => number;
 	readonly listExecutors: () => ExecutorReport[];
-	/** Takes no new work; resolves when in-flight work is done or cut. */
+	/** Stops; requests in flight are aborted after `deadlineMs`. */
 	readonly close: (deadlineMs: number) => Promise<void>;
 };
 
-/** One connection is kept for probes, and a request needs one of its own. */
+/** Requests per executor: one connection each, and one reserved for probes. */
 const getLocalLimit = (service: core.Service, cfg: UpstreamConfig): number =>
 	Math.max(
 		1,
@@ -123,20 +123,20 @@
 	return reports;
 };
 
-/** Waits until all are settled, at most so long. */
+/** Waits until all promises are settled, at most `deadlineMs`. */
 const waitFor = async (
 	pending: Iterable<Promise<unknown>>,
 	deadlineMs: number,
 ): Promise<void> => {
 	let timer: NodeJS.Timeout | undefined;
-	const late = new Promise<void>((resolve) => {
+	const timeout = new Promise<void>((resolve) => {
 		timer = setTimeout(resolve, deadlineMs);
 	});
-	await Promise.race([Promise.allSettled(pending), late]);
+	await Promise.race([Promise.allSettled(pending), timeout]);
 	clearTimeout(timer);
 };
 
-/** Makes the path to one service; it knows no executor yet. */
+/** Creates the upstream of one service, without executors. */
 export const createUpstream = (options: UpstreamOptions): Upstream => {
 	const state = createState(options);
 	const pending = new Set<Promise<AttemptResult>>();
