--- a/packages/daemon/src/bin.test.ts
+++ b/packages/daemon/src/bin.test.ts
@@ -1,4 +1,4 @@
-/** `gullstandd` as a process: exit codes, readiness and graceful stop. */
+/** Tests exit codes, readiness and graceful stop of `gullstandd`. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
@@ -93,14 +93,14 @@
 	return {child, port: line.operatorPort ?? 0};
 };
 
-tap.t.test('SIGTERM: not ready first, then exit 0', async (t) => {
+tap.t.test('SIGTERM ends readiness and then exits with 0', async (t) => {
 	const {child, port} = await startServing(t);
 	t.equal(await getStatus(port, '/healthz'), 200);
 	t.equal(await getStatus(port, '/readyz'), 200);
 	const exit = waitForExit(child);
 	child.kill('SIGTERM');
 	while ((await getStatus(port, '/readyz')) === 200) {
-		// The signal is on its way.
+		// Waits until the signal is handled.
 	}
 
 	t.equal(await getStatus(port, '/readyz'), 503);
@@ -112,7 +112,7 @@
 	const exit = waitForExit(child);
 	child.kill('SIGTERM');
 	while ((await getStatus(port, '/readyz')) === 200) {
-		// The signal is on its way.
+		// Waits until the signal is handled.
 	}
 
 	child.kill('SIGTERM');
--- a/packages/daemon/src/bin.ts
+++ b/packages/daemon/src/bin.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `gullstandd`: one entry instance. */
+/** Command line of `gullstandd`, which runs one entry. */
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
 import {Command, InvalidArgumentError, Option} from 'commander';
--- a/packages/daemon/src/daemon.test.ts
+++ b/packages/daemon/src/daemon.test.ts
@@ -117,7 +117,7 @@
 	},
 ];
 
-tap.t.test('answers from the one table', async (t) => {
+tap.t.test('answers by the error table', async (t) => {
 	const daemon = await startDaemon(t);
 	const url = `http://127.0.0.1:${daemon.getCallerPort()}`;
 	for (const row of rows) {
@@ -144,8 +144,8 @@
 		400,
 	],
 	['large header', `${head}x: ${'x'.repeat(20_000)}\r\n\r\n`, 431],
-	['a header that ends nowhere', head, 408],
-	['a body that ends nowhere', `${head}content-length: 5\r\n\r\nab`, 408],
+	['an unfinished header', head, 408],
+	['an unfinished body', `${head}content-length: 5\r\n\r\nab`, 408],
 	['no HTTP', 'SSH-2.0-x\r\n\r\n', 400],
 	['null in a header', `${head}x: \0\r\n\r\n`, 400],
 	['large body', `${head}content-length: 99999999\r\n\r\n`, 413],
@@ -168,7 +168,7 @@
 	await res.body.arrayBuffer();
 });
 
-tap.t.test('bounds the bytes that it holds', async (t) => {
+tap.t.test('limits the buffered bytes of request bodies', async (t) => {
 	const daemon = await startDaemon(t, {maxBufferedBytes: 100});
 	const url = `http://127.0.0.1:${daemon.getCallerPort()}/s/quoting/`;
 	for (const [bytes, status] of [
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-/** One entry: builds its parts in a supervisor tree. */
+/** Builds the parts of one entry as a supervisor tree. */
 import * as core from '@gullstand/core';
 import type {
 	InstanceList,
@@ -39,7 +39,7 @@
 import type {ViewFollower} from './view/view-follower.js';
 import {createWaveRunner} from './waves/wave-runner.js';
 
-/** The platform as an entry sees it. */
+/** Platform services that an entry uses. */
 export type Platform = {
 	readonly table: TableService;
 	readonly objects: ObjectStore;
@@ -47,24 +47,24 @@
 	readonly workers: Workers;
 };
 
-/** What a daemon is built of. */
+/** Dependencies of a daemon. */
 export type DaemonDeps = {
 	readonly settings: Settings;
 	readonly platform: Platform;
 	readonly logger: Logger;
 	/** Monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Runs jobs beside; its interface is the operators'. */
+	/** Runs jobs, with handlers in the operators' API; absent if disabled. */
 	readonly jobs?: JobDaemon;
-	/** Periods and bounds of agreement; tests shorten them. */
+	/** Periods and limits of the agreement between entries. */
 	readonly agreementTimes?: AgreementTimes;
 };
 
-/** One entry. */
+/** A running entry. */
 export type Daemon = {
-	/** Resolves when the entry serves; a later failure is reported. */
+	/** Resolves once the entry serves; reports later failures. */
 	readonly start: (reportFailure: (err: Error) => void) => Promise<void>;
-	/** Graceful stop within the deadline of the settings. */
+	/** Stops gracefully within `stop.deadlineMs` of the settings. */
 	readonly stop: () => Promise<void>;
 	readonly getCallerPort: () => number;
 	readonly getOperatorPort: () => number;
@@ -74,7 +74,7 @@
 
 const wavePollMs = 250;
 
-/** Entries in front of an executor, old and new ones during a replacement. */
+/** Most entries that connect to one executor, also during a replacement. */
 const entriesSharingConnections = 9;
 
 const delay = async (ms: number) =>
@@ -89,7 +89,7 @@
 	maxConnections: 256,
 } as const;
 
-/** An empty store that answers is a view too. */
+/** True if a view is known; the view of an empty store counts. */
 const hasView = (follower: ViewFollower): boolean =>
 	follower.getOrigin() !== 'none' ||
 	follower.getCondition().kind === 'following';
@@ -102,7 +102,7 @@
 	},
 });
 
-/** Builds a daemon; nothing starts yet. */
+/** Creates a daemon without starting it. */
 export const createDaemon = (deps: DaemonDeps): Daemon => {
 	const {settings, platform, logger, now} = deps;
 	const metrics = createMetrics();
@@ -156,7 +156,7 @@
 		getShare: entryShare.getShare,
 		getSlots: getSlotShare,
 	});
-	const keyed = createKeyedCalls({
+	const idempotentCalls = createKeyedCalls({
 		tables: platform.table,
 		objects: platform.objects,
 		entry: settings.entry.id,
@@ -180,7 +180,7 @@
 		createCallerApp({
 			settings: settings.caller,
 			getView,
-			handle: keyed.layer(admission.layer(dispatch.handle)),
+			handle: idempotentCalls.layer(admission.layer(dispatch.handle)),
 			now,
 			logger,
 			metrics,
@@ -234,13 +234,13 @@
 		logger,
 		pollMs: wavePollMs,
 	});
-	const tree = createSupervisor(
+	const supervisor = createSupervisor(
 		'daemon',
 		[
 			...agreement.parts,
 			upstreamPart,
 			entryShare,
-			keyed.part,
+			idempotentCalls.part,
 			keySweeper,
 			...(deps.jobs ? [createJobsPart(deps.jobs)] : []),
 			operatorListener,
@@ -261,13 +261,13 @@
 		const deadline = now() + settings.stop.deadlineMs;
 		logger.info('stopping', {deadlineMs: settings.stop.deadlineMs});
 		await delay(settings.stop.readinessDelayMs);
-		await tree.stop(deadline);
+		await supervisor.stop(deadline);
 		logger.info('stopped');
 	};
 
 	return {
 		async start(reportFailure) {
-			await tree.start(reportFailure);
+			await supervisor.start(reportFailure);
 			logger.info('serving', {
 				callerPort: callerListener.getPort(),
 				operatorPort: operatorListener.getPort(),
--- a/packages/daemon/src/docs.test.ts
+++ b/packages/daemon/src/docs.test.ts
@@ -1,4 +1,4 @@
-/** The reference pages list just what the code has. */
+/** The reference pages must match the error table and the settings schema. */
 import {readFile} from 'node:fs/promises';
 import * as tap from 'tap';
 import * as core from '@gullstand/core';
@@ -13,18 +13,15 @@
 const listRows = (page: string): string[] =>
 	[...page.matchAll(rowPattern)].map((row) => row[1] ?? '').toSorted();
 
-tap.t.test(
-	'errors.md has a row for every kind, as it is answered',
-	async (t) => {
-		const page = await readPage('errors.md');
-		t.same(listRows(page), Object.keys(core.errors.errorTable).toSorted());
-		for (const [kind, row] of Object.entries(core.errors.errorTable)) {
-			const {status, outcome, retry} = row;
-			const cells = `| \`${kind}\` | ${status} | ${outcome} | ${retry} |`;
-			t.ok(page.includes(cells), kind);
-		}
-	},
-);
+tap.t.test('errors.md has a correct row for every kind', async (t) => {
+	const page = await readPage('errors.md');
+	t.same(listRows(page), Object.keys(core.errors.errorTable).toSorted());
+	for (const [kind, row] of Object.entries(core.errors.errorTable)) {
+		const {status, outcome, retry} = row;
+		const cells = `| \`${kind}\` | ${status} | ${outcome} | ${retry} |`;
+		t.ok(page.includes(cells), kind);
+	}
+});
 
 type Shape = {
 	def: {innerType?: Shape; options?: Shape[]};
--- a/packages/daemon/src/embedded/embedded-jobs.ts
+++ b/packages/daemon/src/embedded/embedded-jobs.ts
@@ -1,13 +1,13 @@
 /**
- * The jobs side of an embedded daemon: a platform in memory whose executors
- * end every task after a tenth of a second.
+ * Job daemon of an embedded daemon with an in-memory platform, whose executors
+ * finish every task after `taskMs`.
  */
 import {fleet, scheduler} from '@gullstand/core';
 import * as ports from '@gullstand/ports';
 import {createJobDaemon, type JobDaemon} from '../jobs/job-daemon.js';
 import type {Logger} from '../log/logger.js';
 
-/** Queue of an embedded daemon. */
+/** Name of the queue of an embedded daemon. */
 export const embeddedQueue = 'rating';
 
 const service = 'rating';
@@ -69,7 +69,7 @@
 	};
 };
 
-/** Creates the jobs side. */
+/** Creates the job daemon. */
 export const createEmbeddedJobs = (
 	now: () => number,
 	logger: Logger,
--- a/packages/daemon/src/embedded/embedded-platform.ts
+++ b/packages/daemon/src/embedded/embedded-platform.ts
@@ -20,13 +20,13 @@
 	type EmbeddedExecutor,
 } from './embedded-upstream.js';
 
-/** An embedded platform and its end. */
+/** An embedded platform with its close function. */
 export type EmbeddedPlatform = {
 	readonly platform: Platform;
 	readonly close: () => Promise<void>;
 };
 
-/** Token of the customer `demo` on an embedded daemon. */
+/** Token of the customer `demo` of an embedded daemon. */
 export const embeddedCallerToken = 'demo-caller-token';
 
 const services: readonly Service[] = [
@@ -123,9 +123,9 @@
 		}
 	}
 
-	const lives = new Map<string, string>();
+	const incarnations = new Map<string, string>();
 	const setListed = (listed: ListedInstance) => {
-		lives.set(listed.id, listed.incarnation);
+		incarnations.set(listed.id, listed.incarnation);
 		list.set(listed);
 	};
 
@@ -144,7 +144,7 @@
 	const workers = createMemoryWorkers({
 		workers: [...executors.keys()],
 		now,
-		getIncarnation: (id) => lives.get(id),
+		getIncarnation: (id) => incarnations.get(id),
 		onReboot(id) {
 			void reboot(id);
 		},
--- a/packages/daemon/src/embedded/embedded-settings.ts
+++ b/packages/daemon/src/embedded/embedded-settings.ts
@@ -1,11 +1,11 @@
-/** Settings of an embedded daemon: loopback, free ports. */
+/** Settings of an embedded daemon, which listens on the loopback address. */
 import {hashToken} from '../caller/parse-call.js';
 import {settingsSchema, type Settings} from '../settings/schema.js';
 
 /** Operator token of an embedded daemon; it listens on loopback only. */
 export const embeddedOperatorToken = 'demo-operator-token';
 
-/** Settings for `gullstandd --embedded`, with ports where given. */
+/** Creates settings for `gullstandd --embedded`; port 0 picks a free port. */
 export const createEmbeddedSettings = (
 	callerPort = 0,
 	operatorPort = 0,
--- a/packages/daemon/src/embedded/embedded-upstream.ts
+++ b/packages/daemon/src/embedded/embedded-upstream.ts
@@ -1,10 +1,10 @@
-/** Small HTTP/1.1 executors inside the process, for the embedded daemon. */
+/** In-process HTTP/1.1 executors for the embedded daemon. */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
 import {createServer, type Server} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-/** One executor that can be rebooted. */
+/** An executor that can be rebooted. */
 export type EmbeddedExecutor = {
 	readonly id: string;
 	readonly getAddress: () => string;
--- a/packages/daemon/src/http/byte-budget.ts
+++ b/packages/daemon/src/http/byte-budget.ts
@@ -1,26 +1,26 @@
-/** Bound on the bytes that all requests of a listener hold at once. */
+/** Limits the bytes that all requests of a listener buffer at once. */
 
-/** What one holder has reserved of a budget. */
+/** Bytes that one request has reserved of a budget. */
 export type Reservation = {
-	/** False if the budget is spent; nothing is reserved then. */
+	/** Reserves bytes; false, without reserving any, if the budget is exhausted. */
 	readonly add: (bytes: number) => boolean;
-	/** Gives everything back; safe to call twice. */
+	/** Releases all reserved bytes; later calls do nothing. */
 	readonly release: () => void;
 };
 
-/** A budget shared by many holders. */
+/** A budget shared by many reservations. */
 export type ByteBudget = {
 	readonly open: () => Reservation;
 	readonly getUsed: () => number;
 };
 
-/** Creates a budget of so many bytes. */
+/** Creates a budget of `maxBytes`. */
 export const createByteBudget = (maxBytes: number): ByteBudget => {
 	let used = 0;
 	return {
 		getUsed: () => used,
 		open() {
-			let held = 0;
+			let reserved = 0;
 			return {
 				add(bytes) {
 					if (used + bytes > maxBytes) {
@@ -28,12 +28,12 @@
 					}
 
 					used += bytes;
-					held += bytes;
+					reserved += bytes;
 					return true;
 				},
 				release() {
-					used -= held;
-					held = 0;
+					used -= reserved;
+					reserved = 0;
 				},
 			};
 		},
--- a/packages/daemon/src/http/connection-headers.ts
+++ b/packages/daemon/src/http/connection-headers.ts
@@ -1,11 +1,11 @@
-/** Headers that belong to one connection and are not passed on. */
+/** Removes header fields that apply to a single connection only. */
 
-/** Header fields by name in lower case. */
+/** Header fields by lower-case name. */
 export type HeaderFields = Readonly<
 	Record<string, string | string[] | undefined>
 >;
 
-// RFC 9110, 7.6.1, and the lengths that are set anew on each connection.
+// RFC 9110, section 7.6.1, and fields that each connection sets itself.
 const connectionHeaders = new Set([
 	'connection',
 	'expect',
@@ -20,24 +20,25 @@
 	'upgrade',
 ]);
 
-const listNamed = (headers: HeaderFields): Set<string> => {
+const getConnectionOptions = (headers: HeaderFields): Set<string> => {
 	const {connection = ''} = headers;
 	const names = String(connection).toLowerCase().split(',');
 	return new Set(names.map((name) => name.trim()));
 };
 
-/** Drops the headers of one connection, also those that `connection` names. */
+/** Removes connection-specific fields and those that `connection` names. */
 export const removeConnectionHeaders = (
 	headers: HeaderFields,
 ): Record<string, string | string[]> => {
-	const named = listNamed(headers);
-	const passed: Record<string, string | string[]> = {};
+	const connectionOptions = getConnectionOptions(headers);
+	const forwarded: Record<string, string | string[]> = {};
 	for (const [name, value] of Object.entries(headers)) {
-		const own = connectionHeaders.has(name) || named.has(name);
-		if (value !== undefined && !own) {
-			passed[name] = value;
+		const isConnectionField =
+			connectionHeaders.has(name) || connectionOptions.has(name);
+		if (value !== undefined && !isConnectionField) {
+			forwarded[name] = value;
 		}
 	}
 
-	return passed;
+	return forwarded;
 };
--- a/packages/daemon/src/http/listener.ts
+++ b/packages/daemon/src/http/listener.ts
@@ -1,7 +1,7 @@
 /**
- * An HTTP listener as a part: bounded headers and times, malformed requests
- * answered from the error table, and a graceful stop that finishes what is in
- * flight.
+ * HTTP listener as a supervised part: limits header size and request times,
+ * answers malformed requests from the error table and finishes requests in
+ * flight on a graceful stop.
  */
 import {once} from 'node:events';
 import type {Server} from 'node:http';
@@ -21,13 +21,13 @@
 	readonly maxConnections: number;
 };
 
-/** Handler of requests, such as the `fetch` of a Hono app. */
+/** Request handler, such as the `fetch` of a Hono app. */
 export type FetchHandler = Parameters<typeof createAdaptorServer>[0]['fetch'];
 
-/** A listener and the port that it got. */
+/** A listener with its bound port. */
 export type Listener = Part & {
 	readonly getPort: () => number;
-	/** Requests that have begun and are not yet answered. */
+	/** Number of requests without a finished response. */
 	readonly countInFlight: () => number;
 };
 
@@ -55,7 +55,7 @@
 	].join('\r\n');
 };
 
-/** Answers a request that the HTTP parser refused, then closes. */
+/** Answers a request that the HTTP parser rejected and closes the socket. */
 const answerMalformed = (err: Error & {code?: string}, socket: Socket) => {
 	if (err.code === 'ECONNRESET' || !socket.writable) {
 		socket.destroy();
--- a/packages/daemon/src/http/read-body.ts
+++ b/packages/daemon/src/http/read-body.ts
@@ -1,4 +1,4 @@
-/** Reads a request's body within bounds, straight from the socket. */
+/** Reads the body of a request within size limits. */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage} from 'node:http';
 import {fail, succeed, type errors, type Result} from '@gullstand/core';
@@ -6,7 +6,7 @@
 
 const emptyBody = new Uint8Array(0);
 
-/** Whether a request's header announces a body. */
+/** True if the headers of a request announce a body. */
 export const hasBody = (req: IncomingMessage): boolean =>
 	req.headers['transfer-encoding'] !== undefined ||
 	Number(req.headers['content-length'] ?? 0) > 0;
@@ -19,9 +19,9 @@
 };
 
 /**
- * Resolves to the whole body, or, as soon as that is certain, to
- * `body-too-large`, `overloaded` (the reservation's budget is spent) or
- * `cancelled` (the caller went away).
+ * Resolves to the complete body, or fails early with `body-too-large`,
+ * `overloaded` (the budget is exhausted) or `cancelled` (the caller
+ * disconnected).
  */
 export const readBody = async (
 	req: IncomingMessage,
@@ -40,7 +40,7 @@
 		const chunks: Uint8Array[] = [];
 		let size = 0;
 
-		const giveUp = (kind: errors.ErrorKind) => {
+		const stopReading = (kind: errors.ErrorKind) => {
 			req.pause();
 			chunks.length = 0;
 			resolve(fail(kind));
@@ -49,11 +49,11 @@
 		req.on('data', (chunk: Uint8Array) => {
 			size += chunk.length;
 			if (size > maxBytes) {
-				giveUp('body-too-large');
+				stopReading('body-too-large');
 			} else if (reservation.add(chunk.length)) {
 				chunks.push(chunk);
 			} else {
-				giveUp('overloaded');
+				stopReading('overloaded');
 			}
 		});
 		req.once('end', () => {
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** The daemon as a library, for the command line, benches and tests. */
+/** Exports of the daemon for the command line, benches and tests. */
 export * from './daemon.js';
 export * from './admission/admission-layer.js';
 export * from './caller/call.js';
--- a/packages/daemon/src/log/bounded-output.test.ts
+++ b/packages/daemon/src/log/bounded-output.test.ts
@@ -1,4 +1,4 @@
-/** An output that nobody reads must not hold the process up. */
+/** A log output without a reader must not block the process. */
 import {Buffer} from 'node:buffer';
 import {spawn} from 'node:child_process';
 import {once} from 'node:events';
@@ -13,7 +13,7 @@
 
 type Done = Parameters<WriteBytes>[1];
 
-/** Takes bytes only when told to. */
+/** A destination whose writes complete only when the test completes them. */
 const createSlowSink = () => {
 	const pending: Array<{readonly bytes: Uint8Array; readonly done: Done}> = [];
 	let taken = '';
@@ -23,7 +23,7 @@
 		}) satisfies WriteBytes,
 		getTaken: () => taken,
 		countPending: () => pending.length,
-		/** Takes so many bytes of the oldest write, all of them if not said. */
+		/** Completes the oldest write with at most `most` bytes, by default all. */
 		take(most?: number) {
 			const oldest = pending.shift();
 			if (oldest) {
@@ -38,7 +38,7 @@
 	};
 };
 
-tap.t.test('lines go out whole and in order, a write at a time', (t) => {
+tap.t.test('lines are written in order, one write at a time', (t) => {
 	const sink = createSlowSink();
 	const output = createBoundedOutput(sink.write);
 	for (const line of ['one\n', 'two\n', 'three\n']) {
@@ -56,7 +56,7 @@
 	t.end();
 });
 
-tap.t.test('what does not fit is dropped, counted and told', (t) => {
+tap.t.test('excess lines are dropped, counted and reported', (t) => {
 	const sink = createSlowSink();
 	const output = createBoundedOutput(sink.write, 10);
 	output.stream.write('in write\n');
@@ -67,15 +67,15 @@
 	t.equal(output.countDropped(), 2);
 	sink.take();
 	sink.take();
-	const told = sink.getTaken().split('\n').at(2) ?? '';
-	t.match(JSON.parse(told), {message: 'log lines dropped', lines: 2});
+	const report = sink.getTaken().split('\n').at(2) ?? '';
+	t.match(JSON.parse(report), {message: 'log lines dropped', lines: 2});
 	output.stream.write('again\n');
 	sink.take();
 	t.ok(sink.getTaken().endsWith('again\n'));
 	t.end();
 });
 
-tap.t.test('a broken output loses its lines and takes the next', (t) => {
+tap.t.test('a failed write loses its lines, the next succeeds', (t) => {
 	const sink = createSlowSink();
 	const output = createBoundedOutput(sink.write);
 	output.stream.write('lost\n');
@@ -86,7 +86,7 @@
 	t.end();
 });
 
-tap.t.test('a flush ends by itself though nobody reads', async (t) => {
+tap.t.test('a flush ends in time without a reader', async (t) => {
 	const sink = createSlowSink();
 	const output = createBoundedOutput(sink.write);
 	output.stream.write('never taken\n');
@@ -95,8 +95,8 @@
 });
 
 /**
- * Writes four times what may wait to its standard output, which nobody reads,
- * says on its standard error what it dropped, and ends.
+ * Writes four times the queue limit to standard output, which has no reader,
+ * prints the number of dropped lines to standard error and exits.
  */
 const program = `
 	const {createBoundedOutput, writeToDescriptor, defaultMaxWaitingBytes} =
@@ -112,7 +112,7 @@
 	process.exit(7);
 `;
 
-tap.t.test('a process goes on and ends while its pipe is full', async (t) => {
+tap.t.test('a process continues and exits on a full pipe', async (t) => {
 	const module = new URL('bounded-output.js', import.meta.url).href;
 	const child = spawn(
 		process.execPath,
--- a/packages/daemon/src/log/bounded-output.ts
+++ b/packages/daemon/src/log/bounded-output.ts
@@ -1,13 +1,13 @@
 /**
- * An output for log lines that never holds the process up: lines wait in a
- * queue of fixed size, what does not fit is dropped and counted.
+ * Log output that never blocks the process: lines are queued up to a fixed
+ * size, and lines beyond it are dropped and counted.
  */
 import {Buffer} from 'node:buffer';
 import {fstatSync, write} from 'node:fs';
 import {Socket} from 'node:net';
 import {Writable} from 'node:stream';
 
-/** Writes bytes to where the lines go; calls back once they are taken. */
+/** Writes bytes to the destination; calls back once they are written. */
 export type WriteBytes = (
 	bytes: Uint8Array,
 	done: (err: Error | null, written: number) => void,
@@ -21,7 +21,7 @@
 
 const writeToPipe = (descriptor: number): WriteBytes => {
 	const socket = new Socket({fd: descriptor, readable: false, writable: true});
-	// Each write reports its own failure.
+	// Each write reports its error to its callback.
 	socket.on('error', () => undefined);
 	return (bytes, done) => {
 		socket.write(bytes, (err) => {
@@ -31,8 +31,8 @@
 };
 
 /**
- * Writes to a file descriptor without blocking. A pipe that nobody reads must
- * not hold a thread: a process whose threads are held cannot end.
+ * Creates a non-blocking writer for a file descriptor. A pipe without a reader
+ * must not occupy a thread, since the process could not exit then.
  */
 export const writeToDescriptor = (descriptor: number): WriteBytes => {
 	const stats = fstatSync(descriptor);
@@ -41,14 +41,14 @@
 		: writeToFile(descriptor);
 };
 
-/** Bytes that may wait; origin: about a second of a burst's lines. */
+/** Default limit of queued bytes: about one second of lines in a burst. */
 export const defaultMaxWaitingBytes = 512 * 1024;
 
-/** The output and what it has dropped. */
+/** An output stream and the number of its dropped lines. */
 export type BoundedOutput = {
 	readonly stream: Writable;
 	readonly countDropped: () => number;
-	/** Resolves once nothing waits, or after `withinMs`. */
+	/** Resolves once all lines are written, or after `withinMs`. */
 	readonly flush: (withinMs: number) => Promise<void>;
 };
 
@@ -63,12 +63,16 @@
 	let waitingBytes = 0;
 	const state = {isWriting: false};
 	let dropped = 0;
-	let untold = 0;
-
-	const tellDropped = () => {
-		if (untold > 0) {
-			const line = {level: 'warn', message: 'log lines dropped', lines: untold};
-			untold = 0;
+	let unreported = 0;
+
+	const reportDropped = () => {
+		if (unreported > 0) {
+			const line = {
+				level: 'warn',
+				message: 'log lines dropped',
+				lines: unreported,
+			};
+			unreported = 0;
 			waiting.push(Buffer.from(`${JSON.stringify(line)}\n`));
 		}
 	};
@@ -80,7 +84,7 @@
 				return;
 			}
 
-			// A broken output takes no lines; there is nowhere to say so.
+			// A write error loses the lines, and there is nowhere to report it.
 			state.isWriting = false;
 			writeNext();
 		});
@@ -91,7 +95,7 @@
 			return;
 		}
 
-		tellDropped();
+		reportDropped();
 		if (waiting.length === 0) {
 			return;
 		}
@@ -108,7 +112,7 @@
 		write(chunk: Buffer, _encoding, done) {
 			if (waitingBytes + chunk.length > maxWaitingBytes) {
 				dropped += 1;
-				untold += 1;
+				unreported += 1;
 			} else {
 				waiting.push(chunk);
 				waitingBytes += chunk.length;
--- a/packages/daemon/src/log/logger.ts
+++ b/packages/daemon/src/log/logger.ts
@@ -1,6 +1,6 @@
 /**
- * Logs: JSON lines, or readable text on a terminal. Values under secret keys
- * are never written.
+ * Logger that writes JSON lines, or text on a terminal. Values under secret
+ * keys are never written.
  */
 import process from 'node:process';
 import winston from 'winston';
@@ -58,7 +58,7 @@
 const isText = (format: Settings['log']['format']): boolean =>
 	format === 'text' || (format === 'auto' && process.stderr.isTTY);
 
-/** Creates a logger that writes to standard error, or to a given stream. */
+/** Creates a logger that writes to `stream`, by default standard error. */
 export const createLogger = (
 	settings: Settings['log'],
 	entry: string,
--- a/packages/daemon/src/metrics/metrics.ts
+++ b/packages/daemon/src/metrics/metrics.ts
@@ -1,20 +1,20 @@
 /**
- * Histograms of answer times per customer, service and class, and counts per
- * outcome and error kind. Bounded: beyond `maxSeries` customers and services
- * share one series named `other`.
+ * Histograms of answer times by customer, service and class, with counts by
+ * outcome and error kind. Beyond `maxSeries` series, customers and services
+ * are recorded as `other`.
  */
 import type {Histogram} from 'hdr-histogram-js';
-// The package's main module loads its log writer, too, which is slow.
+// The main module also loads the package's log writer, which is slow.
 import * as hdr from 'hdr-histogram-js/dist/HistogramBuilder.js';
 import type {errors, Outcome, RequestClass} from '@gullstand/core';
 
-/** What is recorded of one answered request. */
+/** Measurements of one answered request. */
 export type AnswerRecord = {
 	readonly customer: string;
 	readonly service: string;
 	readonly requestClass: RequestClass;
 	readonly outcome: Outcome;
-	/** Absent if the executor's own answer was passed on. */
+	/** Absent if the caller got an executor's answer. */
 	readonly errorKind?: errors.ErrorKind;
 	readonly late: boolean;
 	readonly durationMs: number;
--- a/packages/daemon/src/operator/authorize.ts
+++ b/packages/daemon/src/operator/authorize.ts
@@ -1,14 +1,14 @@
-/** Operators' tokens: apart from callers', with a role each. */
+/** Authorizes operators by their tokens, which are separate from callers'. */
 import {fail, succeed, type errors, type Result} from '@gullstand/core';
 import {hashToken, readBearerToken} from '../caller/parse-call.js';
 import type {Settings} from '../settings/schema.js';
 
-/** Who makes a call. */
+/** An operator of the settings with its token hash and role. */
 export type Operator = Settings['operator']['tokens'][number];
 
-const methodsOfReading = new Set(['GET', 'HEAD']);
+const readMethods = new Set(['GET', 'HEAD']);
 
-/** Finds the operator of a token and whether it may use the method. */
+/** Finds the operator of a token and checks its role against the method. */
 export const authorizeOperator = (
 	tokens: Settings['operator']['tokens'],
 	authorization: string | undefined,
@@ -21,6 +21,6 @@
 		return fail('unauthenticated');
 	}
 
-	const mayCall = methodsOfReading.has(method) || operator.role === 'change';
+	const mayCall = readMethods.has(method) || operator.role === 'change';
 	return mayCall ? succeed(operator) : fail('forbidden');
 };
--- a/packages/daemon/src/operator/changes/app.ts
+++ b/packages/daemon/src/operator/changes/app.ts
@@ -1,4 +1,4 @@
-/** History of changes: who changed what, newest first, and where in force. */
+/** Handlers of the change history, newest first. */
 import type {viewChange} from '@gullstand/core';
 import {readChanges} from '../../view/tables.js';
 import {answerError, answerStoreError} from '../objects/answers.js';
@@ -11,17 +11,17 @@
 
 const maxWaitMs = 60_000;
 
-/** Pages searched for one object or operation before giving up. */
+/** Most pages read to find changes of one object or operation. */
 const maxPages = 10;
 
 type Filter = {
-	/** Such as `contract/brokers`. */
+	/** Object name, such as `contract/brokers`. */
 	readonly object: string | undefined;
-	/** Id of an operation. */
+	/** Operation id. */
 	readonly id: string | undefined;
 };
 
-/** Name of the object of a change, such as `contract/brokers`. */
+/** Returns the name of a changed object, such as `contract/brokers`. */
 export const getObjectName = (change: viewChange.ViewChange): string => {
 	switch (change.kind) {
 		case 'put-contract': {
@@ -50,12 +50,12 @@
 	}
 };
 
-const isWanted = (delta: viewChange.ViewDelta, {object, id}: Filter) =>
+const matchesFilter = (delta: viewChange.ViewDelta, {object, id}: Filter) =>
 	(id === undefined || delta.id === id) &&
 	(object === undefined ||
 		delta.changes.some((change) => getObjectName(change) === object));
 
-/** Reads back from a revision, page by page. */
+/** Reads matching changes before a revision, newest first, in pages. */
 const findChanges = async (
 	deps: OperatorDeps,
 	before: number,
@@ -72,7 +72,9 @@
 		}
 
 		found.push(
-			...read.value.toReversed().filter((delta) => isWanted(delta, filter)),
+			...read.value
+				.toReversed()
+				.filter((delta) => matchesFilter(delta, filter)),
 		);
 		upTo = after;
 		if (found.length >= limit) {
--- a/packages/daemon/src/operator/contracts/app.ts
+++ b/packages/daemon/src/operator/contracts/app.ts
@@ -1,4 +1,4 @@
-/** Contracts. */
+/** Handlers of contracts. */
 import type {Contract} from '@gullstand/core';
 import {contractSchema} from '../objects/contract-schema.js';
 import {registerObjects} from '../objects/object-domain.js';
--- a/packages/daemon/src/operator/entries/app.ts
+++ b/packages/daemon/src/operator/entries/app.ts
@@ -1,4 +1,4 @@
-/** Entries: who is registered, who lags, and forgetting one that is over. */
+/** Handlers of registered entries: list them and remove a terminated one. */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
 import {type client, client as storeClient, type Write} from '@gullstand/ports';
@@ -11,15 +11,15 @@
 	{version, registration}: RegistrationRow,
 	deps: OperatorDeps,
 ) => {
-	const heard = deps.getHeard();
+	const received = deps.getHeard();
 	const newest = core.pendingAcknowledgements.getNewestAcknowledgement(
 		registration,
-		heard,
+		received,
 	);
 	const {revision} = deps.getView();
-	const [lag] = core.pendingAcknowledgements.listPendingAcknowledgements(
+	const [pending] = core.pendingAcknowledgements.listPendingAcknowledgements(
 		[registration],
-		heard,
+		received,
 		{revision},
 	);
 	return {
@@ -30,15 +30,15 @@
 		inForce: newest.inForce,
 		holding: newest.holding,
 		upMs: registration.upMs,
-		lags: lag?.reason ?? null,
+		lags: pending?.reason ?? null,
 		etag: formatEtag(version),
 	};
 };
 
-const forgetMs = 10_000;
+const removalTimeoutMs = 10_000;
 
-/** Deletes the row at the version that the operator saw. */
-const forget = async (
+/** Deletes the entry's row if it has the version that the operator sent. */
+const removeEntry = async (
 	deps: OperatorDeps,
 	entry: string,
 	version: number,
@@ -46,9 +46,9 @@
 ): Promise<client.CommitOutcome> => {
 	const id = randomUUID();
 	const removal = core.registration.removeEntry(entry, version, author);
-	// Deleted rows tell nothing; this row tells what became of the removal.
+	// A deleted row cannot be read back; the witness shows whether it committed.
 	const witness = {table: 'removal', key: id};
-	const note: Write = {
+	const removalWrite: Write = {
 		kind: 'put',
 		...witness,
 		value: {entry, version, author},
@@ -56,8 +56,8 @@
 	};
 	return storeClient.commitWithReadBack(
 		deps.table,
-		{id, writes: [...removal, note] as Write[], witness},
-		{env: deps.env, deadline: deps.env.now() + forgetMs},
+		{id, writes: [...removal, removalWrite] as Write[], witness},
+		{env: deps.env, deadline: deps.env.now() + removalTimeoutMs},
 	);
 };
 
@@ -80,7 +80,7 @@
 
 		const entry = c.req.param('entry');
 		const author = c.get('operator').name;
-		const outcome = await forget(deps, entry, when.value.version, author);
+		const outcome = await removeEntry(deps, entry, when.value.version, author);
 		switch (outcome.kind) {
 			case 'committed': {
 				return c.json({forgotten: entry});
--- a/packages/daemon/src/operator/instances/app.ts
+++ b/packages/daemon/src/operator/instances/app.ts
@@ -1,7 +1,7 @@
 /**
- * Instances. An operator registers one, corrects its place or address, and
- * deletes one that is away. Its pool and state change only by moves and
- * waves, which wait for every entry.
+ * Handlers of instances. Operators register instances, correct their location
+ * or address and delete those that are away. Pool and state change only by
+ * moves and waves, which wait for acknowledgements of all entries.
  */
 import * as core from '@gullstand/core';
 import type {Instance, Result} from '@gullstand/core';
@@ -21,7 +21,7 @@
 		faults.push({field: 'kind', message: 'does not change'});
 	}
 
-	// Requests of an older view may be in flight to the old address.
+	// Requests by an older view may be in flight to the old address.
 	if (sent.address !== current.address && current.state !== 'away') {
 		faults.push({field: 'address', message: 'changes only while away'});
 	}
--- a/packages/daemon/src/operator/instances/move-checks.test.ts
+++ b/packages/daemon/src/operator/instances/move-checks.test.ts
@@ -58,15 +58,23 @@
 const serving = 'serving';
 
 const cases: Array<[string, View, string[]]> = [
-	['enough stay', createView([serving, serving, serving], 2, 1), []],
-	['too few stay', createView([serving, serving], 2, 1), ['keep-executors']],
 	[
-		'one is draining already',
+		'enough executors remain',
+		createView([serving, serving, serving], 2, 1),
+		[],
+	],
+	[
+		'too few executors remain',
+		createView([serving, serving], 2, 1),
+		['keep-executors'],
+	],
+	[
+		'one is already draining',
 		createView([serving, serving, serving, 'draining'], 2, 1),
 		['max-away'],
 	],
 	[
-		'one is away and too few stay',
+		'one is away and too few remain',
 		createView([serving, serving, 'away'], 2, 1),
 		['keep-executors', 'max-away'],
 	],
@@ -85,7 +93,7 @@
 	});
 }
 
-tap.t.test('an executor that is lost counts as away', async (t) => {
+tap.t.test('an executor not listed as live counts as away', async (t) => {
 	const view = createView([serving, serving, serving], 2, 1);
 	const moved = view.instances.get('x0')!;
 	const all = new Set(['x0', 'x1', 'x2']);
--- a/packages/daemon/src/operator/instances/move-checks.ts
+++ b/packages/daemon/src/operator/instances/move-checks.ts
@@ -1,11 +1,11 @@
-/** Whether an instance may leave its pool for another, by the contracts. */
+/** Checks against the contracts whether an instance may leave its pool. */
 import * as core from '@gullstand/core';
 import type {Instance, View} from '@gullstand/core';
 
 /** Ids of the instances that the platform lists as live. */
 export type LiveInstances = ReadonlySet<string>;
 
-/** Why an instance may not leave its pool now. */
+/** A contract term that a move out of the pool would violate. */
 export type LeaveProblem = {
 	readonly customer: string;
 	readonly service: string;
@@ -15,8 +15,8 @@
 };
 
 /**
- * Executors of a pool that serve, and those that do not. One that the
- * platform does not list as live is lost: it counts as away before any plan.
+ * Counts the serving and the other executors of a pool. An executor that the
+ * platform does not list as live counts as away.
  */
 const countMembers = (view: View, pool: string, live?: LiveInstances) => {
 	const members = [...view.instances.values()].filter(
@@ -29,8 +29,8 @@
 };
 
 /**
- * Lists the contracts that a move out of the pool would break now. Without
- * the platform's list, no loss is counted.
+ * Lists the contract terms that a move out of the pool would violate. Without
+ * the platform's list, all executors count as live.
  */
 export const findLeaveProblems = (
 	view: View,
--- a/packages/daemon/src/operator/instances/moves.ts
+++ b/packages/daemon/src/operator/instances/moves.ts
@@ -1,4 +1,4 @@
-/** Moves of instances: start, take back, show who is waited for. */
+/** Handlers of moves of instances: start, cancel and list. */
 import {z} from 'zod';
 import * as core from '@gullstand/core';
 import type {errors, move, View, viewChange} from '@gullstand/core';
@@ -17,7 +17,7 @@
 
 const moveRequest = z.strictObject({to: z.string().min(1).max(63)});
 
-const maxRaces = 20;
+const maxCommitAttempts = 20;
 
 type Decision =
 	| {readonly kind: 'step'; readonly step: move.MoveCommit}
@@ -39,7 +39,7 @@
 	'already-moving': 'is moving already',
 };
 
-type StartOrder = {
+type StartRequest = {
 	readonly id: string;
 	readonly to: string;
 	readonly author: string;
@@ -50,7 +50,7 @@
 
 const decideStart = async (
 	{table, list}: OperatorDeps,
-	{id, to, author}: StartOrder,
+	{id, to, author}: StartRequest,
 	view: View,
 ): Promise<Decision> => {
 	const instance = await readInstance(table, id);
@@ -102,14 +102,14 @@
 	return step?.kind === 'commit' ? {kind: 'step', step} : refuse('not-found');
 };
 
-/** Decides and commits on the newest view, anew after each other change. */
+/** Decides a move on the newest view and commits it, again after conflicts. */
 const applyMove = async (
 	c: OperatorContext,
 	deps: OperatorDeps,
 	decide: (view: View) => Promise<Decision>,
 ): Promise<Response> => {
 	const {name: author} = c.get('operator');
-	for (let races = 0; races < maxRaces; races += 1) {
+	for (let attempts = 0; attempts < maxCommitAttempts; attempts += 1) {
 		await deps.poll();
 		const known = deps.getFollowed();
 		const decision = await decide(known.view);
@@ -146,7 +146,7 @@
 	return c.json({revision: delta.revision, transition, instance});
 };
 
-/** Moves under way, with the entries that each waits for. */
+/** Lists the moves in progress with entries yet to acknowledge the drain. */
 const listMoves = async (c: OperatorContext, deps: OperatorDeps) => {
 	const moves = await readMoves(deps.table);
 	const rows = await readRegistrations(deps.table);
@@ -184,8 +184,10 @@
 
 		const {name: author} = c.get('operator');
 		const id = c.req.param('key');
-		const order = {id, to: parsed.data.to, author};
-		return applyMove(c, deps, async (view) => decideStart(deps, order, view));
+		const startRequest = {id, to: parsed.data.to, author};
+		return applyMove(c, deps, async (view) =>
+			decideStart(deps, startRequest, view),
+		);
 	});
 	app.delete(path, async (c) =>
 		applyMove(c, deps, async () => decideCancel(deps, c.req.param('key'))),
--- a/packages/daemon/src/operator/jobs/app.ts
+++ b/packages/daemon/src/operator/jobs/app.ts
@@ -1,7 +1,7 @@
 /**
- * `/v1/jobs`: the product's own interface to jobs. Jobs are handed in and
- * cancelled through any entry; the list and the explanation come from the
- * owner of the queue's service and only from there.
+ * HTTP API of jobs under `/v1/jobs`. Jobs are submitted and cancelled through
+ * any entry; only the owner of the queue's service returns the list and the
+ * explanation.
  */
 import {randomUUID} from 'node:crypto';
 import {errors, scheduler, type Result} from '@gullstand/core';
@@ -12,13 +12,13 @@
 import type {JobDaemon} from '../../jobs/job-daemon.js';
 import type {OperatorApp, OperatorEnv} from '../types.js';
 
-/** What the handlers need. */
+/** Dependencies of the handlers. */
 export type JobsDeps = {
 	readonly jobs: Pick<JobDaemon, 'service' | 'routes' | 'listJobs' | 'explain'>;
 	readonly now: () => number;
 };
 
-/** Time for a change, milliseconds: as long as a caller would wait. */
+/** Deadline of a submission or a cancellation, in milliseconds. */
 const changeTimeoutMs = 3000;
 
 const count = z.int().min(1);
@@ -76,7 +76,7 @@
 
 type JobContext = Context<OperatorEnv>;
 
-/** By the one table; `problem` says more than its message. */
+/** Creates an error response; `problem` replaces the message of the table. */
 const refuse = (kind: errors.ErrorKind, problem?: string): Response => {
 	const res = createErrorResponse(kind, randomUUID());
 	if (problem === undefined) {
@@ -120,7 +120,7 @@
 		: {ok: false, error: `${checked.error.field} ${checked.error.problem}`};
 };
 
-/** Registers the handlers. */
+/** Registers the handlers of this domain. */
 export const registerJobs = (app: OperatorApp, {jobs, now}: JobsDeps): void => {
 	const {service, routes} = jobs;
 
--- a/packages/daemon/src/operator/objects/answers.ts
+++ b/packages/daemon/src/operator/objects/answers.ts
@@ -1,4 +1,4 @@
-/** Answers that the operators' domains share. */
+/** Responses shared by the operators' handlers. */
 import {randomUUID} from 'node:crypto';
 import type {Context} from 'hono';
 import * as core from '@gullstand/core';
@@ -20,7 +20,7 @@
 	'too-large': 'body-too-large',
 };
 
-/** Answers an error by the one table, with more for the operator to read. */
+/** Creates the response for an error kind; `more` adds members to its body. */
 export const answerError = (
 	kind: errors.ErrorKind,
 	more?: Readonly<Record<string, unknown>>,
@@ -35,7 +35,7 @@
 	return new Response(body, {status, headers: response.headers});
 };
 
-/** Answers a conflict with the row as it is now. */
+/** Creates the response for a version conflict with the current row. */
 export const answerConflict = (current: Row | undefined): Response => {
 	const response = answerError('version-conflict', {
 		current: current?.value ?? null,
@@ -48,7 +48,7 @@
 	return response;
 };
 
-/** Answers a failure of the table service. */
+/** Creates the response for a failure of the table service. */
 export const answerStoreError = (
 	error: StoreError,
 	more?: Readonly<Record<string, unknown>>,
@@ -57,7 +57,7 @@
 		? answerConflict(error.current)
 		: answerError(kindsByStoreError[error.kind], more);
 
-/** The body as JSON; undefined if it is none. */
+/** Reads the body as JSON; undefined if it is invalid. */
 export const readJson = async (c: OperatorContext): Promise<unknown> => {
 	try {
 		return await c.req.json();
--- a/packages/daemon/src/operator/objects/apply-object.ts
+++ b/packages/daemon/src/operator/objects/apply-object.ts
@@ -1,4 +1,4 @@
-/** Applies one change of an object and, if asked, waits until in force. */
+/** Commits a change of one object and optionally waits until it is in force. */
 import {randomUUID} from 'node:crypto';
 import type {errors, View, viewChange} from '@gullstand/core';
 import type {Precondition} from '@gullstand/ports';
@@ -15,7 +15,7 @@
 import type {ObjectDomain} from './types.js';
 import {formatEtag} from './preconditions.js';
 
-/** What an operator asked for; an undefined value deletes. */
+/** A requested change; an undefined value deletes the object. */
 export type ObjectChange<Value> = {
 	readonly key: string;
 	readonly value: Value | undefined;
@@ -24,7 +24,7 @@
 
 const maxWaitMs = 60_000;
 
-const maxRaces = 20;
+const maxCommitAttempts = 20;
 
 type Decision<Value> =
 	| {readonly kind: 'refused'; readonly answer: Response}
@@ -39,7 +39,7 @@
 	more?: Readonly<Record<string, unknown>>,
 ) => ({kind: 'refused', answer: answerError(kind, more)}) as const;
 
-/** Decides by one view whether the change may be made. */
+/** Decides by the given view whether the change is allowed. */
 const decide = <Value>(
 	view: View,
 	domain: ObjectDomain<Value>,
@@ -105,9 +105,9 @@
 };
 
 /**
- * Commits a change that was decided on the newest view; if another change
- * came between, it is decided anew. The loser of a race for the same object
- * gets the current value.
+ * Decides a change on the newest view and commits it, again after each
+ * concurrent commit of another change. A concurrent change of the same object
+ * is answered as a conflict with the current value.
  */
 export const applyObject = async <Value>(
 	c: OperatorContext,
@@ -117,7 +117,7 @@
 ): Promise<Response> => {
 	const operationId = randomUUID();
 	const author = c.get('operator').name;
-	for (let races = 0; races < maxRaces; races += 1) {
+	for (let attempts = 0; attempts < maxCommitAttempts; attempts += 1) {
 		await deps.poll();
 		const known = deps.getFollowed();
 		const decision = decide(known.view, domain, change);
--- a/packages/daemon/src/operator/objects/contract-schema.ts
+++ b/packages/daemon/src/operator/objects/contract-schema.ts
@@ -1,4 +1,4 @@
-/** Shape of a contract on the wire. */
+/** Schema of a contract in the operators' API. */
 import {z} from 'zod';
 import type {Contract} from '@gullstand/core';
 
@@ -6,7 +6,7 @@
 
 const count = z.int().min(0).max(1_000_000);
 
-/** Checks a contract; unknown keys are refused. */
+/** Validates a contract; unknown keys are refused. */
 export const contractSchema = z.strictObject({
 	customer: name,
 	weight: z.number().positive().max(1000),
--- a/packages/daemon/src/operator/objects/diff-fields.ts
+++ b/packages/daemon/src/operator/objects/diff-fields.ts
@@ -1,4 +1,4 @@
-/** Differences of two objects, field by field, for operators to read. */
+/** Lists the fields in which two JSON objects differ. */
 import type {JsonValue} from '@gullstand/ports';
 
 /** One field that differs; undefined where the field is absent. */
@@ -16,7 +16,7 @@
 ): value is Readonly<Record<string, JsonValue>> =>
 	typeof value === 'object' && value !== null && !Array.isArray(value);
 
-/** Terms are named by their service, other elements by their place. */
+/** Names terms by their service and other elements by their index. */
 const getElementName = (element: JsonValue, index: number): string =>
 	isObject(element) && typeof element.service === 'string'
 		? element.service
--- a/packages/daemon/src/operator/objects/find-problems.ts
+++ b/packages/daemon/src/operator/objects/find-problems.ts
@@ -1,14 +1,14 @@
-/** Why a change of the view cannot be accepted, by the contracts. */
+/** Checks changes of the view against the contracts. */
 import * as core from '@gullstand/core';
 import type {contractCheck, View, viewChange} from '@gullstand/core';
 
-/** A contract and what a change would break of it. */
+/** Terms of a customer's contract that a change would violate. */
 export type ContractProblems = {
 	readonly customer: string;
 	readonly problems: readonly contractCheck.ContractProblem[];
 };
 
-const getNames = (view: View, customer: string): ReadonlySet<string> => {
+const getProblemKeys = (view: View, customer: string): ReadonlySet<string> => {
 	const contract = view.contracts.get(customer);
 	const problems = contract
 		? core.contractCheck.checkContract(contract, view)
@@ -22,7 +22,7 @@
 	customer: string,
 ): ContractProblems => {
 	const contract = after.contracts.get(customer);
-	const known = getNames(before, customer);
+	const known = getProblemKeys(before, customer);
 	const problems = contract
 		? core.contractCheck
 				.checkContract(contract, after)
@@ -32,8 +32,8 @@
 };
 
 /**
- * Lists the contracts that a change would break. What was broken before
- * stands in the way only of a change of that contract itself.
+ * Lists the contracts that a change would violate. Terms that are violated
+ * already count only for a change of that contract itself.
  */
 export const findProblems = (
 	view: View,
--- a/packages/daemon/src/operator/objects/in-force.ts
+++ b/packages/daemon/src/operator/objects/in-force.ts
@@ -1,4 +1,4 @@
-/** Whether a revision is in force on every registered entry, and who lags. */
+/** Checks whether all registered entries have acknowledged a revision. */
 import * as core from '@gullstand/core';
 import type {
 	pendingAcknowledgements,
@@ -8,20 +8,20 @@
 import type {client, StoreError, TableService} from '@gullstand/ports';
 import {readTable} from '../../view/tables.js';
 
-/** What is asked of the entries. */
+/** Dependencies of the check. */
 export type InForceDeps = {
 	readonly table: TableService;
 	readonly getView: () => core.View;
-	/** Acknowledgements that peers have sent to this entry. */
+	/** Acknowledgements received from peers. */
 	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	readonly env: client.Environment;
 };
 
-/** How far a revision is in force. */
+/** Result of the check; `lagging` lists entries yet to acknowledge. */
 export type InForce = {
 	readonly isInForce: boolean;
 	readonly lagging: readonly pendingAcknowledgements.PendingAcknowledgement[];
-	/** The entries could not be read. */
+	/** True if the registrations could not be read. */
 	readonly isUnknown?: boolean;
 };
 
@@ -46,7 +46,7 @@
 		: rows;
 };
 
-/** Looks once. */
+/** Checks once whether a revision is in force. */
 export const checkInForce = async (
 	{table, getView, getHeard}: InForceDeps,
 	revision: number,
@@ -67,7 +67,7 @@
 
 const pollMs = 100;
 
-/** Looks again and again until the revision is in force or time is up. */
+/** Polls until the revision is in force, at most `maxMs` milliseconds. */
 export const waitInForce = async (
 	deps: InForceDeps,
 	revision: number,
--- a/packages/daemon/src/operator/objects/object-domain.ts
+++ b/packages/daemon/src/operator/objects/object-domain.ts
@@ -1,5 +1,5 @@
 /**
- * One kind of object of the view over HTTP: list, show, diff, apply by
+ * HTTP handlers for one kind of object of the view: list, show, diff, put by
  * compare-and-set, delete.
  */
 import {toJson} from '../../view/tables.js';
@@ -19,7 +19,7 @@
 const getKeyParameter = (c: OperatorContext): string =>
 	c.req.param('key') ?? '';
 
-/** Reads and checks the body; its key must be that of the path. */
+/** Reads and validates the body; its key must equal that of the path. */
 const readValue = async <Value>(
 	c: OperatorContext,
 	domain: ObjectDomain<Value>,
@@ -40,7 +40,7 @@
 			});
 };
 
-/** Shows the row; while the store is down, what the view holds. */
+/** Returns the stored row, or the object of the view if the store fails. */
 const showObject = async <Value>(
 	c: OperatorContext,
 	deps: OperatorDeps,
@@ -53,15 +53,15 @@
 		return c.json({[domain.name]: row.value.value, source: 'table'});
 	}
 
-	const held = domain.getAll(deps.getView()).get(key);
-	if (row.ok || held === undefined) {
+	const known = domain.getAll(deps.getView()).get(key);
+	if (row.ok || known === undefined) {
 		return row.ok ? answerError('not-found') : answerStoreError(row.error);
 	}
 
-	return c.json({[domain.name]: held, source: 'view'});
+	return c.json({[domain.name]: known, source: 'view'});
 };
 
-/** Says what an apply would change and what stands in its way. */
+/** Returns the changes of a put and the contract terms it would violate. */
 const diffObject = async <Value>(
 	c: OperatorContext,
 	deps: OperatorDeps,
--- a/packages/daemon/src/operator/objects/preconditions.ts
+++ b/packages/daemon/src/operator/objects/preconditions.ts
@@ -1,11 +1,11 @@
-/** Entity tags of rows (RFC 9110, sections 8.8.3 and 13.1). */
+/** Entity tags and preconditions (RFC 9110, sections 8.8.3 and 13.1). */
 import * as core from '@gullstand/core';
 import type {errors, Result} from '@gullstand/core';
 import type {Precondition} from '@gullstand/ports';
 
 const etagPattern = /^"(\d{1,15})"$/v;
 
-/** The tag of a row's version. */
+/** Formats the entity tag of a row's version. */
 export const formatEtag = (version: number): string => `"${version}"`;
 
 /** Reads `If-Match` or `If-None-Match: *`; one of them is required. */
--- a/packages/daemon/src/operator/objects/schemas.ts
+++ b/packages/daemon/src/operator/objects/schemas.ts
@@ -1,4 +1,4 @@
-/** Shapes of services and instances on the wire. */
+/** Schemas of services and instances in the operators' API. */
 import {isIP} from 'node:net';
 import {z} from 'zod';
 import * as core from '@gullstand/core';
@@ -8,7 +8,7 @@
 
 const status = z.int().min(400).max(599);
 
-/** Checks a service; unknown keys are refused. */
+/** Validates a service; unknown keys are refused. */
 export const serviceSchema = z.strictObject({
 	name,
 	pool: name,
@@ -31,7 +31,7 @@
 	return isIP(host) !== 0 && Number(parts?.[3]) <= 65_535;
 };
 
-/** Checks an instance; its state and epoch may be left out. */
+/** Validates an instance; its state and epoch are optional. */
 export const instanceSchema = z.strictObject({
 	id: name,
 	kind: z.enum(['worker', 'executor']),
--- a/packages/daemon/src/operator/objects/types.ts
+++ b/packages/daemon/src/operator/objects/types.ts
@@ -1,25 +1,25 @@
-/** What a kind of object tells of itself. */
+/** Types of the kinds of objects that operators change. */
 import type {z} from 'zod';
 import type {Result, View, viewChange} from '@gullstand/core';
 import type {ViewTable} from '../../view/tables.js';
 
-/** Why a field cannot be as it was sent. */
+/** A field with an invalid value and the reason. */
 export type FieldFault = {readonly field: string; readonly message: string};
 
-/** A kind of object. */
+/** Definition of one kind of object. */
 export type ObjectDomain<Value> = {
-	/** Singular name and table; the path is its plural. */
+	/** Name of the kind and its table; the path uses the plural. */
 	readonly name: ViewTable;
 	readonly schema: z.ZodType<Value>;
 	readonly getKey: (value: Value) => string;
 	readonly getAll: (view: View) => ReadonlyMap<string, Value>;
 	readonly createPut: (value: Value) => viewChange.ViewChange;
 	readonly createDelete: (key: string) => viewChange.ViewChange;
-	/** Makes what is stored of what was sent, or refuses. */
+	/** Converts a sent value to the stored value, or refuses it. */
 	readonly prepare?: (
 		sent: Value,
 		current: Value | undefined,
 	) => Result<Value, readonly FieldFault[]>;
-	/** Refuses a deletion for reasons that no contract knows. */
+	/** Lists faults that prevent a deletion, apart from contract terms. */
 	readonly checkDelete?: (current: Value) => readonly FieldFault[];
 };
--- a/packages/daemon/src/operator/operator-app.ts
+++ b/packages/daemon/src/operator/operator-app.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' HTTP interface. Each domain folder has an `app.ts` that
- * registers its handlers; this list is the whole surface.
+ * The operators' HTTP API. Each domain folder has an `app.ts` that registers
+ * its handlers here.
  */
 import {randomUUID} from 'node:crypto';
 import {Hono} from 'hono';
--- a/packages/daemon/src/operator/operator.test.ts
+++ b/packages/daemon/src/operator/operator.test.ts
@@ -50,7 +50,7 @@
 			timeoutMs: 10,
 		});
 	const faults = createControl();
-	// Scripts meet only commits: the daemon polls in the background.
+	// Scripted faults apply to commits only, as the daemon polls concurrently.
 	const commitFaults = createControl();
 	const {table} = embedded.platform;
 	const faulty = platform.faults.wrapTableService(table, faults);
@@ -98,7 +98,7 @@
 	headers: {'if-none-match': '*'},
 };
 
-tap.t.test('of two racing changes one gets the current value', async (t) => {
+tap.t.test('a losing concurrent change gets the current value', async (t) => {
 	const {call} = await startFixture(t);
 	const {etag} = await call(create);
 	const headers = {'if-match': etag!};
@@ -156,7 +156,7 @@
 		{problems: [{customer: 'demo', problems: [{kind: 'unknown-service'}]}]},
 	],
 	[
-		'a move by a plain change',
+		'a change of the pool without a move',
 		{
 			method: 'PUT',
 			path: '/v1/instances/quoting-1',
@@ -186,7 +186,7 @@
 	],
 ];
 
-tap.t.test('refuses, and says why', async (t) => {
+tap.t.test('refuses invalid requests with a reason', async (t) => {
 	const {call} = await startFixture(t);
 	for (const [name, sent, status, body] of refusals) {
 		const answer = await call(sent);
@@ -198,7 +198,7 @@
 	t.match(await call({path: '/v1/changes'}), {body: {revision: 1}});
 });
 
-tap.t.test('shows what would change, and what did, by whom', async (t) => {
+tap.t.test('shows the diff of a change and the history', async (t) => {
 	const {call} = await startFixture(t);
 	const {etag} = await call(create);
 	const services = [{...contract.services[0]!, maxAway: 0}];
@@ -243,7 +243,7 @@
 	},
 });
 
-tap.t.test('waits until in force and shows who lags', async (t) => {
+tap.t.test('waits until in force, shows entries behind', async (t) => {
 	const {table, call} = await startFixture(t);
 	const put = async (inForce: number) =>
 		table.commit(
@@ -284,7 +284,7 @@
 	t.match(done, {status: 200, body: {forgotten: 'e2'}});
 });
 
-tap.t.test('a lost reply is read back; an outage refuses', async (t) => {
+tap.t.test('reads back after a lost reply, refuses in outages', async (t) => {
 	const {faults, commitFaults, call} = await startFixture(t);
 	commitFaults.script(['reply-lost']);
 	const created = await call(create);
@@ -317,7 +317,7 @@
 	return body.instance as {pool: string; state: string};
 };
 
-tap.t.test('moves an instance within what contracts allow', async (t) => {
+tap.t.test('moves an instance within the contract terms', async (t) => {
 	const {call} = await startFixture(t);
 	const move = {method: 'POST', body: {to: 'claims'}} as const;
 	const started = await call({...move, path: '/v1/instances/quoting-1/move'});
--- a/packages/daemon/src/operator/pools/app.ts
+++ b/packages/daemon/src/operator/pools/app.ts
@@ -1,4 +1,4 @@
-/** Pools: which instances and services they have and what binds them. */
+/** Handlers of pools with their instances, services and contract promises. */
 import * as core from '@gullstand/core';
 import type {Instance, InstanceState, View} from '@gullstand/core';
 import {answerError} from '../objects/answers.js';
--- a/packages/daemon/src/operator/services/app.ts
+++ b/packages/daemon/src/operator/services/app.ts
@@ -1,4 +1,4 @@
-/** Services. One that a contract names is not deleted. */
+/** Handlers of services. A service that a contract names cannot be deleted. */
 import type {Service} from '@gullstand/core';
 import {registerObjects} from '../objects/object-domain.js';
 import type {ObjectDomain} from '../objects/types.js';
--- a/packages/daemon/src/operator/status/app.ts
+++ b/packages/daemon/src/operator/status/app.ts
@@ -1,4 +1,4 @@
-/** Status of one entry: revision, readiness, metrics. */
+/** Handlers of the entry's status and metrics. */
 import type {OperatorApp, OperatorDeps} from '../types.js';
 
 /** Registers the handlers of this domain. */
--- a/packages/daemon/src/operator/types.ts
+++ b/packages/daemon/src/operator/types.ts
@@ -1,4 +1,4 @@
-/** What all domains of the operators' interface share. */
+/** Types shared by the handlers of the operators' API. */
 import type {HttpBindings} from '@hono/node-server';
 import type {Hono} from 'hono';
 import type {
@@ -15,29 +15,29 @@
 import type {JobDaemon} from '../jobs/job-daemon.js';
 import type {Operator} from './authorize.js';
 
-/** What the operators' interface needs. */
+/** Dependencies of the operators' API. */
 export type OperatorDeps = {
 	readonly settings: Settings['operator'];
 	readonly table: TableService;
-	/** The platform's instance list, to show what a wave waits for. */
+	/** Instance list of the platform, used for waves and moves. */
 	readonly list?: InstanceList;
 	readonly getView: () => View;
 	readonly getFollowed: () => followedView.FollowedView;
-	/** Where the first view came from, and how it stands to the store. */
+	/** Origin of the first view and the state of following the store. */
 	readonly getFollowState: () => {
 		readonly origin: ViewOrigin;
 		readonly condition: FollowCondition;
 	};
-	/** Told of a change that this entry committed, before it is answered. */
+	/** Called with each change committed here, before the response. */
 	readonly onCommitted: (delta: viewChange.ViewDelta) => Promise<void>;
-	/** Acknowledgements that peers have sent to this entry. */
+	/** Acknowledgements received from peers. */
 	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	readonly env: client.Environment;
-	/** Reads the view anew after a change. */
+	/** Reads the newest view from the store. */
 	readonly poll: () => Promise<void>;
-	/** The jobs side, where there is one. */
+	/** The job daemon, if jobs are enabled. */
 	readonly jobs?: JobDaemon;
-	/** Steady clock, in milliseconds. */
+	/** Monotonic time in milliseconds. */
 	readonly now?: () => number;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
@@ -50,5 +50,5 @@
 	Variables: {operator: Operator};
 };
 
-/** The operators' app, to register handlers on. */
+/** The app that handlers are registered on. */
 export type OperatorApp = Hono<OperatorEnv>;
--- a/packages/daemon/src/operator/waves/app.ts
+++ b/packages/daemon/src/operator/waves/app.ts
@@ -1,4 +1,4 @@
-/** Waves: plan, start, pause, resume, cancel and show. */
+/** Handlers of waves: plan, start, pause, resume, cancel and show. */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
 import {budget, waves} from '@gullstand/core';
@@ -28,17 +28,17 @@
 	type WaveRequest,
 } from './wave-request.js';
 
-/** Rows of racks that one transaction creates. */
+/** Domain rows that one transaction inserts. */
 const rowsPerCommit = 50;
 const waitsShown = 20;
-const maxRaces = 5;
+const maxCommitAttempts = 5;
 
 const readListed = async ({list}: OperatorDeps): Promise<Listed> => {
 	const listed = await list?.list();
 	return new Map(listed?.ok ? listed.value.map((each) => [each.id, each]) : []);
 };
 
-/** An instance that no list shows is planned as if it were live. */
+/** Reads the sources of a plan; unlisted instances count as live. */
 const readSources = async (deps: OperatorDeps): Promise<PlanSources> => {
 	const view = deps.getView();
 	const listed = new Map(await readListed(deps));
@@ -92,7 +92,7 @@
 	value: toJson(put.value),
 });
 
-/** Writes the racks first: a header without them would end at once. */
+/** Writes domain rows before the header: a wave without domains would end. */
 const insertWave = async (
 	{table}: OperatorDeps,
 	wave: waves.Wave,
@@ -171,7 +171,7 @@
 	return c.json({wave, preview: result});
 };
 
-/** What the wave waits for, with the entries that a drain waits for. */
+/** Lists the conditions a wave waits for, with entries behind for drains. */
 const getWaits = async (deps: OperatorDeps, {progress}: LoadedWave) => {
 	const {view, listed, now} = await readSources(deps);
 	const rows = await readTable(deps.table, budget.tables.ledgers);
@@ -247,7 +247,7 @@
 		return refused;
 	}
 
-	for (let races = 0; races < maxRaces; races += 1) {
+	for (let attempts = 0; attempts < maxCommitAttempts; attempts += 1) {
 		const header = await readWave(deps.table, id);
 		if (!header.ok) {
 			return answerStoreError(header.error);
--- a/packages/daemon/src/operator/waves/plan-wave.ts
+++ b/packages/daemon/src/operator/waves/plan-wave.ts
@@ -1,4 +1,4 @@
-/** Plans a wave: refuses what cannot be done, previews what can. */
+/** Finds blockers of a wave and computes its preview. */
 import {setImmediate} from 'node:timers/promises';
 import {waves, type View} from '@gullstand/core';
 import {
@@ -8,7 +8,7 @@
 } from '../../waves/ledger-book.js';
 import {createFacts, noJobs, type WaveJobs} from '../../waves/wave-facts.js';
 
-/** What a plan is judged by. */
+/** State of the fleet that a wave is planned on. */
 export type PlanSources = {
 	readonly view: View;
 	readonly listed: Listed;
@@ -17,11 +17,11 @@
 	readonly now: number;
 };
 
-/** Racks that one step looks at. */
+/** Domains that one step examines. */
 const maxWork = 24;
-/** Steps after which the event loop goes on. */
+/** Steps between two yields to the event loop. */
 const stepsPerTurn = 4;
-/** Steps after which a preview is given up. */
+/** Steps after which a preview stops. */
 const maxSteps = 500_000;
 
 const createPlanFacts = (
@@ -48,7 +48,7 @@
 		getServicesByPool(view),
 	);
 
-/** What stands in the way of a wave; none if it may start. */
+/** Lists the blockers of a wave; it may start if there are none. */
 export const findWaveBlockers = (
 	wave: waves.Wave,
 	rows: readonly waves.WaveDomain[],
@@ -68,7 +68,7 @@
 	);
 };
 
-/** Runs the wave ahead, in slices that leave the event loop free. */
+/** Simulates the wave, yielding to the event loop between steps. */
 export const previewWave = async (
 	wave: waves.Wave,
 	rows: readonly waves.WaveDomain[],
--- a/packages/daemon/src/operator/waves/wave-request.ts
+++ b/packages/daemon/src/operator/waves/wave-request.ts
@@ -1,4 +1,4 @@
-/** What an operator may ask of a wave, checked. */
+/** Schema of an operator's request for a wave. */
 import {budget, waves} from '@gullstand/core';
 import {z} from 'zod';
 
@@ -7,7 +7,7 @@
 const hourMs = 3_600_000;
 const minuteMs = 60_000;
 
-/** Weights by name, for operators who need not choose numbers. */
+/** Predefined weights by name. */
 export const namedWeights = {
 	balanced: waves.waveDefaults.weights,
 	'few-moves': waves.fewMovesWeights,
@@ -33,7 +33,7 @@
 
 const count = z.number().int().min(1).max(100_000);
 
-/** A declared wave. Units stand in the names. */
+/** Validates a request for a wave; the names contain the units. */
 export const waveRequestSchema = z.strictObject({
 	pools: z.array(z.string().min(1).max(63)).min(1).max(maxPools),
 	hours: z.number().positive().max(maxHours),
@@ -48,7 +48,7 @@
 	deferWithinHours: z.number().min(0).max(maxHours).optional(),
 });
 
-/** A declared wave. */
+/** A validated request for a wave. */
 export type WaveRequest = z.infer<typeof waveRequestSchema>;
 
 const getWeights = ({weights}: WaveRequest): waves.WaveWeights =>
@@ -56,7 +56,7 @@
 		? namedWeights[weights]
 		: (weights ?? waves.waveDefaults.weights);
 
-/** Settings of the wave; what is not asked for is the default. */
+/** Creates the settings of the wave, with defaults for omitted values. */
 export const createSettings = (request: WaveRequest): waves.WaveSettings => {
 	const defaults = waves.waveDefaults;
 	const {cycleMinutes, returnWithinMinutes, deferWithinHours} = request;
@@ -76,5 +76,5 @@
 	};
 };
 
-/** Time until the wave's deadline, in milliseconds. */
+/** Returns the time until the wave's deadline, in milliseconds. */
 export const getDurationMs = ({hours}: WaveRequest): number => hours * hourMs;
--- a/packages/daemon/src/platform/open-platform.test.ts
+++ b/packages/daemon/src/platform/open-platform.test.ts
@@ -2,7 +2,7 @@
 import * as platform from '@gullstand/ports';
 import {reportEntryCount} from './open-platform.js';
 
-tap.t.test('counts the entries that the list shows', async (t) => {
+tap.t.test('reports the number of listed entries', async (t) => {
 	const list = platform.createMemoryInstanceList();
 	const counts: number[] = [];
 	const control = platform.faults.createFaultControl({
--- a/packages/daemon/src/platform/open-platform.ts
+++ b/packages/daemon/src/platform/open-platform.ts
@@ -1,4 +1,4 @@
-/** Opens the platform that the settings name, behind the rate guard. */
+/** Opens the platform of the settings; HTTP calls pass the rate guard. */
 import {randomUUID} from 'node:crypto';
 import * as platform from '@gullstand/ports';
 import type {Platform} from '../daemon.js';
@@ -6,13 +6,13 @@
 import {createEnvironment} from '../view/environment.js';
 import {createTicker} from '../view/ticker.js';
 
-/** An open platform and its end. */
+/** An open platform with its close function. */
 export type OpenPlatform = {
 	readonly platform: Platform;
 	readonly close: () => Promise<void>;
 };
 
-/** Entries that share the fleet's rate while their number is not known. */
+/** Assumed number of entries that share the fleet's rate until it is known. */
 const entriesAtStart = 18;
 
 const openMemoryPlatform = (now: () => number): OpenPlatform => ({
@@ -23,7 +23,7 @@
 		workers: platform.createMemoryWorkers({workers: [], now}),
 	},
 	async close() {
-		// Nothing outlives the process.
+		// There is nothing to close.
 	},
 });
 
@@ -36,7 +36,7 @@
 	};
 };
 
-/** Tells how many entries each read of the list shows. */
+/** Reports the number of entries after each successful read of the list. */
 export const reportEntryCount = (
 	list: platform.InstanceList,
 	setListed: (entries: number) => void,
@@ -53,9 +53,9 @@
 
 const sharePeriodMs = 10_000;
 
-const silentPeriods = 3;
+const unresponsivePeriods = 3;
 
-/** Shares the fleet's rate by demand until it is stopped. */
+/** Starts to share the fleet's request rate between entries by demand. */
 const startSharing = (
 	tables: platform.TableService,
 	guard: platform.client.Guard,
@@ -67,11 +67,11 @@
 		env,
 		id: randomUUID(),
 		fleetRate: platform.client.defaultFleetRate,
-		silentMs: silentPeriods * sharePeriodMs,
+		silentMs: unresponsivePeriods * sharePeriodMs,
 	});
 	const ticker = createTicker(sharer.exchange, sharePeriodMs, env.random);
 	void ticker.start(() => {
-		// An exchange reports its failures as values.
+		// An exchange returns its failures as values.
 	});
 	return {
 		setListed: sharer.setListed,
@@ -119,7 +119,7 @@
 	};
 };
 
-/** Opens the platform; its first call is made later. */
+/** Opens the platform without calling it yet. */
 export const openPlatform = (
 	settings: Settings['platform'],
 	now: () => number,
--- a/packages/daemon/src/run-process.ts
+++ b/packages/daemon/src/run-process.ts
@@ -1,4 +1,4 @@
-/** Runs a daemon as a process: signals, exit codes. */
+/** Runs a daemon as a process with signal handling and exit codes. */
 import process from 'node:process';
 import type {Daemon} from './daemon.js';
 import type {Logger} from './log/logger.js';
@@ -11,7 +11,7 @@
 	secondSignal: 3,
 } as const;
 
-/** Starts, waits for a signal or a failure, stops and exits. */
+/** Starts the daemon and stops it on a signal or a failure. */
 export const runProcess = async (
 	daemon: Daemon,
 	logger: Logger,
@@ -19,7 +19,7 @@
 ) => {
 	let signals = 0;
 
-	const end = async (code: number) => {
+	const stopAndExit = async (code: number) => {
 		await daemon.stop();
 		await close();
 		process.exitCode = code;
@@ -37,18 +37,18 @@
 			process.exit(exitCodes.secondSignal); // eslint-disable-line unicorn/no-process-exit
 		}
 
-		void end(exitCodes.stopped);
+		void stopAndExit(exitCodes.stopped);
 	};
 
 	process.on('SIGTERM', onSignal);
 	process.on('SIGINT', onSignal);
 	try {
 		await daemon.start((err) => {
-			logger.error('giving up', {error: err.message});
-			void end(exitCodes.failed);
+			logger.error('daemon failed', {error: err.message});
+			void stopAndExit(exitCodes.failed);
 		});
 	} catch (err) {
-		logger.error('did not start', {error: (err as Error).message});
+		logger.error('daemon failed to start', {error: (err as Error).message});
 		await close();
 		process.exitCode = exitCodes.failed;
 	}
--- a/packages/daemon/src/settings/load-settings.test.ts
+++ b/packages/daemon/src/settings/load-settings.test.ts
@@ -71,7 +71,7 @@
 	});
 }
 
-tap.t.test('fills in defaults', async (t) => {
+tap.t.test('applies defaults', async (t) => {
 	const checked = checkSettings('entry.toml', good);
 	t.ok(checked.ok && checked.value.stop.deadlineMs > 0);
 });
--- a/packages/daemon/src/settings/load-settings.ts
+++ b/packages/daemon/src/settings/load-settings.ts
@@ -1,11 +1,11 @@
-/** Reads settings from TOML and says plainly what is wrong with them. */
+/** Loads settings from TOML and describes their faults. */
 import {readFile} from 'node:fs/promises';
 import {parse, TomlError} from 'smol-toml';
 import type {z} from 'zod';
 import {type Result, fail, succeed} from '@gullstand/core';
 import {settingsSchema, type Settings} from './schema.js';
 
-/** One fault: which key, what was found and what is allowed. */
+/** One fault: the key, the value found and what is allowed. */
 export type SettingsFault = {
 	readonly file: string;
 	readonly key: string;
@@ -28,7 +28,7 @@
 		: text;
 };
 
-const getAt = (value: unknown, path: readonly PropertyKey[]): unknown => {
+const getValueAt = (value: unknown, path: readonly PropertyKey[]): unknown => {
 	let at = value;
 	for (const key of path) {
 		if (typeof at !== 'object' || at === null) {
@@ -61,13 +61,13 @@
 		{
 			file,
 			key: key || '(file)',
-			found: showValue(last, getAt(input, issue.path)),
+			found: showValue(last, getValueAt(input, issue.path)),
 			allowed: issue.message,
 		},
 	];
 };
 
-/** Checks TOML against a form; `file` only names it in faults. */
+/** Parses and validates TOML; `file` is only used in faults. */
 export const parseTomlWithSchema = <Value>(
 	schema: z.ZodType<Value>,
 	file: string,
@@ -94,14 +94,14 @@
 			);
 };
 
-/** Checks settings text; `file` only names it in faults. */
+/** Parses and validates settings; `file` is only used in faults. */
 export const checkSettings = (
 	file: string,
 	text: string,
 ): Result<Settings, readonly SettingsFault[]> =>
 	parseTomlWithSchema(settingsSchema, file, text);
 
-/** Reads and checks a file against a form. */
+/** Reads, parses and validates a TOML file. */
 export const loadTomlWithSchema = async <Value>(
 	schema: z.ZodType<Value>,
 	file: string,
@@ -119,12 +119,12 @@
 	return parseTomlWithSchema(schema, file, text);
 };
 
-/** Reads and checks a settings file. */
+/** Reads, parses and validates a settings file. */
 export const loadSettings = async (
 	file: string,
 ): Promise<Result<Settings, readonly SettingsFault[]>> =>
 	loadTomlWithSchema(settingsSchema, file);
 
-/** One line for a fault. */
+/** Formats a fault as one line. */
 export const formatFault = (fault: SettingsFault): string =>
 	`${fault.file}: ${fault.key}: found ${fault.found}; ${fault.allowed}`;
--- a/packages/daemon/src/settings/schema.ts
+++ b/packages/daemon/src/settings/schema.ts
@@ -1,7 +1,7 @@
 /**
- * Settings of one entry. Every duration is a whole number of milliseconds and
- * every size a whole number of bytes; the key's ending names the unit.
- * Operators' page: docs/operators/settings.md.
+ * Schema of the settings of one entry. Durations are integers in milliseconds
+ * and sizes integers in bytes; the suffix of the key names the unit.
+ * Reference: docs/operators/settings.md.
  */
 import {isIP} from 'node:net';
 import {z} from 'zod';
@@ -40,7 +40,7 @@
 const caller = z.strictObject({
 	address: ipNumber,
 	port,
-	/** Request line and header fields together. */
+	/** Size of the request line and header fields together. */
 	maxHeaderBytes: z
 		.int()
 		.min(kibibyte)
@@ -51,13 +51,13 @@
 		.min(0)
 		.max(64 * mebibyte)
 		.default(mebibyte),
-	/** Time for a caller to send its header. */
+	/** Time in which a caller must send the headers. */
 	headersTimeoutMs: durationMs(oneMinuteMs).default(5000),
-	/** Time for a caller to send its whole request. */
+	/** Time in which a caller must send the complete request. */
 	requestTimeoutMs: durationMs(oneHourMs).default(15_000),
-	/** Connections of callers, open at once. */
+	/** Most open connections of callers. */
 	maxConnections: z.int().min(1).max(65_535).default(4096),
-	/** Bytes of request bodies held at once, over all requests. */
+	/** Most bytes of request bodies buffered for all requests together. */
 	maxBufferedBytes: z
 		.int()
 		.min(mebibyte)
@@ -79,7 +79,7 @@
 const peers = z.strictObject({
 	address: ipNumber,
 	port,
-	/** Shared by all entries; proves a peer on the JSON-RPC channel. */
+	/** Key shared by all entries; authenticates peers on the JSON-RPC channel. */
 	keyHex: z.string().regex(/^[\da-f]{64,128}$/v, {
 		error: '64 to 128 lower-case hexadecimal digits are allowed',
 	}),
@@ -96,7 +96,7 @@
 
 const upstream = z.strictObject({
 	connectTimeoutMs: durationMs(oneMinuteMs).default(500),
-	/** Below the shortest idle limit of any middlebox on the way. */
+	/** Must be below the shortest idle timeout of any middlebox on the path. */
 	idleConnectionMs: durationMs(oneHourMs).default(10_000),
 	maxAnswerBytes: z
 		.int()
@@ -105,42 +105,42 @@
 		.default(mebibyte),
 });
 
-/** Fair queue and refusals; docs/operators/overload.md. */
+/** Queueing and refusals; see docs/operators/overload.md. */
 const admission = z.strictObject({
-	/** Requests of one service that wait at once, at most. */
+	/** Most queued requests of one service. */
 	maxQueued: z.int().min(1).max(1_000_000).default(10_000),
-	/** Time that a request and its answer spend between caller and entry. */
+	/** Round-trip time between caller and entry. */
 	transitMs: z.int().min(0).max(oneMinuteMs).default(0),
 });
 
-/** At-most-once requests; docs/operators/at-most-once.md. */
+/** At-most-once requests; see docs/operators/at-most-once.md. */
 const idempotency = z.strictObject({
-	/** How long a key is remembered. */
+	/** How long an idempotency key is stored. */
 	retentionMs: durationMs(366 * 24 * oneHourMs).default(24 * oneHourMs),
 	/** Longest wait for the store before a request is refused. */
 	storeWithinMs: durationMs(oneMinuteMs).default(1000),
-	/** After a request's deadline, how long its end may still be recorded. */
+	/** Time after a request's deadline in which its end may be recorded. */
 	settleWithinMs: durationMs(oneHourMs).default(oneMinuteMs),
 	/** Largest difference between the clocks of two entries. */
 	clockSkewMs: durationMs(oneHourMs).default(10_000),
-	/** Answers up to this stand in the row, larger ones are objects. */
+	/** Answers up to this size are stored in the row, larger ones as objects. */
 	inlineBytes: z
 		.int()
 		.min(1)
 		.max(32 * kibibyte)
 		.default(4 * kibibyte),
-	/** What is told of a request that an outage of the store keeps back. */
+	/** Outcome reported for a request that a store outage blocks. */
 	outageOutcome: z.enum(['unknown', 'not-run']).default('unknown'),
-	/** Least time between two commits of this entry. */
+	/** Minimum time between two commits of this entry. */
 	commitSpacingMs: z.int().min(0).max(1000).default(25),
-	/** Requests that are open at once, at most. */
+	/** Most concurrent requests. */
 	maxAttempts: z.int().min(1).max(65_535).default(2048),
 });
 
 const stop = z.strictObject({
-	/** Time from the first signal to the end of the process. */
+	/** Time from the first signal until the process exits. */
 	deadlineMs: durationMs(oneHourMs).default(20_000),
-	/** Time that readiness is off before the listener closes. */
+	/** Time between the entry turning unready and closing its listeners. */
 	readinessDelayMs: z.int().min(0).max(oneMinuteMs).default(2000),
 });
 
@@ -149,7 +149,7 @@
 	format: z.enum(['json', 'text', 'auto']).default('auto'),
 });
 
-/** Checked settings of one entry. */
+/** Schema of the settings of one entry. */
 export const settingsSchema = z
 	.strictObject({
 		entry,
@@ -195,5 +195,5 @@
 		}
 	});
 
-/** Settings of one entry, with defaults filled in. */
+/** Settings of one entry, including defaults. */
 export type Settings = z.output<typeof settingsSchema>;
--- a/packages/daemon/src/supervisor/supervisor.test.ts
+++ b/packages/daemon/src/supervisor/supervisor.test.ts
@@ -43,7 +43,7 @@
 		setImmediate(resolve);
 	});
 
-tap.t.test('starts in order, stops in reverse', async (t) => {
+tap.t.test('starts in order and stops in reverse', async (t) => {
 	const events: string[] = [];
 	const parts = ['a', 'b'].map((name) => createPart(name, events).part);
 	const tree = createSupervisor('tree', parts, deps);
@@ -52,7 +52,7 @@
 	t.same(events, ['start a', 'start b', 'stop b', 'stop a']);
 });
 
-tap.t.test('stops what it started if a part does not start', async (t) => {
+tap.t.test('stops started parts if another does not start', async (t) => {
 	const events: string[] = [];
 	const parts = [
 		createPart('a', events).part,
@@ -66,7 +66,7 @@
 	t.same(events, ['start a', 'stop a']);
 });
 
-tap.t.test('restarts a part, then gives up', async (t) => {
+tap.t.test('fails after too many restarts of a part', async (t) => {
 	const events: string[] = [];
 	const {part, fail} = createPart('a', events);
 	const tree = createSupervisor('tree', [part], deps);
--- a/packages/daemon/src/supervisor/supervisor.ts
+++ b/packages/daemon/src/supervisor/supervisor.ts
@@ -1,11 +1,11 @@
 /**
- * A supervisor tree of parts. Parts start in order and stop in reverse. A
- * part that fails while running is restarted with backoff; one that fails too
- * often takes its supervisor down with an error.
+ * Supervisor tree of parts. Parts start in order and stop in reverse. A part
+ * that fails while running is restarted with backoff; a part that fails too
+ * often makes its supervisor fail.
  */
 import VError from 'verror';
 
-/** Signals a failure of a running part to its supervisor. */
+/** Reports a failure of a running part to its supervisor. */
 export type ReportFailure = (err: Error) => void;
 
 /** One part of a daemon; a supervisor is itself a part. */
@@ -13,11 +13,11 @@
 	readonly name: string;
 	/** Resolves once the part serves. */
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
-	/** Graceful stop; past the deadline (ms of `now`) the part cuts off. */
+	/** Stops gracefully; work left at the deadline (ms of `now`) is aborted. */
 	readonly stop: (deadline: number) => Promise<void>;
 };
 
-/** When a failed part is restarted and when its supervisor gives up. */
+/** Limits and delays of restarts; times in milliseconds. */
 export type RestartPolicy = {
 	readonly maxRestarts: number;
 	readonly withinMs: number;
@@ -25,14 +25,14 @@
 	readonly maxBackoffMs: number;
 };
 
-/** What a supervisor needs from outside. */
+/** Dependencies of a supervisor. */
 export type SupervisorDeps = {
 	readonly now: () => number;
 	readonly delay: (ms: number) => Promise<void>;
 	readonly onRestart: (part: string, err: Error) => void;
 };
 
-/** Restarts within a minute, five times, from 100 ms up to 5 s apart. */
+/** At most five restarts per minute, delayed by 100 ms to 5 s. */
 export const defaultRestartPolicy: RestartPolicy = {
 	maxRestarts: 5,
 	withinMs: 60_000,
@@ -43,7 +43,7 @@
 const getBackoffMs = (policy: RestartPolicy, restarts: number): number =>
 	Math.min(policy.maxBackoffMs, policy.backoffMs * 2 ** (restarts - 1));
 
-/** Times of the restarts that still count at `now`, with this one. */
+/** Adds a restart at `now` and removes those older than `withinMs`. */
 export const addRestart = (
 	policy: RestartPolicy,
 	restarts: readonly number[],
@@ -55,7 +55,7 @@
 
 type Child = {part: Part; restarts: readonly number[]; restarting: boolean};
 
-/** Builds a part out of parts. */
+/** Creates a part that supervises other parts. */
 export const createSupervisor = (
 	name: string,
 	parts: readonly Part[],
@@ -69,11 +69,13 @@
 	}));
 	let stopping = false;
 	let started: Child[] = [];
-	let reportUp: ReportFailure = () => undefined;
+	let reportOwnFailure: ReportFailure = () => undefined;
 
-	const giveUp = (child: Child, err: Error) => {
+	const failSupervisor = (child: Child, err: Error) => {
 		stopping = true;
-		reportUp(new VError(err, `${name}: part ${child.part.name} keeps failing`));
+		reportOwnFailure(
+			new VError(err, `${name}: part ${child.part.name} keeps failing`),
+		);
 	};
 
 	const restart = async (child: Child, cause: Error): Promise<void> => {
@@ -81,7 +83,7 @@
 		for (;;) {
 			child.restarts = addRestart(policy, child.restarts, deps.now());
 			if (child.restarts.length > policy.maxRestarts) {
-				giveUp(child, err);
+				failSupervisor(child, err);
 				return;
 			}
 
@@ -98,7 +100,7 @@
 	};
 
 	const startUnlessStopped = async (child: Child) => {
-		await child.part.start(failureOf(child));
+		await child.part.start(createFailureReporter(child));
 		if (stopping) {
 			await child.part.stop(deps.now());
 		}
@@ -114,7 +116,7 @@
 		child.restarting = false;
 	};
 
-	const failureOf =
+	const createFailureReporter =
 		(child: Child): ReportFailure =>
 		(err) => {
 			void handleFailure(child, err);
@@ -130,11 +132,11 @@
 	};
 
 	const start = async (reportFailure: ReportFailure) => {
-		reportUp = reportFailure;
+		reportOwnFailure = reportFailure;
 		stopping = false;
 		for (const child of children) {
 			try {
-				await child.part.start(failureOf(child));
+				await child.part.start(createFailureReporter(child));
 			} catch (err) {
 				await stop(deps.now());
 				throw new VError(
--- a/packages/daemon/src/upstream/exchange.test.ts
+++ b/packages/daemon/src/upstream/exchange.test.ts
@@ -122,7 +122,7 @@
 ];
 
 for (const [name, rawAnswer, wanted] of rawAnswerCases) {
-	tap.t.test(`on the rawAnswer: ${name}: ${wanted}`, async (t) => {
+	tap.t.test(`raw answer: ${name}: ${wanted}`, async (t) => {
 		const path = await start(t, (socket) => {
 			socket.once('data', () => socket.end(rawAnswer));
 		});
