--- a/packages/daemon/src/upstream/probe.ts
+++ b/packages/daemon/src/upstream/probe.ts
@@ -1,12 +1,12 @@
-/** Probes on new connections, and what follows from them. */
+/** Probes executors on new connections and applies the results. */
 import * as core from '@gullstand/core';
 import * as pools from './connection-pool.js';
 import type {Connection} from './connection.js';
 import * as exchanges from './exchange.js';
-import {startPatientTimer} from './patient-timer.js';
+import {startPauseTolerantTimer} from './pause-tolerant-timer.js';
 import type {ExecutorLink, UpstreamState} from './state.js';
 
-/** Undefined if there was no connection to spare for it. */
+/** Undefined if no connection was available for the probe. */
 type ProbeResult = 'answered' | 'failed' | undefined;
 
 const probeRequest = {
@@ -16,8 +16,8 @@
 	body: undefined,
 } as const;
 
-/** Any status will do: it proves that bytes go both ways. */
-const ask = async (
+/** Sends the probe request; an answer with any status is a success. */
+const sendProbeRequest = async (
 	state: UpstreamState,
 	{pool}: ExecutorLink,
 	connection: Connection,
@@ -36,10 +36,13 @@
 				}
 			},
 		});
-		const timer = startPatientTimer(state.cfg.silence.probeTimeoutMs, () => {
-			exchange.abort();
-			resolve('failed');
-		});
+		const timer = startPauseTolerantTimer(
+			state.cfg.unresponsiveDetection.probeTimeoutMs,
+			() => {
+				exchange.abort();
+				resolve('failed');
+			},
+		);
 	});
 
 const probe = async (
@@ -61,69 +64,84 @@
 		return 'answered';
 	}
 
-	return ask(state, link, connection);
+	return sendProbeRequest(state, link, connection);
 };
 
-/** Finds out whether old connections are dead or the executor is. */
+/** Probes whether only old connections are broken or the executor is down. */
 const probeSuspected = async (
 	state: UpstreamState,
 	link: ExecutorLink,
 ): Promise<void> => {
 	const result = await probe(state, link);
 	if (result === undefined) {
-		link.silence.probing = false;
+		link.probeState.probing = false;
 		return;
 	}
 
-	const verdict = core.connectionSilence.recordProbe(
-		link.silence,
+	const decision = core.connectionSilence.recordProbe(
+		link.probeState,
 		result === 'answered',
-		link.silentAttempts > 0,
+		link.unresponsiveAttempts > 0,
 	);
-	link.silentAttempts = 0;
-	if (verdict.kind === 'retire-older') {
-		const retired = pools.retireOlder(link.pool, verdict.before);
+	link.unresponsiveAttempts = 0;
+	if (decision.kind === 'retire-older') {
+		const retired = pools.retireOlder(link.pool, decision.before);
 		state.stats.retiredConnections += retired;
-	} else if (verdict.kind === 'unreachable') {
+	} else if (decision.kind === 'unreachable') {
 		const event = {kind: 'unreachable'} as const;
 		core.health.recordEvent(state.health, link.id, event, state.clock());
 	}
 };
 
-/** Puts the connections of an executor in doubt and probes if one is due. */
-export const suspect = (state: UpstreamState, link: ExecutorLink): void => {
-	const {silence} = state.cfg;
+/** Marks the connections of an executor as suspected and probes if due. */
+export const suspectConnections = (
+	state: UpstreamState,
+	link: ExecutorLink,
+): void => {
+	const {unresponsiveDetection} = state.cfg;
 	const now = state.clock();
-	if (core.connectionSilence.recordSilence(link.silence, silence, now)) {
+	if (
+		core.connectionSilence.recordSilence(
+			link.probeState,
+			unresponsiveDetection,
+			now,
+		)
+	) {
 		void probeSuspected(state, link);
 	}
 };
 
-/** An ejected executor whose time is over returns only after an answer. */
+/** Probes an ejected executor, which returns only after an answered probe. */
 const probeEjected = async (
 	state: UpstreamState,
 	link: ExecutorLink,
 ): Promise<void> => {
-	if (link.silence.probing) {
+	if (link.probeState.probing) {
 		return;
 	}
 
-	link.silence.probing = true;
-	link.silence.lastProbeAt = state.clock();
+	link.probeState.probing = true;
+	link.probeState.lastProbeAt = state.clock();
 	const result = await probe(state, link);
-	link.silence.probing = false;
+	link.probeState.probing = false;
 	if (result !== undefined) {
 		const kind = result === 'answered' ? 'probed' : 'unreachable';
 		core.health.recordEvent(state.health, link.id, {kind}, state.clock());
 	}
 };
 
-/** Starts every probe that is due; call it every `sweepMs`. */
+/** Starts all due probes; called every `sweepMs`. */
 export const startDueProbes = (state: UpstreamState): void => {
 	const now = state.clock();
-	const {silence} = state.cfg;
+	const {unresponsiveDetection} = state.cfg;
 	for (const link of state.links.values()) {
-		if (core.connectionSilence.startProbeIfDue(link.silence, silence, now)) {
+		if (
+			core.connectionSilence.startProbeIfDue(
+				link.probeState,
+				unresponsiveDetection,
+				now,
+			)
+		) {
 			void probeSuspected(state, link);
 		}
 	}
