--- a/packages/bench/src/benches/rollout/operator.ts
+++ b/packages/bench/src/benches/rollout/operator.ts
@@ -29,8 +29,7 @@
 		registrations,
 		heard,
 		{revision},
-	)
-		.length === 0;
+	).length === 0;
 
 /** Offers a change to every peer again until all have acknowledged. */
 const announce = async (
