--- a/packages/bench/src/benches/faults/executor-worker.ts
+++ b/packages/bench/src/benches/faults/executor-worker.ts
@@ -27,12 +27,12 @@
 );
 
 const report = (): ExecutorReport[] =>
-	executors.map(({id, address, availabilityZone, runs, swallowed}) => ({
+	executors.map(({id, address, availabilityZone, runs, unanswered}) => ({
 		id,
 		address,
 		availabilityZone,
 		runs,
-		swallowed,
+		swallowed: unanswered,
 	}));
 
 const run = async (command: FleetCommand): Promise<void> => {
--- a/packages/bench/src/benches/outage/fleet.ts
+++ b/packages/bench/src/benches/outage/fleet.ts
@@ -120,9 +120,9 @@
 	const sharer = platform.client.createRateSharer({
 		...client,
 		fleetRate: platform.client.defaultFleetRate,
-		silentMs: 3 * shareMs,
+		expireAfterMs: 3 * shareMs,
 	});
-	sharer.setListed(options.entries);
+	sharer.setListedEntryCount(options.entries);
 	for (;;) {
 		await env.wait(daemon.getJitteredMs(shareMs, env.random()));
 		await sharer.exchange();
--- a/packages/cli/src/commands/answer.ts
+++ b/packages/cli/src/commands/answer.ts
@@ -6,7 +6,7 @@
 type Fields = Readonly<Record<string, unknown>>;
 
 /** A field as text. */
-export const show = (value: unknown): string =>
+export const formatValue = (value: unknown): string =>
 	typeof value === 'string' ? value : (JSON.stringify(value) ?? '(none)');
 
 /** Fields of an answer; none if it is not an object. */
@@ -32,7 +32,7 @@
 	].join('\n');
 
 const formatLag = (lag: Fields): string =>
-	`  ${show(lag.entry)}: ${show(lag.reason)}, at revision ${show(lag.inForce)}`;
+	`  ${formatValue(lag.entry)}: ${formatValue(lag.reason)}, at revision ${formatValue(lag.inForce)}`;
 
 const formatFault = (fault: unknown): string => `  ${JSON.stringify(fault)}`;
 
@@ -60,13 +60,15 @@
 	const {error, message, outcome, operationId} = fields;
 	const details = [fields.faults, fields.problems].flat();
 	return [
-		`${show(error ?? answer.status)}: ${show(message ?? 'the call failed')} (outcome: ${show(outcome ?? 'unknown')})`,
+		`${formatValue(error ?? answer.status)}: ${formatValue(message ?? 'the call failed')} (outcome: ${formatValue(outcome ?? 'unknown')})`,
 		...details
 			.filter((detail) => detail !== undefined)
 			.map((detail) => formatFault(detail)),
 		...(operationId === undefined
 			? []
-			: [`  look it up: gullstand change list --id ${show(operationId)}`]),
+			: [
+					`  look it up: gullstand change list --id ${formatValue(operationId)}`,
+				]),
 		...(fields.current && answer.etag !== undefined
 			? ['it is now:', formatObject(fields.current, answer.etag)]
 			: []),
--- a/packages/cli/src/commands/call.ts
+++ b/packages/cli/src/commands/call.ts
@@ -7,14 +7,14 @@
 export type Fields = Readonly<Record<string, unknown>>;
 
 /** Lines for an answer's fields. */
-export type Format = (fields: Fields) => readonly string[];
+export type FormatAnswer = (fields: Fields) => readonly string[];
 
 /** Makes the call and prints its answer. */
-export const call = async (
+export const callAndPrint = async (
 	request: OperatorCall,
 	flags: TargetFlags,
 	io: Io,
-	format: Format,
+	format: FormatAnswer,
 ): Promise<void> => {
 	const target = await readTarget(flags, io);
 	if (target) {
--- a/packages/cli/src/commands/demo.ts
+++ b/packages/cli/src/commands/demo.ts
@@ -1,7 +1,7 @@
 /** `gullstand demo`: one embedded daemon at work. */
 import process from 'node:process';
 import type {Command} from 'commander';
-import {isDemoGood, runDemo, type DemoReport} from '../demo/run-demo.js';
+import {hasDemoSucceeded, runDemo, type DemoReport} from '../demo/run-demo.js';
 
 const printReport = (report: DemoReport) => {
 	console.log('answers');
@@ -34,6 +34,6 @@
 				printReport(report);
 			}
 
-			process.exitCode = isDemoGood(report) ? 0 : 1;
+			process.exitCode = hasDemoSucceeded(report) ? 0 : 1;
 		});
 };
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -1,24 +1,24 @@
 /** `gullstand status|pool|move|entry|change`: what the fleet is doing. */
 import type {Command} from 'commander';
-import {formatInForce, show} from './answer.js';
-import {call, type Fields} from './call.js';
+import {formatInForce, formatValue} from './answer.js';
+import {callAndPrint, type Fields} from './call.js';
 import {addTargetFlags, type Io, type TargetFlags} from './io.js';
 
 const formatCounts = (counts: Fields): string =>
 	Object.entries(counts)
-		.map(([name, count]) => `${name} ${show(count)}`)
+		.map(([name, count]) => `${name} ${formatValue(count)}`)
 		.join(', ');
 
 const formatPool = (pool: Fields): readonly string[] => {
 	const services = pool.services as readonly Fields[];
 	return [
-		`${show(pool.pool)}: ${formatCounts(pool.states as Fields)}`,
+		`${formatValue(pool.pool)}: ${formatCounts(pool.states as Fields)}`,
 		...services.map((each) => {
 			const away = each.mayBeAway as Fields | null;
 			const bound = away
-				? `${show(away.value)} may be away (contract ${show(away.customer)})`
+				? `${formatValue(away.value)} may be away (contract ${formatValue(away.customer)})`
 				: 'no contract';
-			return `  service ${show(each.service)}: ${bound}`;
+			return `  service ${formatValue(each.service)}: ${bound}`;
 		}),
 	];
 };
@@ -26,30 +26,30 @@
 const formatEntry = (entry: Fields): string => {
 	const holding = entry.holding as readonly string[];
 	const state =
-		entry.lags === null ? 'up to date' : `lags: ${show(entry.lags)}`;
+		entry.lags === null ? 'up to date' : `lags: ${formatValue(entry.lags)}`;
 	const held = holding.length === 0 ? '' : `, holds ${holding.join(' ')}`;
-	return `${show(entry.entry)} ${show(entry.address)} revision ${show(entry.inForce)}, ${state}${held}, version ${show(entry.etag)}`;
+	return `${formatValue(entry.entry)} ${formatValue(entry.address)} revision ${formatValue(entry.inForce)}, ${state}${held}, version ${formatValue(entry.etag)}`;
 };
 
 const formatObjectChange = (change: Fields): string => {
-	const [verb = '', name = ''] = show(change.kind).split('-');
+	const [verb = '', name = ''] = formatValue(change.kind).split('-');
 	const object = (change[name] ?? change) as Fields;
 	const key = object.customer ?? object.name ?? object.id;
-	return `${verb} ${name} ${show(key)}`;
+	return `${verb} ${name} ${formatValue(key)}`;
 };
 
 const formatChange = (delta: Fields): string => {
 	const changes = delta.changes as readonly Fields[];
 	const at = new Date(Number(delta.committedAt)).toISOString();
 	const objects = changes.map((change) => formatObjectChange(change));
-	return `${show(delta.revision)} ${at} ${show(delta.author)}: ${objects.join(', ')}`;
+	return `${formatValue(delta.revision)} ${at} ${formatValue(delta.author)}: ${objects.join(', ')}`;
 };
 
 const registerPools = (program: Command, io: Io) => {
 	const group = program.command('pool').description('pools of instances');
 	addTargetFlags(group.command('list').description('list all')).action(
 		async (flags: TargetFlags) =>
-			call({method: 'GET', path: '/v1/pools'}, flags, io, (fields) =>
+			callAndPrint({method: 'GET', path: '/v1/pools'}, flags, io, (fields) =>
 				(fields.pools as readonly Fields[]).flatMap((pool) => formatPool(pool)),
 			),
 	);
@@ -57,14 +57,14 @@
 		.description('show instances, services and what binds them')
 		.action(async (pool: string, flags: TargetFlags) => {
 			const path = `/v1/pools/${encodeURIComponent(pool)}`;
-			await call({method: 'GET', path}, flags, io, (fields) => {
+			await callAndPrint({method: 'GET', path}, flags, io, (fields) => {
 				const shown = fields.pool as Fields;
 				const instances = shown.instances as readonly Fields[];
 				return [
 					...formatPool(shown),
 					...instances.map(
 						(each) =>
-							`  ${show(each.id)} ${show(each.address)} ${show(each.availabilityZone)}/${show(each.rack)} ${show(each.state)}`,
+							`  ${formatValue(each.id)} ${formatValue(each.address)} ${formatValue(each.availabilityZone)}/${formatValue(each.rack)} ${formatValue(each.state)}`,
 					),
 				];
 			});
@@ -75,7 +75,7 @@
 	const group = program.command('entry').description('entries of the fleet');
 	addTargetFlags(group.command('list').description('list all')).action(
 		async (flags: TargetFlags) =>
-			call({method: 'GET', path: '/v1/entries'}, flags, io, (fields) =>
+			callAndPrint({method: 'GET', path: '/v1/entries'}, flags, io, (fields) =>
 				(fields.entries as readonly Fields[]).map((entry) =>
 					formatEntry(entry),
 				),
@@ -85,7 +85,7 @@
 		.description('say that an entry has certainly ended')
 		.requiredOption('--if-match <version>', 'version that "list" showed')
 		.action(async (entry: string, flags: TargetFlags & {ifMatch: string}) =>
-			call(
+			callAndPrint(
 				{
 					method: 'DELETE',
 					path: `/v1/entries/${encodeURIComponent(entry)}`,
@@ -116,7 +116,7 @@
 			}
 
 			const path = `/v1/changes?${query.toString()}`;
-			await call({method: 'GET', path}, flags, io, (fields) =>
+			await callAndPrint({method: 'GET', path}, flags, io, (fields) =>
 				(fields.changes as readonly Fields[]).map((delta) =>
 					formatChange(delta),
 				),
@@ -127,7 +127,7 @@
 		.option('--wait <ms>', 'wait until in force on every entry')
 		.action(async (revision: string, flags: TargetFlags & {wait?: string}) => {
 			const path = `/v1/changes/${encodeURIComponent(revision)}?wait=${encodeURIComponent(flags.wait ?? '0')}`;
-			await call({method: 'GET', path}, flags, io, (fields) => [
+			await callAndPrint({method: 'GET', path}, flags, io, (fields) => [
 				formatChange(fields.change as Fields),
 				...formatInForce(fields),
 			]);
@@ -137,9 +137,10 @@
 const formatMove = (move: Fields): readonly string[] => {
 	const lagging = move.lagging as readonly Fields[];
 	return [
-		`${show(move.instance)}: ${show(move.from)} to ${show(move.to)}, by ${show(move.author)}`,
+		`${formatValue(move.instance)}: ${formatValue(move.from)} to ${formatValue(move.to)}, by ${formatValue(move.author)}`,
 		...lagging.map(
-			(lag) => `  waits for ${show(lag.entry)}: ${show(lag.reason)}`,
+			(lag) =>
+				`  waits for ${formatValue(lag.entry)}: ${formatValue(lag.reason)}`,
 		),
 	];
 };
@@ -149,12 +150,12 @@
 	const getPath = (instance: string) =>
 		`/v1/instances/${encodeURIComponent(instance)}/move`;
 	const formatStep = (fields: Fields) => [
-		`${show(fields.transition)}: revision ${show(fields.revision)}`,
+		`${formatValue(fields.transition)}: revision ${formatValue(fields.revision)}`,
 	];
 	addTargetFlags(group.command('list'))
 		.description('list moves under way and who is waited for')
 		.action(async (flags: TargetFlags) =>
-			call({method: 'GET', path: '/v1/moves'}, flags, io, (fields) =>
+			callAndPrint({method: 'GET', path: '/v1/moves'}, flags, io, (fields) =>
 				(fields.moves as readonly Fields[]).flatMap((move) => formatMove(move)),
 			),
 		);
@@ -164,27 +165,27 @@
 		.action(async (instance: string, flags: TargetFlags & {to: string}) => {
 			const body = {to: flags.to};
 			const path = getPath(instance);
-			await call({method: 'POST', path, body}, flags, io, formatStep);
+			await callAndPrint({method: 'POST', path, body}, flags, io, formatStep);
 		});
 	addTargetFlags(group.command('cancel').argument('<instance>'))
 		.description('let an instance serve its old pool again')
 		.action(async (instance: string, flags: TargetFlags) => {
 			const path = getPath(instance);
-			await call({method: 'DELETE', path}, flags, io, formatStep);
+			await callAndPrint({method: 'DELETE', path}, flags, io, formatStep);
 		});
 };
 
 const formatCondition = (condition: Fields): string => {
 	const {kind, ...more} = condition;
-	const details = Object.keys(more).length === 0 ? '' : ` ${show(more)}`;
-	return `${show(kind)}${details}`;
+	const details = Object.keys(more).length === 0 ? '' : ` ${formatValue(more)}`;
+	return `${formatValue(kind)}${details}`;
 };
 
 const formatStatus = (fields: Fields): readonly string[] => {
 	const view = fields.view as Fields;
 	return [
 		fields.ready === true ? 'ready' : 'not ready',
-		`revision ${show(fields.revision)}, first from ${show(view.origin)}`,
+		`revision ${formatValue(fields.revision)}, first from ${formatValue(view.origin)}`,
 		`table service: ${formatCondition(view.condition as Fields)}`,
 	];
 };
@@ -193,7 +194,12 @@
 	addTargetFlags(program.command('status'))
 		.description('show one entry and how its view stands')
 		.action(async (flags: TargetFlags) =>
-			call({method: 'GET', path: '/v1/status'}, flags, io, formatStatus),
+			callAndPrint(
+				{method: 'GET', path: '/v1/status'},
+				flags,
+				io,
+				formatStatus,
+			),
 		);
 };
 
--- a/packages/cli/src/commands/job-logs.test.ts
+++ b/packages/cli/src/commands/job-logs.test.ts
@@ -2,11 +2,11 @@
 import {jobPhases} from '@gullstand/core';
 import * as tap from 'tap';
 import {
-	formatLedger,
-	formatLegs,
+	formatMissCauses,
+	formatPhases,
 	parseLines,
-	plotCauses,
-	plotRoom,
+	plotMissCauses,
+	plotCapacity,
 } from './job-logs.js';
 
 const id = '0a17ce1d69eaa20e';
@@ -57,14 +57,14 @@
 });
 
 tap.t.test('the ledger names the cause', async (t) => {
-	t.same(formatLedger(all), [
+	t.same(formatMissCauses(all), [
 		'q: 1 jobs, 0 in time; lost of the work asked for',
 		'  100.0% no room for its first task',
 	]);
 });
 
 tap.t.test('the legs of one job', async (t) => {
-	t.same(formatLegs(all, id), [
+	t.same(formatPhases(all, id), [
 		`${id} q completed, objective 1600 ms`,
 		'  accept 10 ms',
 		'  tell 2 ms',
@@ -74,14 +74,14 @@
 		'  store 10 ms',
 		'  lost: no room for its first task',
 	]);
-	t.same(formatLegs(all, 'ffff'), ['ffff is in none of these lines']);
+	t.same(formatPhases(all, 'ffff'), ['ffff is in none of these lines']);
 });
 
 tap.t.test('charts', async (t) => {
-	const causes = plotCauses(all, jobPhases.readJobs([]));
+	const causes = plotMissCauses(all, jobPhases.readJobs([]));
 	t.match(causes, /^<svg .*<\/svg>\n$/sv);
 	t.ok(causes.includes('no room for its first task'));
 	t.ok(causes.includes('100.0%'));
-	const room = plotRoom(lines, 's');
+	const room = plotCapacity(lines, 's');
 	t.equal(room.match(/<polyline/gv)?.length, 2);
 });
--- a/packages/cli/src/commands/job-logs.ts
+++ b/packages/cli/src/commands/job-logs.ts
@@ -46,7 +46,9 @@
 	`${(percent * share).toFixed(1).padStart(5)}%`;
 
 /** The ledger as lines of text. */
-export const formatLedger = (all: jobPhases.LoggedJobs): readonly string[] =>
+export const formatMissCauses = (
+	all: jobPhases.LoggedJobs,
+): readonly string[] =>
 	jobPhases.summarizeQueues(all).flatMap(({queue, jobs, inTime, lost}) => [
 		`${queue === '' ? '(taken in by no owner)' : queue}: ${jobs} jobs, ${inTime} in time; lost of the work asked for`,
 		...Object.entries(lost)
@@ -58,7 +60,7 @@
 	]);
 
 /** The legs of one job as lines of text. */
-export const formatLegs = (
+export const formatPhases = (
 	all: jobPhases.LoggedJobs,
 	id: string,
 ): readonly string[] => {
@@ -80,7 +82,7 @@
 const msPerSecond = 1000;
 
 /** A chart of what two sets of lines lost, by cause. */
-export const plotCauses = (
+export const plotMissCauses = (
 	before: jobPhases.LoggedJobs,
 	after: jobPhases.LoggedJobs,
 ): string => {
@@ -100,7 +102,7 @@
 };
 
 /** A chart of a pool's room, asked for and held. */
-export const plotRoom = (
+export const plotCapacity = (
 	lines: readonly jobPhases.LogLine[],
 	pool: string,
 ): string => {
@@ -120,7 +122,7 @@
 		.command('ledger [files...]')
 		.description('why jobs were late, by queue, from log lines of all entries')
 		.action(async (files: readonly string[]) => {
-			io.print(formatLedger(await readLogs(files)).join('\n'));
+			io.print(formatMissCauses(await readLogs(files)).join('\n'));
 		});
 	group
 		.command('plot-causes <out> <before> <after>')
@@ -128,18 +130,18 @@
 		.action(async (out: string, before: string, after: string) => {
 			const logs = [before, after].map(async (file) => readLogs([file]));
 			const [first, second] = await Promise.all(logs);
-			await writeFile(out, plotCauses(first!, second!));
+			await writeFile(out, plotMissCauses(first!, second!));
 		});
 	group
 		.command('plot-room <out> <pool> [files...]')
 		.description('an SVG of the room of a pool, asked for and held')
 		.action(async (out: string, pool: string, files: readonly string[]) => {
-			await writeFile(out, plotRoom(await readLines(files), pool));
+			await writeFile(out, plotCapacity(await readLines(files), pool));
 		});
 	group
 		.command('legs <id> [files...]')
 		.description('where the time of one job went, from the same lines')
 		.action(async (id: string, files: readonly string[]) => {
-			io.print(formatLegs(await readLogs(files), id).join('\n'));
+			io.print(formatPhases(await readLogs(files), id).join('\n'));
 		});
 };
--- a/packages/cli/src/commands/job.ts
+++ b/packages/cli/src/commands/job.ts
@@ -3,8 +3,8 @@
 import {randomBytes} from 'node:crypto';
 import type {Command} from 'commander';
 import {parse} from 'smol-toml';
-import {show} from './answer.js';
-import {call, type Fields, type Format} from './call.js';
+import {formatValue} from './answer.js';
+import {callAndPrint, type Fields, type FormatAnswer} from './call.js';
 import {addTargetFlags, type Io, type TargetFlags} from './io.js';
 import {registerJobLogs} from './job-logs.js';
 
@@ -13,26 +13,26 @@
 const getPath = (queue: string, id: string): string =>
 	`/v1/jobs/${encodeURIComponent(queue)}/${encodeURIComponent(id)}`;
 
-const formatJob: Format = ({job, state, isRepeat}) => [
+const formatJob: FormatAnswer = ({job, state, isRepeat}) => [
 	[
-		show(job),
-		...(state === undefined ? [] : [show(state)]),
+		formatValue(job),
+		...(state === undefined ? [] : [formatValue(state)]),
 		...(isRepeat === true ? ['was accepted before'] : []),
 	].join(' '),
 ];
 
-const formatList: Format = ({jobs}) =>
+const formatList: FormatAnswer = ({jobs}) =>
 	(jobs as readonly Fields[]).map(
 		({job, queue, state, acceptedAtEpochMs}) =>
-			`${show(job)} ${show(queue)} ${show(state)} ${new Date(
+			`${formatValue(job)} ${formatValue(queue)} ${formatValue(state)} ${new Date(
 				Number(acceptedAtEpochMs),
 			).toISOString()}`,
 	);
 
-const formatTasks: Format = ({tasks}) =>
+const formatTasks: FormatAnswer = ({tasks}) =>
 	(tasks as readonly Fields[]).map(
 		({task, state, because}) =>
-			`${show(task)} ${show(state)}: ${show(because)}`,
+			`${formatValue(task)} ${formatValue(state)}: ${formatValue(because)}`,
 	);
 
 /** Registers the commands. */
@@ -52,31 +52,36 @@
 				const id = flags.id ?? randomBytes(idBytes).toString('hex');
 				const body = parse(await readFile(file, 'utf8'));
 				const path = getPath(queue, id);
-				await call({method: 'PUT', path, body}, flags, io, formatJob);
+				await callAndPrint({method: 'PUT', path, body}, flags, io, formatJob);
 			},
 		);
 	addTargetFlags(group.command('list'))
 		.description('jobs of the services that this entry owns')
 		.action(async (flags: TargetFlags) => {
-			await call({method: 'GET', path: '/v1/jobs'}, flags, io, formatList);
+			await callAndPrint(
+				{method: 'GET', path: '/v1/jobs'},
+				flags,
+				io,
+				formatList,
+			);
 		});
 	addTargetFlags(group.command('show <queue> <id>'))
 		.description('the state of a job')
 		.action(async (queue: string, id: string, flags: TargetFlags) => {
 			const path = getPath(queue, id);
-			await call({method: 'GET', path}, flags, io, formatJob);
+			await callAndPrint({method: 'GET', path}, flags, io, formatJob);
 		});
 	addTargetFlags(group.command('cancel <queue> <id>'))
 		.description('cancel a job; what runs of it is stopped')
 		.action(async (queue: string, id: string, flags: TargetFlags) => {
 			const path = getPath(queue, id);
-			await call({method: 'DELETE', path}, flags, io, formatJob);
+			await callAndPrint({method: 'DELETE', path}, flags, io, formatJob);
 		});
 	registerJobLogs(group, io);
 	addTargetFlags(program.command('explain <queue> <id>'))
 		.description('why each task of a job runs, waits or is not placed')
 		.action(async (queue: string, id: string, flags: TargetFlags) => {
 			const path = `${getPath(queue, id)}/explanation`;
-			await call({method: 'GET', path}, flags, io, formatTasks);
+			await callAndPrint({method: 'GET', path}, flags, io, formatTasks);
 		});
 };
--- a/packages/cli/src/commands/objects.ts
+++ b/packages/cli/src/commands/objects.ts
@@ -12,7 +12,7 @@
 	formatObject,
 	printAnswer,
 	readVersionLine,
-	show,
+	formatValue,
 } from './answer.js';
 import {
 	addTargetFlags,
@@ -88,7 +88,7 @@
 			({path, before, after}) =>
 				`${path}: ${JSON.stringify(before) ?? '(none)'} -> ${JSON.stringify(after) ?? '(none)'}`,
 		),
-		...problems.map((problem) => `would break: ${show(problem)}`),
+		...problems.map((problem) => `would break: ${formatValue(problem)}`),
 	];
 };
 
@@ -136,7 +136,7 @@
 			const answer = await callOperator(target, {method: 'GET', path});
 			printAnswer(answer, flags, io, (fields) => {
 				const objects = fields[`${kind.name}s`] as readonly Fields[];
-				return objects.map((each) => show(each[kind.keyField]));
+				return objects.map((each) => formatValue(each[kind.keyField]));
 			});
 		});
 };
@@ -182,7 +182,7 @@
 	const path = getPath(kind, key) + getWaitQuery(flags);
 	const answer = await callOperator(target, {...rest, path});
 	printAnswer(answer, flags, io, (fields) => [
-		`${kind.name} ${key}: revision ${show(fields.revision)}`,
+		`${kind.name} ${key}: revision ${formatValue(fields.revision)}`,
 		...formatInForce(fields),
 	]);
 };
--- a/packages/cli/src/commands/wave.ts
+++ b/packages/cli/src/commands/wave.ts
@@ -3,7 +3,7 @@
 import {setTimeout} from 'node:timers/promises';
 import {InvalidArgumentError, type Command} from 'commander';
 import {callOperator, type OperatorCall} from '../client/operator-client.js';
-import {getExitCode, getFields, printAnswer, show} from './answer.js';
+import {getExitCode, getFields, printAnswer, formatValue} from './answer.js';
 import {addTargetFlags, readTarget, type Io, type TargetFlags} from './io.js';
 import {
 	formatBar,
@@ -114,7 +114,7 @@
 			.action(async (id: string, flags: TargetFlags) => {
 				const path = getPath(id, `/${name}`);
 				await call({method: 'POST', path}, flags, io, ({wave}) => [
-					`wave ${id}: ${show((wave as Fields).state)}`,
+					`wave ${id}: ${formatValue((wave as Fields).state)}`,
 				]);
 			});
 	}
@@ -191,7 +191,7 @@
 			call({method: 'GET', path: '/v1/waves'}, flags, io, ({waves}) =>
 				(waves as readonly Fields[]).map(
 					(wave) =>
-						`${show(wave.id)} ${show(wave.state)} ${(wave.pools as readonly string[]).join(',')}`,
+						`${formatValue(wave.id)} ${formatValue(wave.state)} ${(wave.pools as readonly string[]).join(',')}`,
 				),
 			),
 	);
--- a/packages/cli/src/demo/callers.ts
+++ b/packages/cli/src/demo/callers.ts
@@ -3,7 +3,7 @@
 import {headerNames} from '@gullstand/daemon';
 
 /** How the callers of one customer call one service. */
-export type Load = {
+export type LoadOptions = {
 	readonly url: string;
 	readonly token: string;
 	readonly path: string;
@@ -28,7 +28,7 @@
 };
 
 /** Sends the load and counts what came back. */
-export const sendLoad = async (load: Load): Promise<LoadReport> => {
+export const sendLoad = async (load: LoadOptions): Promise<LoadReport> => {
 	const agent = new Agent({connections: load.callers, pipelining: 1});
 	const statuses: Record<string, number> = {};
 	const outcomes: Record<string, number> = {};
--- a/packages/cli/src/demo/run-demo.ts
+++ b/packages/cli/src/demo/run-demo.ts
@@ -230,7 +230,7 @@
 };
 
 /** Whether the demo showed what it promises. */
-export const isDemoGood = (report: DemoReport): boolean =>
+export const hasDemoSucceeded = (report: DemoReport): boolean =>
 	report.wave.state === 'done' &&
 	report.budgetViolations === 0 &&
 	report.jobs.completed === demoJobs &&
--- a/packages/daemon/src/idempotency/group-writer.ts
+++ b/packages/daemon/src/idempotency/group-writer.ts
@@ -5,7 +5,7 @@
 import * as core from '@gullstand/core';
 import type {Result} from '@gullstand/core';
 import type {
-	Committed,
+	CommitResult,
 	JsonValue,
 	Row,
 	StoreError,
@@ -109,7 +109,7 @@
 
 	const commit = async (
 		entries: readonly Entry[],
-	): Promise<Result<Committed, StoreError>> => {
+	): Promise<Result<CommitResult, StoreError>> => {
 		state.commitCount++;
 		const writes = entries.map(({key, row, when}) => ({
 			kind: 'put' as const,
--- a/packages/daemon/src/jobs/job-daemon.test.ts
+++ b/packages/daemon/src/jobs/job-daemon.test.ts
@@ -202,15 +202,15 @@
 			'the start',
 			() => platform.executors.listRunning('x').length > 0,
 		);
-		platform.executorFeed.spoil('x', 'no address');
+		platform.executorFeed.setUnreadable('x', 'no address');
 		await waitUntil('the count', () =>
 			daemon!.metrics
 				.formatText()
 				.includes('gullstand_rows_unreadable{label="executors"} 1'),
 		);
 		await submit(daemon!, second);
-		const looks = platform.executors.countLooks();
-		await waitUntil('looks', () => platform.executors.countLooks() > looks + 2);
+		const looks = platform.executors.countPolls();
+		await waitUntil('looks', () => platform.executors.countPolls() > looks + 2);
 		platform.executors.finish('x', `${first}.0.0.0`, 'done');
 		await waitUntil(
 			'the end',
@@ -271,7 +271,7 @@
 
 		let away = 0;
 		let mostAway = 0;
-		platform.machines.onOrder = ({machine}) => {
+		platform.machines.onCommand = ({machine}) => {
 			away += 1;
 			mostAway = Math.max(mostAway, away);
 			setTimeout(() => {
@@ -304,7 +304,7 @@
 		);
 		t.same(
 			platform.machines
-				.listOrders()
+				.listCommands()
 				.map(({machine}) => machine)
 				.toSorted(),
 			['m-x', 'm-y', 'm-z'],
--- a/packages/daemon/src/jobs/owner/executor-link.test.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.test.ts
@@ -1,5 +1,5 @@
 import {scheduler} from '@gullstand/core';
-import type {Executors, LookAnswer} from '@gullstand/ports';
+import type {Executors, PollAnswer} from '@gullstand/ports';
 import * as tap from 'tap';
 import {createListedExecutor, now} from '../job-daemon.test.fixture.js';
 import {openExecutorLink} from './executor-link.js';
@@ -7,20 +7,20 @@
 type Waits = number[];
 
 /** Executors whose looks all answer the same, after the time asked for. */
-const createExecutors = (answer: LookAnswer, waits: Waits): Executors => {
+const createExecutors = (answer: PollAnswer, waits: Waits): Executors => {
 	const done = async () => ({kind: 'done', clockMs: now()}) as const;
 	return {
 		start: async () => ({kind: 'started', clockMs: now()}),
 		stop: done,
-		pace: done,
-		async look(_target, {waitMs}) {
+		throttle: done,
+		async poll(_target, {waitMs}) {
 			waits.push(waitMs);
 			await new Promise((resolve) => {
 				setTimeout(resolve, waitMs);
 			});
 			return answer;
 		},
-		forget: () => undefined,
+		closeConnections: () => undefined,
 	};
 };
 
--- a/packages/daemon/src/jobs/owner/executor-link.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.ts
@@ -3,7 +3,7 @@
  * renew the leases and bring what has ended, and the orders between them.
  */
 import {scheduler} from '@gullstand/core';
-import type {Executors, ExecutorTarget, LookAnswer} from '@gullstand/ports';
+import type {Executors, ExecutorTarget, PollAnswer} from '@gullstand/ports';
 import {match} from 'ts-pattern';
 import type {Logger} from '../../log/logger.js';
 import {delay} from '../clock.js';
@@ -100,7 +100,7 @@
 		}
 	};
 
-	const takeSeen = (answer: LookAnswer & {kind: 'seen'}, sentAt: number) => {
+	const takeSeen = (answer: PollAnswer & {kind: 'seen'}, sentAt: number) => {
 		state.retryMs = periods.pollRetryMs;
 		const {clockMs, running, ends} = answer;
 		const look = {sentAt, receivedAt: now(), clockMs, running, ends};
@@ -171,7 +171,7 @@
 				? scheduler.grantLease(executor, owner.cfg.taskLeaseMs, now())
 				: undefined;
 		const sentAt = now();
-		const answer = await executors.look(
+		const answer = await executors.poll(
 			target,
 			{fencingToken: owner.token, acknowledgedUpto, leaseEndMs, waitMs},
 			waitMs + periods.pollTimeoutMs,
@@ -291,7 +291,7 @@
 		const {task, number} = paced;
 		const before = paced.speedLimitPercent;
 		paced.speedLimitPercent = percent;
-		const answer = await executors.pace(
+		const answer = await executors.throttle(
 			target,
 			{taskId: task.id, run: number, fencingToken: owner.token, percent},
 			periods.commandTimeoutMs,
@@ -322,7 +322,7 @@
 			sleep.end();
 			ackPause.end();
 			lookGap.end();
-			executors.forget(target);
+			executors.closeConnections(target);
 		},
 		send(order) {
 			void (order.kind === 'start' ? sendStart(order) : sendStop(order));
--- a/packages/daemon/src/jobs/owner/owner-runner.ts
+++ b/packages/daemon/src/jobs/owner/owner-runner.ts
@@ -196,7 +196,10 @@
 		request: scheduler.AdviceRequest,
 	) => {
 		const askedAt = clock.now();
-		const advice = await deps.advice?.ask(request, periods.adviceTimeoutMs);
+		const advice = await deps.advice?.requestAdvice(
+			request,
+			periods.adviceTimeoutMs,
+		);
 		logger.info('advice', {
 			step: request.stepId,
 			asked: request.executorIds.length,
--- a/packages/daemon/src/platform/open-platform.ts
+++ b/packages/daemon/src/platform/open-platform.ts
@@ -67,14 +67,14 @@
 		env,
 		id: randomUUID(),
 		fleetRate: platform.client.defaultFleetRate,
-		silentMs: silentPeriods * sharePeriodMs,
+		expireAfterMs: silentPeriods * sharePeriodMs,
 	});
 	const ticker = createTicker(sharer.exchange, sharePeriodMs, env.random);
 	void ticker.start(() => {
 		// An exchange reports its failures as values.
 	});
 	return {
-		setListed: sharer.setListed,
+		setListed: sharer.setListedEntryCount,
 		async stop() {
 			await ticker.stop();
 			await sharer.leave();
--- a/packages/daemon/src/view/commit-change.ts
+++ b/packages/daemon/src/view/commit-change.ts
@@ -6,7 +6,7 @@
 import type {followedView, Result, viewChange} from '@gullstand/core';
 import {
 	client,
-	type Committed,
+	type CommitResult,
 	type JsonValue,
 	type Precondition,
 	type StoreError,
@@ -52,7 +52,7 @@
 };
 
 /** A committed change. No versions if it was only found by reading back. */
-export type CommittedChange = Committed & {
+export type CommittedChange = CommitResult & {
 	readonly revision: number;
 	readonly delta: viewChange.ViewDelta;
 };
--- a/packages/ports/src/client/guarded-call.ts
+++ b/packages/ports/src/client/guarded-call.ts
@@ -48,8 +48,8 @@
 	writes: number;
 	failures: number;
 	/** Calls refused without being sent. */
-	refusedOpen: number;
-	refusedRate: number;
+	refusedByBreaker: number;
+	refusedByRateLimit: number;
 };
 
 type CallKind = 'reads' | 'writes';
@@ -140,13 +140,19 @@
 		env,
 		demands: {reads: createDemand(), writes: createDemand()},
 		buckets: {reads: createBucket('reads'), writes: createBucket('writes')},
-		counts: {reads: 0, writes: 0, failures: 0, refusedOpen: 0, refusedRate: 0},
+		counts: {
+			reads: 0,
+			writes: 0,
+			failures: 0,
+			refusedByBreaker: 0,
+			refusedByRateLimit: 0,
+		},
 		breaker: core.store.closedBreaker,
 	};
 };
 
 const refuseOpen = (state: State) => {
-	state.counts.refusedOpen += 1;
+	state.counts.refusedByBreaker += 1;
 	return core.fail({kind: 'unavailable'} as const);
 };
 
@@ -164,7 +170,7 @@
 
 	const waitMs = getWaitMs(state, kind, tokens);
 	if (waitMs === undefined) {
-		state.counts.refusedRate += 1;
+		state.counts.refusedByRateLimit += 1;
 		return core.fail({kind: 'unavailable'});
 	}
 
--- a/packages/ports/src/client/rate-sharer.test.ts
+++ b/packages/ports/src/client/rate-sharer.test.ts
@@ -13,7 +13,7 @@
 			tables,
 			id: `d${index}`,
 			fleetRate,
-			silentMs: 1000,
+			expireAfterMs: 1000,
 			env: {now: () => at, wait: async () => undefined, random: () => 0.5},
 			guard: {
 				getDemand: () => ({readsPerSecond: 0, writesPerSecond: demand}),
@@ -71,13 +71,13 @@
 tap.t.test('listed daemons without a row keep their share', async (t) => {
 	const {sharers, exchange, getWrites} = createFleet([100, 100]);
 	for (const sharer of sharers) {
-		sharer.setListed(4);
+		sharer.setListedEntryCount(4);
 	}
 
 	await exchange();
 	t.same(getWrites(), [25, 25]);
 	await sharers[1]!.leave();
-	sharers[0]!.setListed(1);
+	sharers[0]!.setListedEntryCount(1);
 	await sharers[0]!.exchange();
 	t.equal(getWrites()[0], 100);
 });
--- a/packages/ports/src/client/rate-sharer.ts
+++ b/packages/ports/src/client/rate-sharer.ts
@@ -19,7 +19,7 @@
 	readonly env: Environment;
 	readonly fleetRate: RateShare;
 	/** Rows unchanged for this long are not counted, in milliseconds. */
-	readonly silentMs: number;
+	readonly expireAfterMs: number;
 };
 
 /** Takes part in the sharing. */
@@ -27,7 +27,7 @@
 	/** Puts the own demand, reads the others', takes the share. */
 	readonly exchange: () => Promise<void>;
 	/** Number of entries that the list shows, at least as many are assumed. */
-	readonly setListed: (entries: number) => void;
+	readonly setListedEntryCount: (entries: number) => void;
 	/** Deletes the own row. */
 	readonly leave: () => Promise<void>;
 };
@@ -69,7 +69,7 @@
 	options: RateSharerOptions,
 	state: State,
 ): Promise<void> => {
-	const {tables, guard, id, env, silentMs} = options;
+	const {tables, guard, id, env, expireAfterMs} = options;
 	const own = {table: rateTable, key: id};
 	const value = {...guard.getDemand()};
 	const put = {kind: 'put', ...own, value, when: {kind: 'any'}} as const;
@@ -87,11 +87,11 @@
 	state.seen = core.observation.observeVersions(
 		state.seen,
 		versions,
-		silentMs,
+		expireAfterMs,
 		env.now(),
 	);
 	const isLive = ({key, version}: Row) =>
-		core.observation.getUnchangedMs(state.seen, key, version) < silentMs;
+		core.observation.getUnchangedMs(state.seen, key, version) < expireAfterMs;
 	const others: Array<RateShare | undefined> = read.value
 		.filter((row) => row.key !== id && isLive(row))
 		.map((row) => toDemand(row));
@@ -110,7 +110,7 @@
 	};
 	return {
 		exchange: async () => exchange(options, state),
-		setListed(entries) {
+		setListedEntryCount(entries) {
 			state.listed = entries;
 		},
 		async leave() {
--- a/packages/ports/src/http/connection.test.ts
+++ b/packages/ports/src/http/connection.test.ts
@@ -3,7 +3,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import * as tap from 'tap';
 import {createHttpConnection, type HttpConnection} from './connection.js';
-import type {TimeBound} from './exchange.js';
+import type {TimeoutKind} from './exchange.js';
 
 type World = {
 	readonly connection: HttpConnection;
@@ -126,7 +126,7 @@
 
 const bounds: ReadonlyArray<{
 	readonly path: string;
-	readonly bound: TimeBound;
+	readonly bound: TimeoutKind;
 	readonly timeoutMs: number;
 	readonly end: unknown;
 }> = [
@@ -163,7 +163,7 @@
 			method: 'GET',
 			path,
 			timeoutMs,
-			bound,
+			timeoutKind: bound,
 		});
 		t.match(
 			result.ok
--- a/packages/ports/src/http/connection.ts
+++ b/packages/ports/src/http/connection.ts
@@ -5,9 +5,9 @@
 import * as undici from 'undici';
 import {
 	exchange,
-	timeBounds,
+	timeoutKinds,
 	type HttpResult,
-	type TimeBound,
+	type TimeoutKind,
 } from './exchange.js';
 
 /** Settings of the client. */
@@ -39,7 +39,7 @@
 	/** Time for this call, in place of the pool's. */
 	readonly timeoutMs?: number;
 	/** What the time bounds; the whole call unless it is said. */
-	readonly bound?: TimeBound;
+	readonly timeoutKind?: TimeoutKind;
 	readonly body?: string | Uint8Array;
 };
 
@@ -81,7 +81,7 @@
 					body: request.body ?? null,
 				},
 				request.timeoutMs ?? timeoutMs,
-				request.bound ?? timeBounds.whole,
+				request.timeoutKind ?? timeoutKinds.whole,
 			),
 		async close() {
 			await pool.destroy();
--- a/packages/ports/src/http/exchange.ts
+++ b/packages/ports/src/http/exchange.ts
@@ -45,7 +45,7 @@
 		: undefined;
 
 /** What the time of a call bounds. */
-export const timeBounds = {
+export const timeoutKinds = {
 	/** The whole of it, queueing included: for a caller that cannot wait. */
 	whole: 'whole',
 	/**
@@ -54,11 +54,11 @@
 	 * configuration of 1,050,000 bytes takes 1.3 s at 7 Mbit/s, and entries that
 	 * gave it up after 1.2 s never had it.
 	 */
-	silence: 'silence',
+	idle: 'silence',
 } as const;
 
 /** One of the bounds. */
-export type TimeBound = (typeof timeBounds)[keyof typeof timeBounds];
+export type TimeoutKind = (typeof timeoutKinds)[keyof typeof timeoutKinds];
 
 /**
  * Longest that an answer may take to arrive in all, in milliseconds; origin:
@@ -74,7 +74,7 @@
 	dispatcher: undici.Dispatcher,
 	request: undici.Dispatcher.DispatchOptions,
 	timeoutMs: number,
-	bound: TimeBound,
+	bound: TimeoutKind,
 ): Promise<HttpResult> =>
 	new Promise((resolve) => {
 		const sentAt = performance.now();
@@ -117,7 +117,7 @@
 		};
 
 		const timer = setTimeout(
-			bound === timeBounds.silence ? giveUpIfSilent : giveUp,
+			bound === timeoutKinds.idle ? giveUpIfSilent : giveUp,
 			timeoutMs,
 		);
 
@@ -145,7 +145,7 @@
 			onResponseData(_controller, chunk) {
 				chunks.push(chunk);
 				receivedBytes += chunk.length;
-				if (bound === timeBounds.silence) {
+				if (bound === timeoutKinds.idle) {
 					noteArrival();
 				}
 			},
--- a/packages/ports/src/http/object-store.ts
+++ b/packages/ports/src/http/object-store.ts
@@ -3,7 +3,7 @@
 import type {ObjectError, ObjectStore} from '../ports/object-store.js';
 import * as messages from '../wire/messages.js';
 import type {HttpCall, HttpConnection} from './connection.js';
-import {timeBounds} from './exchange.js';
+import {timeoutKinds} from './exchange.js';
 
 const statuses = {
 	ok: 200,
@@ -54,7 +54,7 @@
 		const result = await connection.call({
 			method: 'GET',
 			path: getPath(name),
-			bound: timeBounds.silence,
+			timeoutKind: timeoutKinds.idle,
 		});
 		if (!result.ok) {
 			return result;
--- a/packages/ports/src/index.ts
+++ b/packages/ports/src/index.ts
@@ -19,11 +19,11 @@
 export * as messages from './wire/messages.js';
 export * from './http/connection.js';
 export {
-	timeBounds,
+	timeoutKinds,
 	type HttpAnswer,
 	type HttpFailure,
 	type HttpResult,
-	type TimeBound,
+	type TimeoutKind,
 } from './http/exchange.js';
 export * from './http/table-service.js';
 export * from './http/object-store.js';
--- a/packages/ports/src/memory/task-executors.ts
+++ b/packages/ports/src/memory/task-executors.ts
@@ -6,9 +6,9 @@
 import type {
 	Executors,
 	ExecutorTarget,
-	LookOrder,
-	RunOrder,
-	StartOrder,
+	PollRequest,
+	RunCommand,
+	StartCommand,
 } from '../ports/executors.js';
 
 /** How an executor treats the calls to it. */
@@ -66,7 +66,7 @@
 		id: string,
 	) => ReadonlyArray<{readonly taskId: string; readonly run: number}>;
 	readonly listStarts: () => readonly StartRecord[];
-	readonly countLooks: () => number;
+	readonly countPolls: () => number;
 	/** Called with each start that is carried out. */
 	onStart: ((record: StartRecord) => void) | undefined;
 };
@@ -117,7 +117,7 @@
 				listed.address === target.address && listed.id !== target.id,
 		);
 
-	const start = (life: Life, order: StartOrder): scheduler.StartAnswer => {
+	const start = (life: Life, order: StartCommand): scheduler.StartAnswer => {
 		const clockMs = now();
 		if (isFenced(life, order.fencingToken)) {
 			return {kind: 'fenced'};
@@ -161,7 +161,7 @@
 		return {kind: 'started', clockMs};
 	};
 
-	const stop = (life: Life, order: RunOrder): scheduler.CommandAnswer => {
+	const stop = (life: Life, order: RunCommand): scheduler.CommandAnswer => {
 		if (isFenced(life, order.fencingToken)) {
 			return {kind: 'fenced'};
 		}
@@ -176,7 +176,7 @@
 		return {kind: 'done', clockMs: now()};
 	};
 
-	const takeLookOrder = (life: Life, order: LookOrder) => {
+	const takeLookOrder = (life: Life, order: PollRequest) => {
 		life.ends = life.ends.filter(({number}) => number > order.acknowledgedUpto);
 		if (order.leaseEndMs !== undefined) {
 			life.leaseUntil = Math.max(life.leaseUntil, order.leaseEndMs);
@@ -221,7 +221,7 @@
 			answer(target, timeoutMs, (life) => start(life, order)),
 		stop: async (target, order, timeoutMs) =>
 			answer(target, timeoutMs, (life) => stop(life, order)),
-		pace: async (target, order, timeoutMs) =>
+		throttle: async (target, order, timeoutMs) =>
 			answer(target, timeoutMs, (life): scheduler.CommandAnswer => {
 				const run = life.running.get(order.taskId);
 				if (run) {
@@ -230,7 +230,7 @@
 
 				return {kind: 'done', clockMs: now()};
 			}),
-		async look(target, order, timeoutMs) {
+		async poll(target, order, timeoutMs) {
 			looks += 1;
 			return answer(target, timeoutMs, async (life) => {
 				if (isFenced(life, order.fencingToken)) {
@@ -250,7 +250,7 @@
 				} as const;
 			});
 		},
-		forget: () => undefined,
+		closeConnections: () => undefined,
 		add(listed) {
 			lives.set(listed.id, {
 				listed,
@@ -289,7 +289,7 @@
 		},
 		listRunning: (id) => [...(lives.get(id)?.running.values() ?? [])],
 		listStarts: () => starts,
-		countLooks: () => looks,
+		countPolls: () => looks,
 	};
 	return executors;
 };
--- a/packages/ports/src/memory/task-machines.ts
+++ b/packages/ports/src/memory/task-machines.ts
@@ -8,13 +8,13 @@
 export type MemoryMachines = Machines & {
 	readonly put: (machine: Machine) => void;
 	readonly remove: (id: string) => void;
-	readonly listOrders: () => readonly MachineOrder[];
+	readonly listCommands: () => readonly MachineCommand[];
 	/** Called when a machine is ordered away. */
-	onOrder: ((order: MachineOrder) => void) | undefined;
+	onCommand: ((order: MachineCommand) => void) | undefined;
 };
 
 /** An order that was carried out. */
-export type MachineOrder = {
+export type MachineCommand = {
 	readonly kind: 'move' | 'maintain';
 	readonly machine: string;
 	readonly fencingToken: number;
@@ -25,9 +25,9 @@
 export const createMemoryMachines = (): MemoryMachines => {
 	const machines = new Map<string, Machine>();
 	const tokens = new Map<string, number>();
-	const orders: MachineOrder[] = [];
+	const orders: MachineCommand[] = [];
 
-	const order = (next: MachineOrder) => {
+	const order = (next: MachineCommand) => {
 		const machine = machines.get(next.machine);
 		if (!machine) {
 			return 'invalid' as const;
@@ -44,12 +44,12 @@
 		tokens.set(next.machine, next.fencingToken);
 		machines.set(next.machine, {...machine, state: 'maintenance'});
 		orders.push(next);
-		memory.onOrder?.(next);
+		memory.onCommand?.(next);
 		return 'done' as const;
 	};
 
 	const memory: MemoryMachines = {
-		onOrder: undefined,
+		onCommand: undefined,
 		list: async () => succeed([...machines.values()]),
 		move: async ({machine, fencingToken, holder}) =>
 			order({kind: 'move', machine, fencingToken, holder}),
@@ -61,7 +61,7 @@
 		remove(id) {
 			machines.delete(id);
 		},
-		listOrders: () => orders,
+		listCommands: () => orders,
 	};
 	return memory;
 };
@@ -70,7 +70,7 @@
 export type MemoryFeed<Value> = Feed<Value> & {
 	readonly put: (key: string, value: Value | undefined) => void;
 	/** The entry cannot be read any more. */
-	readonly spoil: (key: string, problem: string) => void;
+	readonly setUnreadable: (key: string, problem: string) => void;
 };
 
 /** Creates an empty feed. */
@@ -94,7 +94,7 @@
 
 			note({key, value});
 		},
-		spoil(key, problem) {
+		setUnreadable(key, problem) {
 			const entry = {key, value: undefined, problem};
 			entries.set(key, entry);
 			note(entry);
--- a/packages/ports/src/memory/workers.test.ts
+++ b/packages/ports/src/memory/workers.test.ts
@@ -18,7 +18,7 @@
 	const workers = createMemoryWorkers({
 		workers: ['w1'],
 		now: () => at,
-		reportLagMs: 5,
+		reportAgeMs: 5,
 		getBehaviour: () => ({
 			runMs: 150,
 			coresUsed: 2,
--- a/packages/ports/src/memory/workers.ts
+++ b/packages/ports/src/memory/workers.ts
@@ -25,7 +25,7 @@
 	/** The present time, in milliseconds. */
 	readonly now: () => number;
 	/** Age of what is reported, in milliseconds. */
-	readonly reportLagMs?: number;
+	readonly reportAgeMs?: number;
 	readonly getBehaviour?: (worker: string, task: TaskSpec) => TaskBehaviour;
 	/** The life of a worker; a reboot meant for another is refused. */
 	readonly getIncarnation?: (worker: string) => string | undefined;
@@ -135,7 +135,7 @@
 
 /** Makes workers without tasks. Renewing a task that has ended does nothing. */
 export const createMemoryWorkers = (options: MemoryWorkersOptions): Workers => {
-	const {now, reportLagMs = 0} = options;
+	const {now, reportAgeMs = 0} = options;
 	const getBehaviour = options.getBehaviour ?? getBehaviourByDefault;
 	const workers = new Map<string, Worker>(
 		options.workers.map((id) => [id, {tasks: new Map()}]),
@@ -209,7 +209,7 @@
 			withWorker(id, (worker, at) =>
 				core.succeed({
 					worker: id,
-					measuredAt: at - reportLagMs,
+					measuredAt: at - reportAgeMs,
 					tasks: [...worker.tasks.values()].map((task) => describeTask(task)),
 				}),
 			),
--- a/packages/ports/src/ports/executors.ts
+++ b/packages/ports/src/ports/executors.ts
@@ -8,7 +8,7 @@
 };
 
 /** An order to start a task. */
-export type StartOrder = {
+export type StartCommand = {
 	readonly taskId: string;
 	readonly run: number;
 	readonly payload: string;
@@ -20,14 +20,14 @@
 };
 
 /** Names one run. */
-export type RunOrder = {
+export type RunCommand = {
 	readonly taskId: string;
 	readonly run: number;
 	readonly fencingToken: number;
 };
 
 /** An order to renew the lease of all that runs and to list it. */
-export type LookOrder = {
+export type PollRequest = {
 	readonly fencingToken: number;
 	/** Ends up to this number may be forgotten. */
 	readonly acknowledgedUpto: number;
@@ -38,7 +38,7 @@
 };
 
 /** Answer to a look. */
-export type LookAnswer =
+export type PollAnswer =
 	| {
 			readonly kind: 'seen';
 			readonly clockMs: number;
@@ -53,24 +53,24 @@
 export type Executors = {
 	readonly start: (
 		target: ExecutorTarget,
-		order: StartOrder,
+		order: StartCommand,
 		timeoutMs: number,
 	) => Promise<scheduler.StartAnswer>;
 	readonly stop: (
 		target: ExecutorTarget,
-		order: RunOrder,
+		order: RunCommand,
 		timeoutMs: number,
 	) => Promise<scheduler.CommandAnswer>;
-	readonly pace: (
+	readonly throttle: (
 		target: ExecutorTarget,
-		order: RunOrder & {readonly percent: number},
+		order: RunCommand & {readonly percent: number},
 		timeoutMs: number,
 	) => Promise<scheduler.CommandAnswer>;
-	readonly look: (
+	readonly poll: (
 		target: ExecutorTarget,
-		order: LookOrder,
+		order: PollRequest,
 		timeoutMs: number,
-	) => Promise<LookAnswer>;
+	) => Promise<PollAnswer>;
 	/** Closes connections to a life that is gone. */
-	readonly forget: (target: ExecutorTarget) => void;
+	readonly closeConnections: (target: ExecutorTarget) => void;
 };
--- a/packages/ports/src/ports/machines.ts
+++ b/packages/ports/src/ports/machines.ts
@@ -18,7 +18,7 @@
 };
 
 /** Who orders, for the platform to refuse deposed holders. */
-export type OrderAuthority = {
+export type CommandAuthority = {
 	readonly holder: string;
 	readonly fencingToken: number;
 };
@@ -41,12 +41,12 @@
 		Result<readonly Machine[], {readonly kind: 'unavailable' | 'timeout'}>
 	>;
 	readonly move: (
-		order: OrderAuthority & {readonly machine: string; readonly pool: string},
+		order: CommandAuthority & {readonly machine: string; readonly pool: string},
 		timeoutMs: number,
 	) => Promise<MachineAnswer>;
 	/** Restarts a machine for maintenance; ends all that runs on it. */
 	readonly maintain: (
-		order: OrderAuthority & {readonly machine: string; readonly wave: string},
+		order: CommandAuthority & {readonly machine: string; readonly wave: string},
 		timeoutMs: number,
 	) => Promise<MachineAnswer>;
 };
--- a/packages/ports/src/ports/row-store.ts
+++ b/packages/ports/src/ports/row-store.ts
@@ -69,7 +69,7 @@
 };
 
 /** A transaction that has been committed. */
-export type CommittedRows = {
+export type TransactionResult = {
 	readonly version: number;
 	/** Steady clock of the store, in milliseconds. */
 	readonly nowMs: number;
@@ -104,7 +104,7 @@
 	readonly transact: (
 		transaction: RowTransaction,
 		timeoutMs: number,
-	) => Promise<Result<CommittedRows, RowStoreError>>;
+	) => Promise<Result<TransactionResult, RowStoreError>>;
 	readonly read: (
 		range: RowRange,
 		timeoutMs: number,
--- a/packages/ports/src/ports/table-service.ts
+++ b/packages/ports/src/ports/table-service.ts
@@ -65,7 +65,7 @@
 	| {readonly kind: 'too-large'};
 
 /** A transaction that has been committed. */
-export type Committed = {
+export type CommitResult = {
 	/** Versions of the rows put, in the order of the writes. */
 	readonly versions: readonly number[];
 };
@@ -92,5 +92,5 @@
 	readonly commit: (
 		writes: readonly Write[],
 		operationId: string,
-	) => Promise<Result<Committed, StoreError>>;
+	) => Promise<Result<CommitResult, StoreError>>;
 };
--- a/packages/ports/src/wire/messages.ts
+++ b/packages/ports/src/wire/messages.ts
@@ -5,7 +5,7 @@
 import * as zod from 'zod';
 import type {ListedInstance} from '../ports/instance-list.js';
 import type {
-	Committed,
+	CommitResult,
 	JsonValue,
 	RangeQuery,
 	Row,
@@ -76,7 +76,7 @@
 export const rangeAnswer = zod.object({rows: zod.array(row)});
 
 /** Answer to a commit. */
-export const commitAnswer: zod.ZodType<Committed> = zod.object({
+export const commitAnswer: zod.ZodType<CommitResult> = zod.object({
 	versions: zod.array(count),
 });
 
--- a/packages/stand-in/src/upstream/executor.ts
+++ b/packages/stand-in/src/upstream/executor.ts
@@ -50,7 +50,7 @@
 	/** Ids of the requests it ran, in order. */
 	readonly runs: readonly string[];
 	/** Ids of the requests that came on a silent connection. */
-	readonly swallowed: readonly string[];
+	readonly unanswered: readonly string[];
 	/** Most connections and requests that were open at once. */
 	readonly peaks: {connections: number; running: number};
 	readonly setFault: (fault: Fault) => Promise<void>;
@@ -305,7 +305,7 @@
 		availabilityZone: options.availabilityZone,
 		address: `127.0.0.1:${port}`,
 		runs: state.runs,
-		swallowed: state.swallowed,
+		unanswered: state.swallowed,
 		peaks: state.peaks,
 		setFault: async (fault) => setFault(state, fault, port),
 		close: async () => setFault(state, {kind: 'gone'}, port),
