--- a/packages/ports/src/client/client.test.ts
+++ b/packages/ports/src/client/client.test.ts
@@ -17,7 +17,7 @@
 	return env;
 };
 
-const createFaulty = (env: client.Environment) => {
+const createFaultyTables = (env: client.Environment) => {
 	const inner = createMemoryTableService();
 	const control = faults.createFaultControl({
 		random: () => 0.999,
@@ -55,8 +55,8 @@
 type Case = {
 	readonly name: string;
 	readonly script: faults.FaultKind[];
-	/** Another transaction that takes the same revision, before the call. */
-	readonly isTaken?: boolean;
+	/** Whether another transaction commits the same revision before. */
+	readonly hasConflict?: boolean;
 	readonly kind: client.CommitOutcome['kind'];
 };
 
@@ -75,21 +75,21 @@
 		script: ['reply-lost', 'request-lost', 'reply-lost'],
 		kind: 'committed',
 	},
-	{name: 'taken', script: [], isTaken: true, kind: 'conflict'},
+	{name: 'conflict', script: [], hasConflict: true, kind: 'conflict'},
 	{
-		name: 'taken, reply lost',
+		name: 'conflict, reply lost',
 		script: ['reply-lost'],
-		isTaken: true,
+		hasConflict: true,
 		kind: 'conflict',
 	},
 ];
 
-for (const {name, script, isTaken = false, kind} of cases) {
+for (const {name, script, hasConflict = false, kind} of cases) {
 	tap.t.test(`commit with read-back: ${name}`, async (t) => {
 		const env = createClock();
-		const {inner, control, tables} = createFaulty(env);
+		const {inner, control, tables} = createFaultyTables(env);
 		await inner.commit([insert('c', 'counter')], 'first');
-		if (isTaken) {
+		if (hasConflict) {
 			await inner.commit(other, 'other');
 		}
 
@@ -99,15 +99,15 @@
 		t.equal(outcome.kind, kind);
 		const log = await inner.get('log', '2');
 		const isOwn = log.ok && log.value?.operationId === 'own';
-		t.equal(isOwn, kind === 'committed', 'the outcome is the truth');
+		t.equal(isOwn, kind === 'committed', 'the outcome matches the stored rows');
 	});
 }
 
 tap.t.test(
-	'a long outage after a lost request leaves it unknown',
+	'a long outage after a lost request leaves the outcome unknown',
 	async (t) => {
 		const env = createClock();
-		const {inner, control, tables} = createFaulty(env);
+		const {inner, control, tables} = createFaultyTables(env);
 		await inner.commit([insert('c', 'counter')], 'first');
 		control.script(['request-lost']);
 		control.set({isDown: true});
@@ -119,7 +119,7 @@
 );
 
 tap.t.test(
-	'its own commit under a later write is not a conflict',
+	'a lost commit followed by another write is not a conflict',
 	async (t) => {
 		const env = createClock();
 		const inner = createMemoryTableService();
@@ -142,7 +142,7 @@
 		};
 		const options = {env, deadline: 10_000};
 		const sure = await client.commitWithReadBack(tables, operation, options);
-		t.equal(sure.kind, 'committed', 'a write-once row tells');
+		t.equal(sure.kind, 'committed', 'a write-once witness is certain');
 		attempts = 0;
 		const row = await inner.get('counter', 'c');
 		const version = row.ok ? row.value!.version : 0;
@@ -152,7 +152,7 @@
 			witness: {table: 'counter', key: 'c'},
 		};
 		const unsure = await client.commitWithReadBack(tables, shared, options);
-		t.equal(unsure.kind, 'unknown', 'a shared row does not tell');
+		t.equal(unsure.kind, 'unknown', 'a shared witness is not');
 	},
 );
 
@@ -166,38 +166,41 @@
 	);
 });
 
-tap.t.test('the guard holds the rate and refuses in an outage', async (t) => {
-	const env = createClock();
-	const {control, tables: faulty} = createFaulty(env);
-	const guard = client.createGuard(
-		{
-			...client.defaultGuardConfig,
-			share: {readsPerSecond: 100, writesPerSecond: 10},
-		},
-		env,
-	);
-	const tables = client.createGuardedTableService(faulty, guard);
-	for (let index = 0; index < 50; index++) {
-		await tables.commit([insert(`${index}`)], 'x');
-	}
+tap.t.test(
+	'the guard limits the rate and refuses calls in an outage',
+	async (t) => {
+		const env = createClock();
+		const {control, tables: faulty} = createFaultyTables(env);
+		const guard = client.createGuard(
+			{
+				...client.defaultGuardConfig,
+				share: {readsPerSecond: 100, writesPerSecond: 10},
+			},
+			env,
+		);
+		const tables = client.createGuardedTableService(faulty, guard);
+		for (let index = 0; index < 50; index++) {
+			await tables.commit([insert(`${index}`)], 'x');
+		}
 
-	t.ok(env.now() >= 5000, 'fifty writes at 10 a second');
-	control.set({isDown: true});
-	const before = guard.counts.writes;
-	for (let index = 0; index < 1000; index++) {
-		const result = await tables.commit([insert('down')], 'x');
-		t.match(result, {error: {kind: 'unavailable'}});
-	}
+		t.ok(env.now() >= 5000, 'fifty writes at 10 a second');
+		control.set({isDown: true});
+		const before = guard.counts.writes;
+		for (let index = 0; index < 1000; index++) {
+			const result = await tables.commit([insert('down')], 'x');
+			t.match(result, {error: {kind: 'unavailable'}});
+		}
 
-	t.equal(guard.getBreaker().kind, 'open');
-	t.ok(guard.counts.writes - before <= 10, 'most never went out');
-	control.set({isDown: false});
-	await env.wait(10_000);
-	t.match(await tables.commit([insert('up')], 'x'), {ok: true});
-	t.match(guard.getBreaker(), {kind: 'closed'});
-});
+		t.equal(guard.getBreaker().kind, 'open');
+		t.ok(guard.counts.writes - before <= 10, 'most calls were not sent');
+		control.set({isDown: false});
+		await env.wait(10_000);
+		t.match(await tables.commit([insert('up')], 'x'), {ok: true});
+		t.match(guard.getBreaker(), {kind: 'closed'});
+	},
+);
 
-tap.t.test('a get sees what was committed before it began', async (t) => {
+tap.t.test('a get returns what was committed before it began', async (t) => {
 	const env = createClock();
 	const share = {readsPerSecond: 100, writesPerSecond: 10};
 	const guard = client.createGuard({...client.defaultGuardConfig, share}, env);
@@ -212,7 +215,7 @@
 		async get(table, key) {
 			gets += 1;
 			const read = await memory.get(table, key);
-			// The first read is answered late, with what it saw in time.
+			// Delays the answer to the first read, with the row as it was then.
 			await (gets === 1 ? held : undefined);
 			return read;
 		},
@@ -248,19 +251,22 @@
 	);
 };
 
-tap.t.test('a group commits as one; a duplicate leaves it', async (t) => {
-	const env = createClock();
-	const {inner, control, tables} = createFaulty(env);
-	await inner.commit([insert('b')], 'before');
-	control.script(['reply-lost']);
-	const outcomes = await submitAll(tables, env, ['a', 'b', 'c', 'c']);
-	t.same(
-		outcomes.map(({kind}) => kind),
-		['committed', 'conflict', 'committed', 'conflict'],
-	);
-	t.match(outcomes[1], {current: {operationId: 'before'}});
-	t.equal(outcomes[0]!.operationId, outcomes[2]!.operationId);
-});
+tap.t.test(
+	'a group commits as one, without the members that conflict',
+	async (t) => {
+		const env = createClock();
+		const {inner, control, tables} = createFaultyTables(env);
+		await inner.commit([insert('b')], 'before');
+		control.script(['reply-lost']);
+		const outcomes = await submitAll(tables, env, ['a', 'b', 'c', 'c']);
+		t.same(
+			outcomes.map(({kind}) => kind),
+			['committed', 'conflict', 'committed', 'conflict'],
+		);
+		t.match(outcomes[1], {current: {operationId: 'before'}});
+		t.equal(outcomes[0]!.operationId, outcomes[2]!.operationId);
+	},
+);
 
 tap.t.test('a group that is too large is split', async (t) => {
 	const limits = {
--- a/packages/ports/src/client/commit-batcher.ts
+++ b/packages/ports/src/client/commit-batcher.ts
@@ -1,7 +1,7 @@
 /**
- * Groups independent small transactions into one, to spare the store's rate
- * of writes. Each member learns its own outcome: one that conflicts leaves
- * the group, and the rest is sent again.
+ * Groups independent small transactions into one commit, to save writes. Each
+ * member gets its own outcome: a member that conflicts is removed from the group,
+ * and the others are sent again.
  * Source: group commit; DeWitt et al., SIGMOD 1984.
  */
 import type {TableService} from '../ports/table-service.js';
@@ -12,10 +12,10 @@
 } from './commit-with-read-back.js';
 import type {Environment} from './guarded-call.js';
 
-/** A transaction that may share another's fate of being sent together. */
+/** A transaction that may be committed together with others. */
 export type BatchMember = Omit<Operation, 'id'>;
 
-/** Outcome of a member and the id that its rows carry if committed. */
+/** Outcome of a member and the operation id of its rows if committed. */
 export type BatchOutcome = CommitOutcome & {readonly operationId: string};
 
 /** Settings of a batcher; times in milliseconds. */
@@ -23,18 +23,18 @@
 	/** How long the first member waits for others. */
 	readonly maxDelayMs: number;
 	readonly maxWrites: number;
-	/** How long the outcome of a group is sought. */
+	/** Maximum time to determine the outcome of a group. */
 	readonly maxCommitMs: number;
 };
 
-/** Settings in force when none are given. */
+/** Default settings. */
 export const defaultBatcherConfig: BatcherConfig = {
 	maxDelayMs: 5,
 	maxWrites: 50,
 	maxCommitMs: 5000,
 };
 
-/** Submits members. */
+/** Commits submitted members in groups. */
 export type CommitBatcher = {
 	readonly submit: (member: BatchMember) => Promise<BatchOutcome>;
 };
@@ -47,7 +47,7 @@
 type Options = {
 	readonly tables: TableService;
 	readonly env: Environment;
-	/** Makes a unique id. */
+	/** Creates a unique id. */
 	readonly createId: () => string;
 	readonly cfg?: BatcherConfig;
 };
@@ -58,8 +58,8 @@
 const getRowNames = ({writes}: BatchMember): string[] =>
 	writes.map(({table, key}) => getRowName(table, key));
 
-/** Takes members from the front while they fit and name distinct rows. */
-const takeGroup = (queue: Pending[], maxWrites: number): Pending[] => {
+/** Removes leading members that fit into one commit of distinct rows. */
+const dequeueGroup = (queue: Pending[], maxWrites: number): Pending[] => {
 	const group: Pending[] = [];
 	const rows = new Set<string>();
 	for (const pending of queue) {
@@ -90,7 +90,7 @@
 	}
 };
 
-const findOwner = (
+const findConflicting = (
 	group: readonly Pending[],
 	{table, key}: {readonly table: string; readonly key: string},
 ): Pending | undefined => {
@@ -120,9 +120,9 @@
 		{env, deadline: env.now() + cfg.maxCommitMs},
 	);
 	if (outcome.kind === 'conflict') {
-		const owner = findOwner(group, outcome) ?? first;
-		owner.resolve({...outcome, operationId: id});
-		const rest = group.filter((pending) => pending !== owner);
+		const conflicting = findConflicting(group, outcome) ?? first;
+		conflicting.resolve({...outcome, operationId: id});
+		const rest = group.filter((pending) => pending !== conflicting);
 		await commitGroup(rest, options, cfg);
 		return;
 	}
@@ -139,16 +139,16 @@
 	resolveAll(group, outcome, id);
 };
 
-/** Makes a batcher. Groups are committed one after another. */
+/** Creates a batcher, which commits one group at a time. */
 export const createCommitBatcher = (options: Options): CommitBatcher => {
 	const cfg = options.cfg ?? defaultBatcherConfig;
 	const queue: Pending[] = [];
 	let isRunning = false;
-	const run = async (): Promise<void> => {
+	const commitQueue = async (): Promise<void> => {
 		isRunning = true;
 		await options.env.wait(cfg.maxDelayMs);
 		while (queue.length > 0) {
-			await commitGroup(takeGroup(queue, cfg.maxWrites), options, cfg);
+			await commitGroup(dequeueGroup(queue, cfg.maxWrites), options, cfg);
 		}
 
 		isRunning = false;
@@ -159,7 +159,7 @@
 			new Promise((resolve) => {
 				queue.push({member, resolve});
 				if (!isRunning) {
-					void run();
+					void commitQueue();
 				}
 			}),
 	};
--- a/packages/ports/src/client/commit-with-read-back.ts
+++ b/packages/ports/src/client/commit-with-read-back.ts
@@ -1,7 +1,7 @@
 /**
- * Commits a transaction and, when a reply is lost, finds out what became of
- * it: reads the witness row back and sends the same transaction again until
- * the outcome is certain or the deadline has passed.
+ * Commits a transaction and, if a reply is lost, determines the outcome: reads
+ * the witness row back and sends the same transaction again until the outcome is
+ * certain or the deadline has passed.
  */
 import * as core from '@gullstand/core';
 import {match} from 'ts-pattern';
@@ -13,39 +13,39 @@
 } from '../ports/table-service.js';
 import type {Environment} from './guarded-call.js';
 
-/** A transaction with what is needed to ask for its outcome. */
+/** A transaction whose outcome can be read back. */
 export type Operation = {
-	/** Unique to this transaction; every attempt carries it. */
+	/** Unique to this transaction and the same for all attempts. */
 	readonly id: string;
 	readonly writes: readonly Write[];
 	/**
 	 * A row put by the transaction with a precondition other than `any`, so
-	 * that no two attempts can both commit. One that is created here and never
-	 * changed gives certainty; name it where there is one.
+	 * that no two attempts can both commit. Prefer a row that is created here and
+	 * never changed, since it always gives a certain outcome.
 	 */
 	readonly witness: {readonly table: string; readonly key: string};
 };
 
-/** What became of a transaction. */
+/** Outcome of a transaction. */
 export type CommitOutcome =
-	/** Versions of the rows put; absent if only read back. */
+	/** `versions` of the rows put; absent if the outcome was read back. */
 	| {readonly kind: 'committed'; readonly versions?: readonly number[]}
-	/** Certainly not committed: a row was not as expected. */
+	/** Not committed: a precondition did not hold. */
 	| {
 			readonly kind: 'conflict';
 			readonly table: string;
 			readonly key: string;
 			readonly current: Row | undefined;
 	  }
-	/** Certainly not committed. */
+	/** Not committed. */
 	| {
 			readonly kind: 'not-committed';
 			readonly reason: 'unavailable' | 'too-large';
 	  }
-	/** May have been committed, or may yet be. */
+	/** May have been committed, or may still be. */
 	| {readonly kind: 'unknown'};
 
-/** Sources of time and chance, and how long to try. */
+/** Environment, deadline and settings of a read-back. */
 export type ReadBackOptions = {
 	readonly env: Environment;
 	/** When to give up, in milliseconds of the environment's clock. */
@@ -116,8 +116,8 @@
 };
 
 /**
- * After a lost reply a conflict may be with this very transaction. Without
- * one, it tells that no attempt has committed or ever will.
+ * Resolves a conflict after a lost reply, which may be with an earlier attempt of
+ * the same transaction. Without a lost reply, no attempt has committed or will.
  */
 const resolveConflict = async (
 	attempt: Attempt,
@@ -130,27 +130,27 @@
 
 	const read = await readWitness(attempt);
 	const kind = read?.verdict.kind;
-	const isOver =
+	const isCertain =
 		kind === 'superseded' ||
 		(kind === 'pending' && witness.kind === 'write-once');
-	return isOver ? conflict : toStep(read, operation);
+	return isCertain ? conflict : toStep(read, operation);
 };
 
-const settleFailure = async (
+const resolveFailure = async (
 	attempt: Attempt,
 	error: StoreError,
-	wasLost: boolean,
+	wasReplyLost: boolean,
 ): Promise<Step> =>
 	match(error)
 		.with({kind: 'conflict'}, async (conflict) =>
-			wasLost ? resolveConflict(attempt, conflict) : conflict,
+			wasReplyLost ? resolveConflict(attempt, conflict) : conflict,
 		)
 		.with({kind: 'too-large'}, async (): Promise<Step> => ({
 			kind: 'not-committed',
 			reason: 'too-large',
 		}))
 		.with({kind: 'unavailable'}, async (): Promise<Step> =>
-			wasLost
+			wasReplyLost
 				? {kind: 'pending'}
 				: {kind: 'not-committed', reason: 'unavailable'},
 		)
@@ -160,9 +160,9 @@
 		.exhaustive();
 
 /**
- * Commits an operation. Never answers `conflict` or `not-committed` while an
- * attempt may still take effect. An operation whose witness is no such put is
- * a fault of the program and throws `TypeError`.
+ * Commits an operation. Never returns `conflict` or `not-committed` while an
+ * attempt may still take effect. Throws `TypeError` if the witness is not a put
+ * with a precondition.
  */
 export const commitWithReadBack = async (
 	tables: TableService,
@@ -170,15 +170,15 @@
 	{env, deadline, cfg = core.store.defaultReadBackConfig}: ReadBackOptions,
 ): Promise<CommitOutcome> => {
 	const attempt = {tables, operation, witness: findWitness(operation)};
-	let wasLost = false;
+	let wasReplyLost = false;
 	for (let attempts = 1; ; attempts++) {
 		const result = await tables.commit(operation.writes, operation.id);
 		if (result.ok) {
 			return {kind: 'committed', versions: result.value.versions};
 		}
 
-		wasLost ||= result.error.kind === 'timeout';
-		const step = await settleFailure(attempt, result.error, wasLost);
+		wasReplyLost ||= result.error.kind === 'timeout';
+		const step = await resolveFailure(attempt, result.error, wasReplyLost);
 		if (step.kind !== 'pending') {
 			return step;
 		}
--- a/packages/ports/src/client/guarded-call.ts
+++ b/packages/ports/src/client/guarded-call.ts
@@ -1,25 +1,25 @@
 /**
- * Guards calls to the store: a circuit breaker and a rate budget before each
- * of them. One breaker stands before reads and writes alike.
+ * Guards calls to the store with a circuit breaker, shared by reads and writes,
+ * and a rate limit for each of the two.
  */
 import * as core from '@gullstand/core';
 
-/** Sources of time and chance. */
+/** Clock, delay and random source. */
 export type Environment = {
 	/** The present time, in milliseconds. */
 	readonly now: () => number;
 	readonly wait: (delayMs: number) => Promise<void>;
-	/** Numbers in [0, 1). */
+	/** Returns a number in [0, 1). */
 	readonly random: () => number;
 };
 
-/** Rates that this daemon may use; of a fleet's rate, its share. */
+/** Rate limits of this daemon: its share of the fleet's rates. */
 export type RateShare = {
 	readonly readsPerSecond: number;
 	readonly writesPerSecond: number;
 };
 
-/** Rates of the whole fleet, with room left for what the platform needs. */
+/** Rates of the whole fleet; the rest is reserved for the platform. */
 export const defaultFleetRate: RateShare = {
 	readsPerSecond: 2000,
 	writesPerSecond: 300,
@@ -28,27 +28,28 @@
 /** Settings of the guard; times in milliseconds. */
 export type GuardConfig = {
 	readonly share: RateShare;
-	/** Part of a rate that may be used at once, from 0 to 1. */
+	/** Fraction of a rate that may be used in one burst, from 0 to 1. */
 	readonly burstShare: number;
-	/** A call that would wait longer for its turn is refused. */
+	/** A call that would have to wait longer is refused. */
 	readonly maxWaitMs: number;
 	readonly breaker: core.store.BreakerConfig;
 };
 
-/** Settings in force when none are given. */
+/** Default settings, except for the share. */
 export const defaultGuardConfig: Omit<GuardConfig, 'share'> = {
 	burstShare: 0.2,
 	maxWaitMs: 2000,
 	breaker: core.store.defaultBreakerConfig,
 };
 
-/** What the guard has done, since it was made. */
+/** Counters of a guard since its creation. */
 export type GuardCounts = {
 	reads: number;
 	writes: number;
 	failures: number;
-	/** Calls refused without being sent. */
+	/** Calls refused by the circuit breaker, without being sent. */
 	refusedByBreaker: number;
+	/** Calls refused by the rate limit, without being sent. */
 	refusedByRateLimit: number;
 };
 
@@ -59,7 +60,7 @@
 	Failure | {readonly kind: 'unavailable'}
 >;
 
-/** Runs calls under the guard. */
+/** Runs calls through the breaker and the rate limit. */
 export type Guard = {
 	readonly call: <Value, Failure extends {readonly kind: string}>(
 		kind: CallKind,
@@ -67,7 +68,7 @@
 		action: () => Promise<core.Result<Value, Failure>>,
 	) => Promise<CallResult<Value, Failure>>;
 	readonly setShare: (share: RateShare) => void;
-	/** What was asked for lately, granted or not. */
+	/** Returns the recent demand, including refused calls. */
 	readonly getDemand: () => RateShare;
 	readonly counts: Readonly<GuardCounts>;
 	readonly getBreaker: () => core.store.Breaker;
@@ -151,7 +152,7 @@
 	};
 };
 
-const refuseOpen = (state: State) => {
+const refuseByBreaker = (state: State) => {
 	state.counts.refusedByBreaker += 1;
 	return core.fail({kind: 'unavailable'} as const);
 };
@@ -165,7 +166,7 @@
 	const {cfg, env} = state;
 	core.store.recordDemand(state.demands[kind], tokens, env.now());
 	if (core.store.isRefusing(state.breaker, cfg.breaker, env.now())) {
-		return refuseOpen(state);
+		return refuseByBreaker(state);
 	}
 
 	const waitMs = getWaitMs(state, kind, tokens);
@@ -178,11 +179,11 @@
 		await env.wait(waitMs);
 	}
 
-	// What waited while the breaker opened does not go out.
+	// The breaker may have opened during the wait.
 	const admission = core.store.admitCall(state.breaker, cfg.breaker, env.now());
 	state.breaker = admission.breaker;
 	if (!admission.isAdmitted) {
-		return refuseOpen(state);
+		return refuseByBreaker(state);
 	}
 
 	state.counts[kind] += tokens;
@@ -191,7 +192,7 @@
 	return result;
 };
 
-/** Makes a guard. A refused call fails as `unavailable`, with no effect. */
+/** Creates a guard. A refused call fails as `unavailable`, without effect. */
 export const createGuard = (cfg: GuardConfig, env: Environment): Guard => {
 	const state = createState(cfg, env);
 	return {
--- a/packages/ports/src/client/guarded-tables.ts
+++ b/packages/ports/src/client/guarded-tables.ts
@@ -1,21 +1,21 @@
-/** Table service and object store behind a guard. */
+/** Wraps the table service and the object store with a guard. */
 import type {ObjectStore} from '../ports/object-store.js';
 import type {TableService, Write} from '../ports/table-service.js';
 import type {Guard} from './guarded-call.js';
 
-/** What one transaction takes from the budget of writes. */
+/** Returns the number of writes that a transaction counts as. */
 export type CountWrites = (writes: readonly Write[]) => number;
 
-/** One a transaction, for a store whose rate counts transactions. */
+/** Counts one per transaction, for a store that limits transactions. */
 export const countTransactions: CountWrites = () => 1;
 
-/** One a row put or deleted, for a store whose rate counts rows. */
+/** Counts one per row put or deleted, for a store that limits rows. */
 export const countRows: CountWrites = (writes) =>
 	Math.max(1, writes.filter(({kind}) => kind !== 'check').length);
 
 /**
- * A table service whose calls pass the guard. Overlapping gets of one row are
- * not shared: a read that began before a write would answer one after it.
+ * Wraps a table service with a guard. Concurrent gets of one row are not merged,
+ * since a get after a write could receive the result of a read before it.
  */
 export const createGuardedTableService = (
 	inner: TableService,
@@ -32,7 +32,7 @@
 		),
 });
 
-/** An object store whose calls pass the guard. */
+/** Wraps an object store with a guard. */
 export const createGuardedObjectStore = (
 	inner: ObjectStore,
 	guard: Guard,
--- a/packages/ports/src/client/index.ts
+++ b/packages/ports/src/client/index.ts
@@ -1,4 +1,4 @@
-/** Client of the store: guard, rate budget, read-back and group commit. */
+/** Store client: circuit breaker, rate limit, read-back and group commit. */
 export * from './guarded-call.js';
 export * from './guarded-tables.js';
 export * from './rate-sharer.js';
--- a/packages/ports/src/client/rate-sharer.test.ts
+++ b/packages/ports/src/client/rate-sharer.test.ts
@@ -38,19 +38,22 @@
 	return {sharers, exchange, getWrites, passTime};
 };
 
-tap.t.test('what idle daemons leave goes to the busy one', async (t) => {
+tap.t.test('a busy daemon gets the unused share of idle ones', async (t) => {
 	const {exchange, getWrites} = createFleet([100, 0, 0, 0]);
 	await exchange();
 	t.same(getWrites(), [62.5, 12.5, 12.5, 12.5]);
 });
 
-tap.t.test('all busy: equal shares that add up to the rate', async (t) => {
-	const {exchange, getWrites} = createFleet([100, 100, 100, 100]);
-	await exchange();
-	t.same(getWrites(), [25, 25, 25, 25]);
-});
+tap.t.test(
+	'busy daemons get equal shares that add up to the rate',
+	async (t) => {
+		const {exchange, getWrites} = createFleet([100, 100, 100, 100]);
+		await exchange();
+		t.same(getWrites(), [25, 25, 25, 25]);
+	},
+);
 
-tap.t.test('a daemon that ended is counted until it is silent', async (t) => {
+tap.t.test('a terminated daemon counts until its row expires', async (t) => {
 	const {exchange, getWrites, passTime} = createFleet([100, 100]);
 	await exchange();
 	for (const writes of [50, 50, 100]) {
--- a/packages/ports/src/client/rate-sharer.ts
+++ b/packages/ports/src/client/rate-sharer.ts
@@ -1,48 +1,49 @@
 /**
- * Shares the fleet's rate by demand: each daemon puts its demand into a row
- * of the table service and reads those of the others. Rows that stay the same
- * for long belong to daemons that have ended; after an outage all count again.
+ * Divides the fleet's rate among the daemons by demand: each daemon writes its
+ * demand to a row of the table service and reads the rows of the others. Rows
+ * that remain unchanged belong to terminated daemons and expire; after an outage
+ * all rows count again.
  */
 import * as core from '@gullstand/core';
 import type {Row, TableService} from '../ports/table-service.js';
 import type {Environment, Guard, RateShare} from './guarded-call.js';
 
-/** Table of demands, one row a daemon. */
+/** Table of demands, one row per daemon. */
 export const rateTable = 'rate';
 
-/** What a sharer needs. */
+/** Options of a rate sharer. */
 export type RateSharerOptions = {
 	readonly tables: TableService;
 	readonly guard: Pick<Guard, 'getDemand' | 'setShare'>;
-	/** Unique to this life of the daemon. */
+	/** Unique to this incarnation of the daemon. */
 	readonly id: string;
 	readonly env: Environment;
 	readonly fleetRate: RateShare;
-	/** Rows unchanged for this long are not counted, in milliseconds. */
+	/** Time after which an unchanged row is ignored, in milliseconds. */
 	readonly expireAfterMs: number;
 };
 
-/** Takes part in the sharing. */
+/** Keeps the rate share of this daemon up to date. */
 export type RateSharer = {
-	/** Puts the own demand, reads the others', takes the share. */
+	/** Writes this daemon's demand, reads the others and sets the share. */
 	readonly exchange: () => Promise<void>;
-	/** Number of entries that the list shows, at least as many are assumed. */
+	/** Sets the number of listed entries, which is the minimum assumed. */
 	readonly setListedEntryCount: (entries: number) => void;
-	/** Deletes the own row. */
+	/** Deletes the row of this daemon. */
 	readonly leave: () => Promise<void>;
 };
 
-/** Part of the rate that is split equally whatever the demands. */
+/** Fraction of the rate that is split equally regardless of demand. */
 const guaranteedShare = 0.5;
 
-/** Demand is overestimated by this, so that it can grow. */
-const growth = 2;
+/** Factor by which demand is overestimated, so that it can grow. */
+const growthFactor = 2;
 
 const maxDaemons = 1000;
 
 type State = {
-	listed: number;
-	seen: core.observation.Observations;
+	listedEntryCount: number;
+	observations: core.observation.Observations;
 };
 
 const getShare = (
@@ -53,8 +54,8 @@
 	const share = (name: keyof RateShare) =>
 		core.store.getRateShare(
 			fleetRate[name],
-			own[name] * growth,
-			others.map((demand) => demand && demand[name] * growth),
+			own[name] * growthFactor,
+			others.map((demand) => demand && demand[name] * growthFactor),
 			guaranteedShare,
 		);
 	return {
@@ -84,34 +85,35 @@
 	}
 
 	const versions = new Map(read.value.map((row) => [row.key, row.version]));
-	state.seen = core.observation.observeVersions(
-		state.seen,
+	state.observations = core.observation.observeVersions(
+		state.observations,
 		versions,
 		expireAfterMs,
 		env.now(),
 	);
 	const isLive = ({key, version}: Row) =>
-		core.observation.getUnchangedMs(state.seen, key, version) < expireAfterMs;
+		core.observation.getUnchangedMs(state.observations, key, version) <
+		expireAfterMs;
 	const others: Array<RateShare | undefined> = read.value
 		.filter((row) => row.key !== id && isLive(row))
 		.map((row) => toDemand(row));
-	while (others.length + 1 < state.listed) {
+	while (others.length + 1 < state.listedEntryCount) {
 		others.push(undefined);
 	}
 
 	guard.setShare(getShare(options, others));
 };
 
-/** Makes a sharer; the guard's first share stands until an exchange. */
+/** Creates a sharer; the guard keeps its initial share until an exchange. */
 export const createRateSharer = (options: RateSharerOptions): RateSharer => {
 	const state: State = {
-		listed: 1,
-		seen: core.observation.emptyObservations,
+		listedEntryCount: 1,
+		observations: core.observation.emptyObservations,
 	};
 	return {
 		exchange: async () => exchange(options, state),
 		setListedEntryCount(entries) {
-			state.listed = entries;
+			state.listedEntryCount = entries;
 		},
 		async leave() {
 			const {tables, id} = options;
--- a/packages/ports/src/client/read-back.test.ts
+++ b/packages/ports/src/client/read-back.test.ts
@@ -1,4 +1,4 @@
-/** Random faults, late effects and rivals against commitWithReadBack. */
+/** Property test: commitWithReadBack under faults, late effects and rivals. */
 import * as assert from 'node:assert/strict';
 import * as core from '@gullstand/core';
 import * as fc from 'fast-check';
@@ -7,7 +7,7 @@
 import type {TableService, Write} from '../ports/table-service.js';
 import * as client from './index.js';
 
-/** What meets one call; `late` takes effect after some later call. */
+/** Events of one call; `late` takes effect after some later call. */
 const events = [
 	'none',
 	'unavailable',
@@ -38,7 +38,10 @@
 
 const unknown = core.fail({kind: 'timeout'} as const);
 
-const createWorld = (script: readonly Event[], delays: readonly number[]) => {
+const createRandomTables = (
+	script: readonly Event[],
+	delays: readonly number[],
+) => {
 	const inner = createMemoryTableService();
 	const late: Array<{after: number; run: () => Promise<unknown>}> = [];
 	let calls = 0;
@@ -62,7 +65,7 @@
 		}
 	};
 
-	const meet = async <Value, Failure>(
+	const runWithEvent = async <Value, Failure>(
 		action: () => Promise<core.Result<Value, Failure>>,
 	) => {
 		const event = script[calls] ?? 'none';
@@ -100,9 +103,10 @@
 	};
 
 	const tables: TableService = {
-		get: async (table, key) => meet(async () => inner.get(table, key)),
-		range: async (query) => meet(async () => inner.range(query)),
-		commit: async (writes, id) => meet(async () => inner.commit(writes, id)),
+		get: async (table, key) => runWithEvent(async () => inner.get(table, key)),
+		range: async (query) => runWithEvent(async () => inner.range(query)),
+		commit: async (writes, id) =>
+			runWithEvent(async () => inner.commit(writes, id)),
 	};
 	return {inner, tables, runLate};
 };
@@ -112,7 +116,7 @@
 	delays: readonly number[],
 	witness: client.Operation['witness'],
 ) => {
-	const {inner, tables, runLate} = createWorld(script, delays);
+	const {inner, tables, runLate} = createRandomTables(script, delays);
 	const first: Write = {
 		kind: 'put',
 		table: 'counter',
@@ -146,7 +150,7 @@
 ];
 
 for (const {name, witness} of witnesses) {
-	tap.t.test(`${name}: a certain answer is never wrong`, async (t) => {
+	tap.t.test(`${name}: a certain outcome is never wrong`, async (t) => {
 		const seen = new Set<string>();
 		await fc.assert(
 			fc.asyncProperty(
--- a/packages/ports/src/faults/fault-control.ts
+++ b/packages/ports/src/faults/fault-control.ts
@@ -1,12 +1,12 @@
 /**
- * Faults of the platform, chosen by script or by a random source, for the
- * embedded daemon, tests and benches.
+ * Injected faults of the platform, either scripted or random, for the embedded
+ * daemon, tests and benches.
  */
 
-/** What happens to one call. */
+/** Kinds of fault of one call. */
 export const faultKinds = [
 	'none',
-	/** Answered at once as unavailable, without effect. */
+	/** Fails at once as unavailable, without effect. */
 	'unavailable',
 	/** Times out without effect. */
 	'request-lost',
@@ -14,24 +14,23 @@
 	'reply-lost',
 ] as const;
 
-/** Kind of fault. */
 export type FaultKind = (typeof faultKinds)[number];
 
-/** Fault of one call and its delay, half before and half after the effect. */
+/** Fault of one call; half of its delay precedes the effect, half follows. */
 export type Fault = {readonly kind: FaultKind; readonly delayMs: number};
 
-/** What happens to calls that no script covers. */
+/** Faults of calls that are not scripted. */
 export type FaultSettings = {
 	readonly isDown: boolean;
 	readonly delayMs: number;
-	/** Shares of calls, from 0 to 1. */
+	/** Fraction of calls, from 0 to 1. */
 	readonly requestLostShare: number;
+	/** Fraction of calls, from 0 to 1. */
 	readonly replyLostShare: number;
-	/** The list stays as it was when it became stale. */
+	/** The instance list is frozen at its last state. */
 	readonly isListStale: boolean;
 };
 
-/** Settings without faults. */
 export const noFaults: FaultSettings = {
 	isDown: false,
 	delayMs: 0,
@@ -40,43 +39,43 @@
 	isListStale: false,
 };
 
-/** Chooses the fault of each call and waits for time to pass. */
+/** Chooses the fault of each call and applies delays. */
 export type FaultControl = {
 	readonly getSettings: () => FaultSettings;
-	/** Changes some settings; the others stay. */
+	/** Changes the given settings only. */
 	readonly set: (settings: Partial<FaultSettings>) => void;
-	/** The next calls meet these faults, in order, whatever the settings. */
+	/** Sets the faults of the next calls, in order, regardless of settings. */
 	readonly script: (kinds: readonly FaultKind[]) => void;
-	/** Fault of the next call. */
+	/** Returns the fault of the next call. */
 	readonly next: () => Fault;
 	readonly wait: (delayMs: number) => Promise<void>;
-	/** How long a caller waits for a reply that is lost, in milliseconds. */
+	/** How long a caller waits for a lost reply, in milliseconds. */
 	readonly timeoutMs: number;
 };
 
-/** Sources of chance and time. */
+/** Random source and timing of a fault control. */
 export type FaultOptions = {
-	/** Numbers in [0, 1). */
+	/** Returns a number in [0, 1). */
 	readonly random: () => number;
 	readonly wait: (delayMs: number) => Promise<void>;
 	readonly timeoutMs: number;
 };
 
-const chooseKind = (settings: FaultSettings, drawn: number): FaultKind => {
+const chooseKind = (settings: FaultSettings, sample: number): FaultKind => {
 	if (settings.isDown) {
 		return 'unavailable';
 	}
 
-	if (drawn < settings.replyLostShare) {
+	if (sample < settings.replyLostShare) {
 		return 'reply-lost';
 	}
 
-	return drawn < settings.replyLostShare + settings.requestLostShare
+	return sample < settings.replyLostShare + settings.requestLostShare
 		? 'request-lost'
 		: 'none';
 };
 
-/** Makes a control without faults. */
+/** Creates a control that injects no faults yet. */
 export const createFaultControl = (options: FaultOptions): FaultControl => {
 	let settings = noFaults;
 	const scripted: FaultKind[] = [];
@@ -89,9 +88,9 @@
 			scripted.push(...kinds);
 		},
 		next() {
-			const drawn = options.random();
+			const sample = options.random();
 			return {
-				kind: scripted.shift() ?? chooseKind(settings, drawn),
+				kind: scripted.shift() ?? chooseKind(settings, sample),
 				delayMs: settings.delayMs,
 			};
 		},
--- a/packages/ports/src/faults/index.ts
+++ b/packages/ports/src/faults/index.ts
@@ -1,3 +1,3 @@
-/** Fault injection over any port. */
+/** Fault injection for the ports. */
 export * from './fault-control.js';
 export * from './wrap.js';
--- a/packages/ports/src/faults/wrap.ts
+++ b/packages/ports/src/faults/wrap.ts
@@ -1,4 +1,4 @@
-/** Wraps each port so that its calls meet the faults of a control. */
+/** Wraps ports so that a fault control injects faults into their calls. */
 import * as core from '@gullstand/core';
 import type {InstanceList, ListedInstance} from '../ports/instance-list.js';
 import type {ObjectStore} from '../ports/object-store.js';
@@ -7,7 +7,7 @@
 
 type CallError = {readonly kind: 'unavailable'} | {readonly kind: 'timeout'};
 
-const runSlowly = async <Value, Failure>(
+const runDelayed = async <Value, Failure>(
 	control: FaultControl,
 	fault: Fault,
 	action: () => Promise<core.Result<Value, Failure>>,
@@ -21,7 +21,7 @@
 		: result;
 };
 
-/** Runs one call with the control's next fault. */
+/** Runs one call and injects the control's next fault. */
 export const callWithFault = async <Value, Failure>(
 	control: FaultControl,
 	action: () => Promise<core.Result<Value, Failure>>,
@@ -29,7 +29,7 @@
 	const fault = control.next();
 	switch (fault.kind) {
 		case 'none': {
-			return runSlowly(control, fault, action);
+			return runDelayed(control, fault, action);
 		}
 
 		case 'unavailable': {
@@ -49,7 +49,7 @@
 	}
 };
 
-/** A table service that meets the control's faults. */
+/** Injects the control's faults into a table service. */
 export const wrapTableService = (
 	inner: TableService,
 	control: FaultControl,
@@ -62,7 +62,7 @@
 		callWithFault(control, async () => inner.commit(writes, operationId)),
 });
 
-/** An object store that meets the control's faults. */
+/** Injects the control's faults into an object store. */
 export const wrapObjectStore = (
 	inner: ObjectStore,
 	control: FaultControl,
@@ -74,7 +74,7 @@
 		callWithFault(control, async () => inner.delete(name)),
 });
 
-/** Reads a list that stays as it was while the control says so. */
+/** Returns the last list read while the control makes the list stale. */
 export const wrapStaleList = (
 	inner: InstanceList,
 	control: FaultControl,
@@ -91,7 +91,7 @@
 	};
 };
 
-/** An instance list that meets the control's faults and can go stale. */
+/** Injects the control's faults and staleness into an instance list. */
 export const wrapInstanceList = (
 	inner: InstanceList,
 	control: FaultControl,
--- a/packages/ports/src/http/connection.test.ts
+++ b/packages/ports/src/http/connection.test.ts
@@ -5,17 +5,17 @@
 import {createHttpConnection, type HttpConnection} from './connection.js';
 import type {TimeoutKind} from './exchange.js';
 
-type World = {
+type TestEnvironment = {
 	readonly connection: HttpConnection;
-	/** Paths that arrived, in order. */
-	readonly arrived: readonly string[];
-	/** Answers what is held. */
+	/** Paths of the requests received, in order. */
+	readonly receivedPaths: readonly string[];
+	/** Answers the held requests. */
 	readonly release: () => void;
-	/** Connections that were opened. */
+	/** Returns the number of connections opened. */
 	readonly countConnections: () => number;
 };
 
-/** Parts of the slow answer and the time between two, in milliseconds. */
+/** Number of parts of the slow answer and the interval in milliseconds. */
 const slowAnswer = {parts: 40, partMs: 30} as const;
 
 const sendSlowly = async (res: http.ServerResponse): Promise<void> => {
@@ -27,15 +27,15 @@
 	res.end();
 };
 
-/** A server that answers most paths at once, and a pool of one. */
-const createWorld = async (
+/** Starts a server and a pool of one connection to it. */
+const startTestServer = async (
 	t: Pick<typeof tap.t, 'teardown'>,
-): Promise<World> => {
-	const arrived: string[] = [];
+): Promise<TestEnvironment> => {
+	const receivedPaths: string[] = [];
 	const held: http.ServerResponse[] = [];
 	let connections = 0;
 	const server = http.createServer((req, res) => {
-		arrived.push(req.url ?? '');
+		receivedPaths.push(req.url ?? '');
 		if (req.url === '/held') {
 			held.push(res);
 			return;
@@ -85,7 +85,7 @@
 	});
 	return {
 		connection,
-		arrived,
+		receivedPaths,
 		countConnections: () => connections,
 		release() {
 			for (const res of held.splice(0)) {
@@ -97,8 +97,8 @@
 
 const post = {method: 'POST', body: '{"some":"body"}'} as const;
 
-tap.t.test('an answer is whole', async (t) => {
-	const {connection} = await createWorld(t);
+tap.t.test('an answer is received completely', async (t) => {
+	const {connection} = await startTestServer(t);
 	const result = await connection.call({...post, path: '/one'});
 	t.ok(result.ok);
 	if (result.ok) {
@@ -114,56 +114,56 @@
 
 for (const {path, error} of failures) {
 	tap.t.test(`${path} may have taken effect`, async (t) => {
-		const {connection, release} = await createWorld(t);
+		const {connection, release} = await startTestServer(t);
 		const result = await connection.call({...post, path, timeoutMs: 100});
 		t.same(result, {ok: false, error});
 		release();
 	});
 }
 
-/** Shorter than the slow answer, longer than any of its silences. */
+/** Shorter than the slow answer, longer than any of its pauses. */
 const slowTimeoutMs = 600;
 
-const bounds: ReadonlyArray<{
+const timeouts: ReadonlyArray<{
 	readonly path: string;
-	readonly bound: TimeoutKind;
+	readonly timeoutKind: TimeoutKind;
 	readonly timeoutMs: number;
 	readonly end: unknown;
 }> = [
 	{
 		path: '/slow',
-		bound: 'whole',
+		timeoutKind: 'whole',
 		timeoutMs: slowTimeoutMs,
 		end: {kind: 'timeout', receivedBytes: Number},
 	},
 	{
 		path: '/slow',
-		bound: 'silence',
+		timeoutKind: 'silence',
 		timeoutMs: slowTimeoutMs,
 		end: {kind: 'whole', bytes: slowAnswer.parts},
 	},
 	{
 		path: '/stalled',
-		bound: 'silence',
+		timeoutKind: 'silence',
 		timeoutMs: 100,
 		end: {kind: 'timeout', receivedBytes: 4},
 	},
 	{
 		path: '/held',
-		bound: 'silence',
+		timeoutKind: 'silence',
 		timeoutMs: 100,
 		end: {kind: 'timeout', receivedBytes: undefined},
 	},
 ];
 
-for (const {path, bound, timeoutMs, end} of bounds) {
-	tap.t.test(`the time bounds the ${bound} of ${path}`, async (t) => {
-		const {connection, release} = await createWorld(t);
+for (const {path, timeoutKind, timeoutMs, end} of timeouts) {
+	tap.t.test(`${path} with a timeout of kind ${timeoutKind}`, async (t) => {
+		const {connection, release} = await startTestServer(t);
 		const result = await connection.call({
 			method: 'GET',
 			path,
 			timeoutMs,
-			timeoutKind: bound,
+			timeoutKind,
 		});
 		t.match(
 			result.ok
@@ -175,49 +175,54 @@
 	});
 }
 
+tap.t.test('a request that timed out in the queue was not sent', async (t) => {
+	const {connection, receivedPaths, release} = await startTestServer(t);
+	const first = connection.call({...post, path: '/held', timeoutMs: 4000});
+	const queued = await connection.call({
+		...post,
+		path: '/two',
+		timeoutMs: 50,
+	});
+	t.same(queued, {ok: false, error: {kind: 'unavailable'}});
+	release();
+	const held = await first;
+	const third = await connection.call({...post, path: '/three'});
+	t.ok(held.ok && third.ok);
+	t.same(
+		receivedPaths,
+		['/held', '/three'],
+		'a timed-out request is never sent',
+	);
+});
+
+/** Guards against closing a free connection for each timed-out request. */
 tap.t.test(
-	'a request that waited in vain for a connection was not sent',
+	'requests that time out in the queue close no connection',
 	async (t) => {
-		const {connection, arrived, release} = await createWorld(t);
+		const {connection, receivedPaths, release, countConnections} =
+			await startTestServer(t);
 		const first = connection.call({...post, path: '/held', timeoutMs: 4000});
-		const queued = await connection.call({
-			...post,
-			path: '/two',
-			timeoutMs: 50,
-		});
-		t.same(queued, {ok: false, error: {kind: 'unavailable'}});
+		await Promise.all(
+			Array.from({length: 5}, async (_, index) =>
+				connection.call({...post, path: `/late-${index}`, timeoutMs: 50}),
+			),
+		);
 		release();
-		const held = await first;
-		const third = await connection.call({...post, path: '/three'});
-		t.ok(held.ok && third.ok);
-		t.same(arrived, ['/held', '/three'], 'what was given up is never sent');
+		const answered = await first;
+		t.ok(answered.ok);
+		const last = await connection.call({...post, path: '/last'});
+		t.ok(last.ok);
+		t.same(
+			receivedPaths,
+			['/held', '/last'],
+			'a timed-out request is never sent',
+		);
+		t.equal(countConnections(), 1);
 	},
 );
 
-/**
- * Each one that was taken out of the queue ended the connection that had come
- * free, so that the next request paid for a new one: a burst behind a slow link
- * cost as many connections as it had late requests.
- */
-tap.t.test('requests given up in the queue cost no connection', async (t) => {
-	const {connection, arrived, release, countConnections} = await createWorld(t);
-	const first = connection.call({...post, path: '/held', timeoutMs: 4000});
-	await Promise.all(
-		Array.from({length: 5}, async (_, index) =>
-			connection.call({...post, path: `/late-${index}`, timeoutMs: 50}),
-		),
-	);
-	release();
-	const answered = await first;
-	t.ok(answered.ok);
-	const last = await connection.call({...post, path: '/last'});
-	t.ok(last.ok);
-	t.same(arrived, ['/held', '/last'], 'what was given up is never sent');
-	t.equal(countConnections(), 1);
-});
-
-tap.t.test('nothing listens', async (t) => {
-	const {connection} = await createWorld(t);
+tap.t.test('a call to a closed pool is unavailable', async (t) => {
+	const {connection} = await startTestServer(t);
 	await connection.close();
 	t.same(await connection.call({...post, path: '/one'}), {
 		ok: false,
--- a/packages/ports/src/http/connection.ts
+++ b/packages/ports/src/http/connection.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP connection pool to the platform. Every call ends within its time
- * bound, and its failure says whether it may have taken effect.
+ * HTTP connection pool to one origin of the platform. Every call is bounded in
+ * time, and a failure says whether the call may have taken effect.
  */
 import * as undici from 'undici';
 import {
@@ -10,19 +10,19 @@
 	type TimeoutKind,
 } from './exchange.js';
 
-/** Settings of the client. */
+/** Settings of a connection pool. */
 export type PlatformHttpOptions = {
-	/** Such as `http://10.0.0.1:7000`; an IP number, not a name. */
+	/** Such as `http://10.0.0.1:7000`; an IP address, not a host name. */
 	readonly origin: string;
-	/** Time of a call that names none, in milliseconds. */
+	/** Default timeout of a call, in milliseconds. */
 	readonly timeoutMs: number;
 	readonly maxConnections: number;
 	readonly maxAnswerBytes: number;
-	/** How long an idle connection is kept, in milliseconds. */
+	/** How long an idle connection is kept open, in milliseconds. */
 	readonly keepIdleMs?: number;
 };
 
-/** Options in force where none are given. */
+/** Default options. */
 export const defaultHttpOptions = {
 	timeoutMs: 2000,
 	maxConnections: 8,
@@ -36,9 +36,9 @@
 	readonly path: string;
 	readonly contentType?: string;
 	readonly headers?: Readonly<Record<string, string>>;
-	/** Time for this call, in place of the pool's. */
+	/** Overrides the timeout of the pool, in milliseconds. */
 	readonly timeoutMs?: number;
-	/** What the time bounds; the whole call unless it is said. */
+	/** What the timeout limits; by default the whole call. */
 	readonly timeoutKind?: TimeoutKind;
 	readonly body?: string | Uint8Array;
 };
@@ -49,12 +49,12 @@
 	readonly close: () => Promise<void>;
 };
 
-const headersOf = (request: HttpCall): Record<string, string> =>
+const getHeaders = (request: HttpCall): Record<string, string> =>
 	request.contentType === undefined
 		? {...request.headers}
 		: {...request.headers, 'content-type': request.contentType};
 
-/** Opens a pool. One request is in flight on a connection at a time. */
+/** Opens a pool, with one request in flight per connection. */
 export const createHttpConnection = (
 	options: PlatformHttpOptions,
 ): HttpConnection => {
@@ -63,7 +63,7 @@
 		connections: options.maxConnections,
 		pipelining: 1,
 		connectTimeout: timeoutMs / 2,
-		// The time of each call bounds it; these only catch what it misses.
+		// Each call has its own timeout; these are only a safety net.
 		headersTimeout: 2 * timeoutMs,
 		bodyTimeout: 2 * timeoutMs,
 		maxResponseSize: options.maxAnswerBytes,
@@ -77,7 +77,7 @@
 				{
 					method: request.method,
 					path: request.path,
-					headers: headersOf(request),
+					headers: getHeaders(request),
 					body: request.body ?? null,
 				},
 				request.timeoutMs ?? timeoutMs,
--- a/packages/ports/src/http/exchange.ts
+++ b/packages/ports/src/http/exchange.ts
@@ -1,36 +1,35 @@
 /**
- * One request and its answer over a pool, read by a handler of the pool's own
- * rather than through a stream: 0.05 ms of processor time a call in place of
- * 0.09 (40 at a time over loopback, answers of 18 bytes), and it is known
- * whether the request left the queue.
+ * Sends one request over a pool and reads the answer. Uses a dispatch handler
+ * instead of a stream: it costs less processor time per call, and it tells
+ * whether the request left the queue of the pool.
  */
 import {Buffer} from 'node:buffer';
 import {performance} from 'node:perf_hooks';
 import {fail, succeed, type Result} from '@gullstand/core';
 import type * as undici from 'undici';
 
-/** A whole answer. */
+/** A complete answer. */
 export type HttpAnswer = {
 	readonly status: number;
 	readonly body: Uint8Array;
 };
 
 /**
- * `unavailable`: certainly no byte of the request went out. `timeout`: it may
- * have gone out, and its effect is unknown.
+ * `unavailable`: no byte of the request was sent. `timeout`: the request may
+ * have been sent, and its effect is unknown.
  */
 export type HttpFailure =
 	| {readonly kind: 'unavailable'}
 	| {
 			readonly kind: 'timeout';
-			/** Bytes of the answer's body that had come; absent if none had. */
+			/** Bytes received of the answer's body; absent if none. */
 			readonly receivedBytes?: number;
 	  };
 
-/** A whole answer, or why there is none. */
+/** A complete answer, or why there is none. */
 export type HttpResult = Result<HttpAnswer, HttpFailure>;
 
-/** Errors after which certainly no byte of the request went out. */
+/** Errors after which no byte of the request was sent. */
 const notSentCodes = new Set([
 	'ECONNREFUSED',
 	'EHOSTUNREACH',
@@ -44,37 +43,33 @@
 		? err.code
 		: undefined;
 
-/** What the time of a call bounds. */
+/** What the timeout of a call limits. */
 export const timeoutKinds = {
-	/** The whole of it, queueing included: for a caller that cannot wait. */
+	/** The whole call including queueing, for callers with a deadline. */
 	whole: 'whole',
 	/**
-	 * Each time in which nothing comes, queueing included: for an answer whose
-	 * size nobody bounds. One that arrives is never given up and begun anew: a
-	 * configuration of 1,050,000 bytes takes 1.3 s at 7 Mbit/s, and entries that
-	 * gave it up after 1.2 s never had it.
+	 * Each period without data, including queueing, for answers of unbounded
+	 * size. A large answer on a slow link would otherwise time out on every
+	 * attempt and never arrive.
 	 */
 	idle: 'silence',
 } as const;
 
-/** One of the bounds. */
+/** One of `timeoutKinds`. */
 export type TimeoutKind = (typeof timeoutKinds)[keyof typeof timeoutKinds];
 
-/**
- * Longest that an answer may take to arrive in all, in milliseconds; origin:
- * 16 MB, the most that is taken of one, last 19 s at 7 Mbit/s.
- */
+/** Longest total time that an answer may take to arrive, in milliseconds. */
 const maxArrivalMs = 30_000;
 
 /**
- * Makes one request. Resolves within `timeoutMs`, or, where that bounds each
- * silence, within `maxArrivalMs` and one more silence.
+ * Makes one request. Resolves within `timeoutMs`, or, with an idle timeout,
+ * within `maxArrivalMs` plus one `timeoutMs`.
  */
 export const exchange = async (
 	dispatcher: undici.Dispatcher,
 	request: undici.Dispatcher.DispatchOptions,
 	timeoutMs: number,
-	bound: TimeoutKind,
+	timeoutKind: TimeoutKind,
 ): Promise<HttpResult> =>
 	new Promise((resolve) => {
 		const sentAt = performance.now();
@@ -82,48 +77,48 @@
 		let receivedBytes = 0;
 		let status = 0;
 		let controller: undici.Dispatcher.DispatchController | undefined;
-		let isSettled = false;
+		let isCompleted = false;
 
-		const settle = (result: HttpResult) => {
-			isSettled = true;
+		const complete = (result: HttpResult) => {
+			isCompleted = true;
 			clearTimeout(timer);
 			resolve(result);
 		};
 
 		const failUnknown = () => {
-			settle(
+			complete(
 				fail({kind: 'timeout', ...(receivedBytes > 0 && {receivedBytes})}),
 			);
 		};
 
-		const giveUp = () => {
+		const abort = () => {
 			if (controller) {
 				failUnknown();
 			} else {
-				settle(fail({kind: 'unavailable'}));
+				complete(fail({kind: 'unavailable'}));
 			}
 
-			controller?.abort(new Error('no answer in time'));
+			controller?.abort(new Error('no answer within the timeout'));
 		};
 
-		/** After a pause of the process, what has come meanwhile is read first. */
-		const giveUpIfSilent = () => {
-			const seenBytes = receivedBytes;
+		/** Reads pending data first, in case the process itself was paused. */
+		const abortIfIdle = () => {
+			const previousBytes = receivedBytes;
 			setImmediate(() => {
-				if (!isSettled && receivedBytes === seenBytes) {
-					giveUp();
+				if (!isCompleted && receivedBytes === previousBytes) {
+					abort();
 				}
 			});
 		};
 
 		const timer = setTimeout(
-			bound === timeoutKinds.idle ? giveUpIfSilent : giveUp,
+			timeoutKind === timeoutKinds.idle ? abortIfIdle : abort,
 			timeoutMs,
 		);
 
-		const noteArrival = () => {
+		const extendIdleTimeout = () => {
 			if (performance.now() - sentAt > maxArrivalMs) {
-				giveUp();
+				abort();
 			} else {
 				timer.refresh();
 			}
@@ -131,10 +126,10 @@
 
 		dispatcher.dispatch(request, {
 			onRequestStart(started) {
-				if (isSettled) {
-					// Nothing of it is sent, and the connection stays, which an abort
-					// would end.
-					throw new Error('given up before it was sent');
+				if (isCompleted) {
+					// Throwing here sends nothing and keeps the connection open, which
+					// an abort would close.
+					throw new Error('request timed out before it was sent');
 				}
 
 				controller = started;
@@ -145,18 +140,18 @@
 			onResponseData(_controller, chunk) {
 				chunks.push(chunk);
 				receivedBytes += chunk.length;
-				if (bound === timeoutKinds.idle) {
-					noteArrival();
+				if (timeoutKind === timeoutKinds.idle) {
+					extendIdleTimeout();
 				}
 			},
 			onResponseEnd() {
-				settle(succeed({status, body: Buffer.concat(chunks)}));
+				complete(succeed({status, body: Buffer.concat(chunks)}));
 			},
 			onResponseError(_controller, err) {
 				const isUnsent =
 					controller === undefined || notSentCodes.has(getCode(err) ?? '');
 				if (isUnsent) {
-					settle(fail({kind: 'unavailable'}));
+					complete(fail({kind: 'unavailable'}));
 				} else {
 					failUnknown();
 				}
--- a/packages/ports/src/http/instance-list.ts
+++ b/packages/ports/src/http/instance-list.ts
@@ -8,7 +8,7 @@
 
 const refusal = zod.object({kind: zod.literal('unavailable')});
 
-/** The instance list at the other end of a connection. */
+/** Creates a client of the instance list. */
 export const createHttpInstanceList = (
 	connection: HttpConnection,
 ): InstanceList => ({
--- a/packages/ports/src/http/json-call.ts
+++ b/packages/ports/src/http/json-call.ts
@@ -1,10 +1,10 @@
-/** JSON calls over a connection, with every answer checked. */
+/** JSON calls over a connection, with validation of the answers. */
 import * as core from '@gullstand/core';
 import type * as zod from 'zod';
 import type {HttpConnection} from './connection.js';
 import type {HttpAnswer, HttpFailure} from './exchange.js';
 
-/** A call and the forms of its answer and of its refusal. */
+/** A call and the schemas of its answer and of its refusal. */
 export type JsonCall<Value, Failure> = {
 	readonly path: string;
 	readonly body: unknown;
@@ -22,7 +22,7 @@
 	}
 };
 
-/** An answer that makes no sense says nothing of the effect. */
+/** An invalid answer leaves the effect unknown, as a timeout does. */
 const readAnswer = <Value, Failure>(
 	{answer, refusal}: JsonCall<Value, Failure>,
 	{status, body}: HttpAnswer,
@@ -39,7 +39,7 @@
 	return core.fail(checked.success ? checked.data : {kind: 'timeout'});
 };
 
-/** Posts a JSON body and checks what comes back. */
+/** Posts a JSON body and validates the answer. */
 export const postJson = async <Value, Failure>(
 	connection: HttpConnection,
 	call: JsonCall<Value, Failure>,
--- a/packages/ports/src/http/object-store.test.ts
+++ b/packages/ports/src/http/object-store.test.ts
@@ -1,4 +1,4 @@
-/** An object is whole whatever its size and the link. */
+/** A large object on a slow link must not run into the call timeout. */
 import * as http from 'node:http';
 import type {AddressInfo} from 'node:net';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -10,10 +10,10 @@
 const parts = 40;
 const partMs = 30;
 
-/** Longer than any silence of the answer, shorter than the whole of it. */
+/** Longer than any pause of the answer, shorter than the whole answer. */
 const timeoutMs = 600;
 
-tap.t.test('a large object arrives over a thin link', async (t) => {
+tap.t.test('a large object arrives over a slow link', async (t) => {
 	const server = http.createServer(async (_req, res) => {
 		for (let part = 0; part < parts && !res.destroyed; part += 1) {
 			await delay(partMs);
--- a/packages/ports/src/http/object-store.ts
+++ b/packages/ports/src/http/object-store.ts
@@ -32,7 +32,7 @@
 const getPath = (name: string): string =>
 	`${messages.paths.objects}/${encodeURIComponent(name)}`;
 
-const change = async (
+const sendChange = async (
 	connection: HttpConnection,
 	call: HttpCall,
 ): Promise<core.Result<void, ObjectError>> => {
@@ -46,7 +46,7 @@
 		: core.fail(classifyStatus(result.value.status));
 };
 
-/** The object store at the other end of a connection. */
+/** Creates a client of the object store. */
 export const createHttpObjectStore = (
 	connection: HttpConnection,
 ): ObjectStore => ({
@@ -70,12 +70,12 @@
 			: core.fail(classifyStatus(status));
 	},
 	put: async (name, body) =>
-		change(connection, {
+		sendChange(connection, {
 			method: 'PUT',
 			path: getPath(name),
 			contentType: 'application/octet-stream',
 			body,
 		}),
 	delete: async (name) =>
-		change(connection, {method: 'DELETE', path: getPath(name)}),
+		sendChange(connection, {method: 'DELETE', path: getPath(name)}),
 });
--- a/packages/ports/src/http/table-service.ts
+++ b/packages/ports/src/http/table-service.ts
@@ -5,7 +5,7 @@
 import type {HttpConnection} from './connection.js';
 import {postJson} from './json-call.js';
 
-/** The table service at the other end of a connection. */
+/** Creates a client of the table service. */
 export const createHttpTableService = (
 	connection: HttpConnection,
 ): TableService => ({
--- a/packages/ports/src/http/workers.ts
+++ b/packages/ports/src/http/workers.ts
@@ -1,4 +1,4 @@
-/** Workers over HTTP, by way of the platform. */
+/** Workers over HTTP, through the platform. */
 import * as core from '@gullstand/core';
 import * as zod from 'zod';
 import type {WorkerError, Workers} from '../ports/workers.js';
@@ -6,8 +6,8 @@
 import type {HttpConnection} from './connection.js';
 import {postJson} from './json-call.js';
 
-const done = zod.object({});
-const checkpointed = zod.object({checkpoint: zod.string()});
+const emptyAnswer = zod.object({});
+const checkpointAnswer = zod.object({checkpoint: zod.string()});
 
 const call = async <Value>(
 	connection: HttpConnection,
@@ -28,32 +28,36 @@
 	return core.fail({kind: 'unreachable'});
 };
 
-const order = async (
+const sendCommand = async (
 	connection: HttpConnection,
 	worker: string,
 	body: messages.WorkerRequest,
 ): Promise<core.Result<void, WorkerError>> => {
-	const result = await call(connection, worker, body, done);
+	const result = await call(connection, worker, body, emptyAnswer);
 	return result.ok ? core.succeed(undefined) : result;
 };
 
-/** The workers behind a connection. */
+/** Creates a client of the workers. */
 export const createHttpWorkers = (connection: HttpConnection): Workers => ({
 	start: async (worker, task) =>
-		order(connection, worker, {call: 'start', task}),
+		sendCommand(connection, worker, {call: 'start', task}),
 	renew: async (worker, taskIds, leaseMs) =>
-		order(connection, worker, {call: 'renew', taskIds: [...taskIds], leaseMs}),
+		sendCommand(connection, worker, {
+			call: 'renew',
+			taskIds: [...taskIds],
+			leaseMs,
+		}),
 	async checkpoint(worker, taskId) {
 		const body = {call: 'checkpoint', taskId} as const;
-		const result = await call(connection, worker, body, checkpointed);
+		const result = await call(connection, worker, body, checkpointAnswer);
 		return result.ok ? core.succeed(result.value.checkpoint) : result;
 	},
 	throttle: async (worker, taskId, share) =>
-		order(connection, worker, {call: 'throttle', taskId, share}),
+		sendCommand(connection, worker, {call: 'throttle', taskId, share}),
 	stop: async (worker, taskIds) =>
-		order(connection, worker, {call: 'stop', taskIds: [...taskIds]}),
+		sendCommand(connection, worker, {call: 'stop', taskIds: [...taskIds]}),
 	report: async (worker) =>
 		call(connection, worker, {call: 'report'}, messages.workerReport),
 	reboot: async (worker, incarnation) =>
-		order(connection, worker, {call: 'reboot', incarnation}),
+		sendCommand(connection, worker, {call: 'reboot', incarnation}),
 });
--- a/packages/ports/src/index.ts
+++ b/packages/ports/src/index.ts
@@ -1,4 +1,4 @@
-/** Ports and clients for the platform. */
+/** Ports to the platform, with HTTP and in-memory implementations. */
 export type * from './ports/table-service.js';
 export type * from './ports/object-store.js';
 export type * from './ports/instance-list.js';
--- a/packages/ports/src/memory/change-signal.ts
+++ b/packages/ports/src/memory/change-signal.ts
@@ -1,26 +1,25 @@
-/** Lets readers in memory wait for a change, for a time at most. */
+/** Lets in-memory readers wait for a change with a timeout. */
 
-/** The signal. */
+/** Wakes waiting readers on a change. */
 export type ChangeSignal = {
-	/** Resolves at the next change, or after so many milliseconds. */
+	/** Resolves at the next change, or after `ms` milliseconds. */
 	readonly wait: (ms: number) => Promise<void>;
 	readonly notify: () => void;
 };
 
-/** Creates a signal. */
 export const createChangeSignal = (): ChangeSignal => {
 	const waiting = new Set<() => void>();
 	return {
 		wait: async (ms) =>
 			new Promise((resolve) => {
-				const end = () => {
+				const finish = () => {
 					clearTimeout(timer);
-					waiting.delete(end);
+					waiting.delete(finish);
 					resolve();
 				};
 
-				const timer = setTimeout(end, ms);
-				waiting.add(end);
+				const timer = setTimeout(finish, ms);
+				waiting.add(finish);
 			}),
 		notify() {
 			for (const wake of waiting) {
--- a/packages/ports/src/memory/instance-list.ts
+++ b/packages/ports/src/memory/instance-list.ts
@@ -2,14 +2,14 @@
 import * as core from '@gullstand/core';
 import type {InstanceList, ListedInstance} from '../ports/instance-list.js';
 
-/** An instance list that its owner can change. It does not lag. */
+/** An instance list that can be changed, always up to date. */
 export type MemoryInstanceList = InstanceList & {
 	/** Adds an instance, or replaces the one with the same id. */
 	readonly set: (instance: ListedInstance) => void;
 	readonly remove: (id: string) => void;
 };
 
-/** Makes a list that holds the instances given. */
+/** Creates a list of the given instances. */
 export const createMemoryInstanceList = (
 	initial: readonly ListedInstance[] = [],
 ): MemoryInstanceList => {
--- a/packages/ports/src/memory/object-store.ts
+++ b/packages/ports/src/memory/object-store.ts
@@ -4,7 +4,7 @@
 
 const defaultMaxObjectBytes = 64 * 1024 * 1024;
 
-/** Makes an empty object store; larger objects are refused. */
+/** Creates an empty object store, which refuses larger objects. */
 export const createMemoryObjectStore = (
 	maxObjectBytes: number = defaultMaxObjectBytes,
 ): ObjectStore => {
--- a/packages/ports/src/memory/row-store.ts
+++ b/packages/ports/src/memory/row-store.ts
@@ -1,4 +1,4 @@
-/** The store of rows in memory, with faults that a test sets. */
+/** Row store in memory, with fault injection for tests. */
 import {fail, succeed, type Result} from '@gullstand/core';
 import type {
 	ChangedRow,
@@ -11,22 +11,22 @@
 } from '../ports/row-store.js';
 import {createChangeSignal} from './change-signal.js';
 
-/** What happens to a call. */
+/** Fault of one call. */
 export type StoreFault =
-	/** Nothing is done. */
+	/** Fails without effect. */
 	| 'unavailable'
-	/** Done, and the answer is lost. */
+	/** Times out after taking effect. */
 	| 'lost-after'
-	/** Not done, and no answer comes. */
+	/** Times out without effect. */
 	| 'lost-before';
 
-/** A store in memory and what tests do with it. */
+/** A row store in memory with controls for tests. */
 export type MemoryRowStore = RowStore & {
-	/** Decides for each call whether it meets a fault. */
+	/** Sets the function that chooses the fault of each call. */
 	setFault: (
 		decide: (call: 'transact' | 'read') => StoreFault | undefined,
 	) => void;
-	/** Drops the history, as a store may at any time. */
+	/** Discards the change history, as a store may at any time. */
 	readonly dropHistory: () => void;
 	readonly list: (table: string) => readonly StoredRow[];
 	readonly countCalls: () => number;
@@ -40,7 +40,6 @@
 const byKey = (one: RowKey, two: RowKey): number =>
 	one.key < two.key ? -1 : 1;
 
-/** Creates an empty store. */
 export const createMemoryRowStore = (): MemoryRowStore => {
 	const rows = new Map<string, StoredRow>();
 	let history: ChangedRow[] = [];
@@ -51,14 +50,14 @@
 		undefined;
 	const signal = createChangeSignal();
 
-	const holds = (check: RowCheck): boolean =>
+	const isSatisfied = (check: RowCheck): boolean =>
 		(rows.get(toId(check))?.version ?? 0) === check.version;
 
 	const findRows = (checks: readonly RowCheck[]): readonly StoredRow[] =>
 		checks.flatMap((check) => rows.get(toId(check)) ?? []);
 
 	const apply = ({checks, puts, removes}: RowTransaction) => {
-		if (!checks.every((check) => holds(check))) {
+		if (!checks.every((check) => isSatisfied(check))) {
 			return fail({kind: 'conflict', rows: findRows(checks)} as const);
 		}
 
@@ -79,13 +78,13 @@
 		return succeed({version, nowMs: performance.now()});
 	};
 
-	const guard = async <Value>(
+	const runWithFault = async <Value>(
 		call: 'transact' | 'read',
 		action: () => Result<Value, RowStoreError>,
 	): Promise<Result<Value, RowStoreError>> => {
 		calls += 1;
 		const fault = decideFault(call);
-		// An answer never comes within the call itself.
+		// Answers asynchronously, as a remote store does.
 		await Promise.resolve();
 		if (fault === 'unavailable') {
 			return fail({kind: 'unavailable'});
@@ -109,29 +108,29 @@
 
 	return {
 		transact: async (transaction) =>
-			guard('transact', () => apply(transaction)),
+			runWithFault('transact', () => apply(transaction)),
 		read: async ({table, part, from = '', to, limit = pageSize}) =>
-			guard('read', () => {
-				const most = Math.min(limit, pageSize);
+			runWithFault('read', () => {
+				const maxRows = Math.min(limit, pageSize);
 				const found = listPart(table, part).filter(
 					({key}) => key >= from && (to === undefined || key < to),
 				);
 				return succeed({
-					rows: found.slice(0, most),
+					rows: found.slice(0, maxRows),
 					version,
-					hasMore: found.length > most,
+					hasMore: found.length > maxRows,
 					nowMs: performance.now(),
 				});
 			}),
 		listParts: async (table) =>
-			guard('read', () => {
+			runWithFault('read', () => {
 				const parts = [...rows.values()]
 					.filter((row) => row.table === table)
 					.map(({part}) => part);
 				return succeed([...new Set(parts)].toSorted());
 			}),
 		async readChanges({table, afterVersion, waitMs}) {
-			// Other tables change meanwhile.
+			// The signal also fires on changes of other tables.
 			const until = performance.now() + waitMs;
 			while (
 				performance.now() < until &&
@@ -140,7 +139,7 @@
 				await signal.wait(until - performance.now());
 			}
 
-			return guard('read', () =>
+			return runWithFault('read', () =>
 				afterVersion < historyFrom
 					? fail({kind: 'history-lost'})
 					: succeed({rows: listChanges(table, afterVersion), version}),
--- a/packages/ports/src/memory/sorted-keys.ts
+++ b/packages/ports/src/memory/sorted-keys.ts
@@ -1,13 +1,13 @@
-/** Sorted arrays of keys (by UTF-16 code unit), for range reads. */
+/** Arrays of keys sorted by UTF-16 code unit, for range reads. */
 
-/** Which keys are sought. */
+/** A range of keys. */
 export type KeyQuery = {
 	readonly prefix: string;
 	readonly after?: string;
 	readonly limit: number;
 };
 
-/** Index of the first key that is not below the one given. */
+/** Returns the index of the first key not less than the given one. */
 const findIndex = (keys: readonly string[], key: string): number => {
 	let low = 0;
 	let high = keys.length;
@@ -23,17 +23,17 @@
 	return low;
 };
 
-/** Adds a key that is not there. */
+/** Inserts a key that is not present. */
 export const insertKey = (keys: string[], key: string): void => {
 	keys.splice(findIndex(keys, key), 0, key);
 };
 
-/** Takes out a key that is there. */
+/** Removes a key that is present. */
 export const removeKey = (keys: string[], key: string): void => {
 	keys.splice(findIndex(keys, key), 1);
 };
 
-/** Keys with the prefix and above `after`, in order, at most `limit`. */
+/** Returns up to `limit` keys with the prefix and after `after`, in order. */
 export const findKeys = (
 	keys: readonly string[],
 	{prefix, after, limit}: KeyQuery,
--- a/packages/ports/src/memory/table-service.test.ts
+++ b/packages/ports/src/memory/table-service.test.ts
@@ -22,10 +22,10 @@
 ];
 
 for (const kind of ['put', 'delete', 'check'] as const) {
-	for (const [name, when, isThere, commits] of preconditions) {
+	for (const [name, when, isPresent, commits] of preconditions) {
 		tap.t.test(`${kind}: ${name}`, async (t) => {
 			const store = createMemoryTableService();
-			if (isThere) {
+			if (isPresent) {
 				await store.commit([put('a', 'old', any)], 'op-1');
 			}
 
@@ -44,20 +44,26 @@
 	}
 }
 
-tap.t.test('a version never returns after a delete or a restore', async (t) => {
-	const store = createMemoryTableService();
-	await store.commit([put('a', '1', any)], 'op-1');
-	const backup = store.dump();
-	await store.commit([put('a', '2', any)], 'op-2');
-	await store.commit([{kind: 'delete', table: 't', key: 'a', when: any}], 'x');
-	await store.commit([put('a', '3', any)], 'op-3');
-	t.match(await store.get('t', 'a'), {value: {version: 3, value: '3'}});
-	store.restore(backup);
-	t.match(await store.get('t', 'a'), {value: {version: 1, value: '1'}});
-	const result = await store.commit([put('a', '4', any)], 'op-4');
-	t.same(result, {ok: true, value: {versions: [4]}});
-	t.match(await store.get('t', 'a'), {value: {operationId: 'op-4'}});
-});
+tap.t.test(
+	'a version is never reused after a delete or a restore',
+	async (t) => {
+		const store = createMemoryTableService();
+		await store.commit([put('a', '1', any)], 'op-1');
+		const backup = store.dump();
+		await store.commit([put('a', '2', any)], 'op-2');
+		await store.commit(
+			[{kind: 'delete', table: 't', key: 'a', when: any}],
+			'x',
+		);
+		await store.commit([put('a', '3', any)], 'op-3');
+		t.match(await store.get('t', 'a'), {value: {version: 3, value: '3'}});
+		store.restore(backup);
+		t.match(await store.get('t', 'a'), {value: {version: 1, value: '1'}});
+		const result = await store.commit([put('a', '4', any)], 'op-4');
+		t.same(result, {ok: true, value: {versions: [4]}});
+		t.match(await store.get('t', 'a'), {value: {operationId: 'op-4'}});
+	},
+);
 
 const ranges: Array<[string, string | undefined, number, string[]]> = [
 	['', undefined, 10, ['a', 'b/1', 'b/2', 'b/3', 'c']],
@@ -83,7 +89,7 @@
 	});
 }
 
-tap.t.test('what is too large is refused whole', async (t) => {
+tap.t.test('a commit over a limit is refused without effect', async (t) => {
 	const store = createMemoryTableService({
 		maxValueBytes: 6,
 		maxWritesPerCommit: 2,
@@ -100,11 +106,8 @@
 	t.equal(result.ok ? result.value.length : undefined, 1);
 });
 
-tap.t.test(
-	'a row twice in a transaction is a fault of the program',
-	async (t) => {
-		const store = createMemoryTableService();
-		const writes = [put('a', '1', any), put('a', '2', any)];
-		return t.rejects(store.commit(writes, 'op-1'), TypeError);
-	},
-);
+tap.t.test('a transaction that names a row twice throws', async (t) => {
+	const store = createMemoryTableService();
+	const writes = [put('a', '1', any), put('a', '2', any)];
+	return t.rejects(store.commit(writes, 'op-1'), TypeError);
+});
--- a/packages/ports/src/memory/table-service.ts
+++ b/packages/ports/src/memory/table-service.ts
@@ -1,7 +1,7 @@
 /**
- * Table service in memory, for the embedded daemon, tests and benches. It
- * keeps the port's promises exactly: one transaction at a time, all writes or
- * none, versions that never return. Source: docs/design/platform-port.md.
+ * Table service in memory, for the embedded daemon, tests and benches. It runs
+ * one transaction at a time, commits all writes or none, and never reuses a
+ * version. Source: docs/design/platform-port.md.
  */
 import {Buffer} from 'node:buffer';
 import * as core from '@gullstand/core';
@@ -15,27 +15,27 @@
 } from '../ports/table-service.js';
 import * as sortedKeys from './sorted-keys.js';
 
-/** Bounds on what one call may carry. */
+/** Limits of one call. */
 export type TableLimits = {
 	readonly maxValueBytes: number;
 	readonly maxWritesPerCommit: number;
 	readonly maxRowsPerRange: number;
 };
 
-/** Bounds in force when none are given. */
+/** Default limits. */
 export const defaultTableLimits: TableLimits = {
 	maxValueBytes: 64 * 1024,
 	maxWritesPerCommit: 100,
 	maxRowsPerRange: 1000,
 };
 
-/** A table service in memory, whose rows can be saved and put back. */
+/** A table service in memory whose rows can be dumped and restored. */
 export type MemoryTableService = TableService & {
-	/** All rows, as a restore takes them. */
+	/** Returns all rows, as `restore` accepts them. */
 	readonly dump: () => readonly Row[];
 	/**
-	 * Puts older rows back, as a store does that is restored from a backup:
-	 * later reads are older than earlier ones. Versions go on from the highest.
+	 * Replaces all rows by older ones, as a restore from a backup does, so that
+	 * later reads may be older than earlier ones. Versions keep increasing.
 	 */
 	readonly restore: (rows: readonly Row[]) => void;
 };
@@ -64,7 +64,7 @@
 const getRow = (state: State, table: string, key: string): Row | undefined =>
 	state.tables.get(table)?.rows.get(key);
 
-const doesHold = (when: Precondition, row: Row | undefined): boolean => {
+const isSatisfied = (when: Precondition, row: Row | undefined): boolean => {
 	switch (when.kind) {
 		case 'any': {
 			return true;
@@ -96,7 +96,7 @@
 ): StoreError | undefined => {
 	for (const {table, key, when} of writes) {
 		const current = getRow(state, table, key);
-		if (!doesHold(when, current)) {
+		if (!isSatisfied(when, current)) {
 			return {kind: 'conflict', table, key, current};
 		}
 	}
@@ -120,7 +120,7 @@
 	}
 };
 
-const checkEachRowOnce = (writes: readonly Write[]): void => {
+const checkDistinctRows = (writes: readonly Write[]): void => {
 	const seen = new Set(
 		writes.map((write) => JSON.stringify([write.table, write.key])),
 	);
@@ -165,8 +165,8 @@
 };
 
 /**
- * Makes an empty table service. A transaction that names a row twice is a
- * fault of the program and throws `TypeError`.
+ * Creates an empty table service. A transaction that names a row twice throws
+ * `TypeError`.
  */
 export const createMemoryTableService = (
 	limits: TableLimits = defaultTableLimits,
@@ -184,7 +184,7 @@
 			return core.succeed(found.map((key) => rows.get(key)!));
 		},
 		async commit(writes, operationId) {
-			checkEachRowOnce(writes);
+			checkDistinctRows(writes);
 			if (isTooLarge(writes, limits)) {
 				return core.fail({kind: 'too-large'});
 			}
--- a/packages/ports/src/memory/task-executors.ts
+++ b/packages/ports/src/memory/task-executors.ts
@@ -1,6 +1,6 @@
 /**
- * Executors in memory that run tasks under leases and fencing tokens. Their
- * clock and the ends of their tasks are moved by whoever holds them.
+ * Executors in memory that run tasks under leases and fencing tokens. The caller
+ * controls their clock and ends their runs.
  */
 import type {scheduler} from '@gullstand/core';
 import type {
@@ -11,11 +11,11 @@
 	StartCommand,
 } from '../ports/executors.js';
 
-/** How an executor treats the calls to it. */
+/** Fault of all calls to an executor. */
 export type ExecutorFault =
-	/** No answer, and nothing is done. */
+	/** Calls time out without effect. */
 	| 'silent'
-	/** No answer, and it is done. */
+	/** Calls take effect, but their answers are lost. */
 	| 'lost-answer';
 
 type LiveRun = {
@@ -25,10 +25,10 @@
 	checkpoint: string;
 	percent: number;
 	load: number;
-	pacePercent: number;
+	speedLimitPercent: number;
 };
 
-/** One start that was carried out, for a test's judgement. */
+/** A start that was carried out, for checks of tests. */
 export type StartRecord = {
 	readonly executorId: string;
 	readonly taskId: string;
@@ -37,10 +37,10 @@
 	readonly fencingToken: number;
 };
 
-type Life = {
+type Incarnation = {
 	readonly listed: scheduler.ListedExecutor;
 	readonly running: Map<string, LiveRun>;
-	readonly barred: Map<string, number>;
+	readonly lastEndedRuns: Map<string, number>;
 	ends: scheduler.ListedEnd[];
 	nextEnd: number;
 	fencingToken: number;
@@ -49,13 +49,13 @@
 	wake: (() => void) | undefined;
 };
 
-/** Executors in memory and what tests do with them. */
+/** Executors in memory with controls for tests. */
 export type MemoryExecutors = Executors & {
 	readonly add: (listed: scheduler.ListedExecutor) => void;
-	/** Ends one life; what ran there is gone. */
+	/** Terminates one incarnation with all its runs. */
 	readonly remove: (id: string) => void;
 	readonly setFault: (id: string, fault: ExecutorFault | undefined) => void;
-	/** Lets a run end. */
+	/** Ends a run. */
 	readonly finish: (id: string, taskId: string, how: scheduler.RunEnd) => void;
 	readonly setProgress: (
 		id: string,
@@ -73,120 +73,145 @@
 
 /** Creates executors whose clocks show `now`. */
 export const createMemoryExecutors = (now: () => number): MemoryExecutors => {
-	const lives = new Map<string, Life>();
+	const incarnations = new Map<string, Incarnation>();
 	const starts: StartRecord[] = [];
-	let looks = 0;
+	let polls = 0;
 
-	const end = (life: Life, run: LiveRun, how: scheduler.RunEnd) => {
-		life.running.delete(run.taskId);
-		life.barred.set(run.taskId, run.run);
-		life.ends.push({
-			number: life.nextEnd,
+	const end = (
+		incarnation: Incarnation,
+		run: LiveRun,
+		how: scheduler.RunEnd,
+	) => {
+		incarnation.running.delete(run.taskId);
+		incarnation.lastEndedRuns.set(run.taskId, run.run);
+		incarnation.ends.push({
+			number: incarnation.nextEnd,
 			taskId: run.taskId,
 			run: run.run,
 			how,
 			checkpoint: run.checkpoint,
 		});
-		life.nextEnd += 1;
-		life.wake?.();
+		incarnation.nextEnd += 1;
+		incarnation.wake?.();
 	};
 
-	const lapse = (life: Life) => {
-		if (now() > life.leaseUntil) {
-			for (const run of life.running.values()) {
-				end(life, run, 'lapsed');
+	const expireLease = (incarnation: Incarnation) => {
+		if (now() > incarnation.leaseUntil) {
+			for (const run of incarnation.running.values()) {
+				end(incarnation, run, 'lapsed');
 			}
 		}
 	};
 
-	const isFenced = (life: Life, fencingToken: number): boolean => {
-		if (fencingToken < life.fencingToken) {
+	const isFenced = (
+		incarnation: Incarnation,
+		fencingToken: number,
+	): boolean => {
+		if (fencingToken < incarnation.fencingToken) {
 			return true;
 		}
 
-		life.fencingToken = fencingToken;
+		incarnation.fencingToken = fencingToken;
 		return false;
 	};
 
-	const find = (target: ExecutorTarget): Life | undefined =>
-		lives.get(target.id);
+	const findIncarnation = (target: ExecutorTarget): Incarnation | undefined =>
+		incarnations.get(target.id);
 
 	const isReplaced = (target: ExecutorTarget): boolean =>
-		[...lives.values()].some(
+		[...incarnations.values()].some(
 			({listed}) =>
 				listed.address === target.address && listed.id !== target.id,
 		);
 
-	const start = (life: Life, order: StartCommand): scheduler.StartAnswer => {
+	const start = (
+		incarnation: Incarnation,
+		command: StartCommand,
+	): scheduler.StartAnswer => {
 		const clockMs = now();
-		if (isFenced(life, order.fencingToken)) {
+		if (isFenced(incarnation, command.fencingToken)) {
 			return {kind: 'fenced'};
 		}
 
-		if (order.leaseEndMs <= clockMs) {
+		if (command.leaseEndMs <= clockMs) {
 			return {kind: 'refused', reason: 'too-late', clockMs};
 		}
 
-		life.leaseUntil = Math.max(life.leaseUntil, order.leaseEndMs);
-		const known = life.running.get(order.taskId);
-		if (known?.run === order.run) {
+		incarnation.leaseUntil = Math.max(
+			incarnation.leaseUntil,
+			command.leaseEndMs,
+		);
+		const known = incarnation.running.get(command.taskId);
+		if (known?.run === command.run) {
 			return {kind: 'started', clockMs};
 		}
 
-		const isOld = order.run <= (life.barred.get(order.taskId) ?? 0);
+		const isOld =
+			command.run <= (incarnation.lastEndedRuns.get(command.taskId) ?? 0);
 		if (isOld || known) {
 			return {kind: 'refused', reason: 'outdated-run', clockMs};
 		}
 
-		const {taskId, run, payload} = order;
-		const checkpoint = order.checkpoint ?? '';
-		life.running.set(taskId, {
+		const {taskId, run, payload} = command;
+		const checkpoint = command.checkpoint ?? '';
+		incarnation.running.set(taskId, {
 			taskId,
 			run,
 			payload,
 			checkpoint,
 			percent: 0,
 			load: 0,
-			pacePercent: 100,
+			speedLimitPercent: 100,
 		});
 		const record = {
-			executorId: life.listed.id,
+			executorId: incarnation.listed.id,
 			taskId,
 			run,
 			payload,
-			fencingToken: order.fencingToken,
+			fencingToken: command.fencingToken,
 		};
 		starts.push(record);
 		executors.onStart?.(record);
 		return {kind: 'started', clockMs};
 	};
 
-	const stop = (life: Life, order: RunCommand): scheduler.CommandAnswer => {
-		if (isFenced(life, order.fencingToken)) {
+	const stop = (
+		incarnation: Incarnation,
+		command: RunCommand,
+	): scheduler.CommandAnswer => {
+		if (isFenced(incarnation, command.fencingToken)) {
 			return {kind: 'fenced'};
 		}
 
-		const run = life.running.get(order.taskId);
-		if (run?.run === order.run) {
-			end(life, run, 'stopped');
+		const run = incarnation.running.get(command.taskId);
+		if (run?.run === command.run) {
+			end(incarnation, run, 'stopped');
 		}
 
-		const barred = life.barred.get(order.taskId) ?? 0;
-		life.barred.set(order.taskId, Math.max(barred, order.run));
+		const lastEndedRun = incarnation.lastEndedRuns.get(command.taskId) ?? 0;
+		incarnation.lastEndedRuns.set(
+			command.taskId,
+			Math.max(lastEndedRun, command.run),
+		);
 		return {kind: 'done', clockMs: now()};
 	};
 
-	const takeLookOrder = (life: Life, order: PollRequest) => {
-		life.ends = life.ends.filter(({number}) => number > order.acknowledgedUpto);
-		if (order.leaseEndMs !== undefined) {
-			life.leaseUntil = Math.max(life.leaseUntil, order.leaseEndMs);
+	const applyPoll = (incarnation: Incarnation, req: PollRequest) => {
+		incarnation.ends = incarnation.ends.filter(
+			({number}) => number > req.acknowledgedUpto,
+		);
+		if (req.leaseEndMs !== undefined) {
+			incarnation.leaseUntil = Math.max(incarnation.leaseUntil, req.leaseEndMs);
 		}
 	};
 
-	const waitForEnd = async (life: Life, ms: number): Promise<void> =>
+	const waitForEnd = async (
+		incarnation: Incarnation,
+		ms: number,
+	): Promise<void> =>
 		new Promise((resolve) => {
 			const timer = setTimeout(resolve, ms);
-			life.wake = () => {
+			incarnation.wake = () => {
 				clearTimeout(timer);
 				resolve();
 			};
@@ -195,67 +220,67 @@
 	const answer = async <Answer>(
 		target: ExecutorTarget,
 		timeoutMs: number,
-		action: (life: Life) => Answer | Promise<Answer>,
+		action: (incarnation: Incarnation) => Answer | Promise<Answer>,
 	): Promise<Answer | {readonly kind: 'no-answer' | 'other-life'}> => {
 		await Promise.resolve();
-		const life = find(target);
-		if (!life && isReplaced(target)) {
+		const incarnation = findIncarnation(target);
+		if (!incarnation && isReplaced(target)) {
 			return {kind: 'other-life'};
 		}
 
-		if (!life || life.fault === 'silent') {
+		if (!incarnation || incarnation.fault === 'silent') {
 			await new Promise((resolve) => {
 				setTimeout(resolve, timeoutMs);
 			});
 			return {kind: 'no-answer'};
 		}
 
-		lapse(life);
-		const result = await action(life);
-		return life.fault === 'lost-answer' ? {kind: 'no-answer'} : result;
+		expireLease(incarnation);
+		const result = await action(incarnation);
+		return incarnation.fault === 'lost-answer' ? {kind: 'no-answer'} : result;
 	};
 
 	const executors: MemoryExecutors = {
 		onStart: undefined,
-		start: async (target, order, timeoutMs) =>
-			answer(target, timeoutMs, (life) => start(life, order)),
-		stop: async (target, order, timeoutMs) =>
-			answer(target, timeoutMs, (life) => stop(life, order)),
-		throttle: async (target, order, timeoutMs) =>
-			answer(target, timeoutMs, (life): scheduler.CommandAnswer => {
-				const run = life.running.get(order.taskId);
+		start: async (target, command, timeoutMs) =>
+			answer(target, timeoutMs, (incarnation) => start(incarnation, command)),
+		stop: async (target, command, timeoutMs) =>
+			answer(target, timeoutMs, (incarnation) => stop(incarnation, command)),
+		throttle: async (target, command, timeoutMs) =>
+			answer(target, timeoutMs, (incarnation): scheduler.CommandAnswer => {
+				const run = incarnation.running.get(command.taskId);
 				if (run) {
-					run.pacePercent = order.percent;
+					run.speedLimitPercent = command.percent;
 				}
 
 				return {kind: 'done', clockMs: now()};
 			}),
-		async poll(target, order, timeoutMs) {
-			looks += 1;
-			return answer(target, timeoutMs, async (life) => {
-				if (isFenced(life, order.fencingToken)) {
+		async poll(target, req, timeoutMs) {
+			polls += 1;
+			return answer(target, timeoutMs, async (incarnation) => {
+				if (isFenced(incarnation, req.fencingToken)) {
 					return {kind: 'fenced'} as const;
 				}
 
-				takeLookOrder(life, order);
-				if (life.ends.length === 0 && order.waitMs > 0) {
-					await waitForEnd(life, order.waitMs);
+				applyPoll(incarnation, req);
+				if (incarnation.ends.length === 0 && req.waitMs > 0) {
+					await waitForEnd(incarnation, req.waitMs);
 				}
 
 				return {
 					kind: 'seen',
 					clockMs: now(),
-					running: [...life.running.values()],
-					ends: [...life.ends],
+					running: [...incarnation.running.values()],
+					ends: [...incarnation.ends],
 				} as const;
 			});
 		},
 		closeConnections: () => undefined,
 		add(listed) {
-			lives.set(listed.id, {
+			incarnations.set(listed.id, {
 				listed,
 				running: new Map(),
-				barred: new Map(),
+				lastEndedRuns: new Map(),
 				ends: [],
 				nextEnd: 1,
 				fencingToken: 0,
@@ -265,31 +290,31 @@
 			});
 		},
 		remove(id) {
-			lives.delete(id);
+			incarnations.delete(id);
 		},
 		setFault(id, fault) {
-			const life = lives.get(id);
-			if (life) {
-				life.fault = fault;
+			const incarnation = incarnations.get(id);
+			if (incarnation) {
+				incarnation.fault = fault;
 			}
 		},
 		finish(id, taskId, how) {
-			const life = lives.get(id);
-			const run = life?.running.get(taskId);
-			if (life && run) {
-				end(life, run, how);
+			const incarnation = incarnations.get(id);
+			const run = incarnation?.running.get(taskId);
+			if (incarnation && run) {
+				end(incarnation, run, how);
 			}
 		},
 		setProgress(id, taskId, progress) {
-			const run = lives.get(id)?.running.get(taskId);
+			const run = incarnations.get(id)?.running.get(taskId);
 			if (run) {
 				run.percent = progress.percent ?? run.percent;
 				run.load = progress.load ?? run.load;
 			}
 		},
-		listRunning: (id) => [...(lives.get(id)?.running.values() ?? [])],
+		listRunning: (id) => [...(incarnations.get(id)?.running.values() ?? [])],
 		listStarts: () => starts,
-		countPolls: () => looks,
+		countPolls: () => polls,
 	};
 	return executors;
 };
--- a/packages/ports/src/memory/task-machines.ts
+++ b/packages/ports/src/memory/task-machines.ts
@@ -1,19 +1,19 @@
-/** Machines in memory, and feeds that a test or the demo writes to. */
+/** Machines and feeds in memory, for tests and the demo. */
 import {succeed} from '@gullstand/core';
 import type {Feed, FeedEntry} from '../ports/feeds.js';
 import type {Machine, Machines} from '../ports/machines.js';
 import {createChangeSignal} from './change-signal.js';
 
-/** Machines in memory. */
+/** Machines in memory with controls for tests. */
 export type MemoryMachines = Machines & {
 	readonly put: (machine: Machine) => void;
 	readonly remove: (id: string) => void;
 	readonly listCommands: () => readonly MachineCommand[];
-	/** Called when a machine is ordered away. */
-	onCommand: ((order: MachineCommand) => void) | undefined;
+	/** Called with each command that is carried out. */
+	onCommand: ((command: MachineCommand) => void) | undefined;
 };
 
-/** An order that was carried out. */
+/** A command that was carried out. */
 export type MachineCommand = {
 	readonly kind: 'move' | 'maintain';
 	readonly machine: string;
@@ -21,13 +21,13 @@
 	readonly holder: string;
 };
 
-/** Creates machines; those ordered are `down` until they are put again. */
+/** Creates machines; a command leaves one in `maintenance` until it is put. */
 export const createMemoryMachines = (): MemoryMachines => {
 	const machines = new Map<string, Machine>();
 	const tokens = new Map<string, number>();
-	const orders: MachineCommand[] = [];
+	const commands: MachineCommand[] = [];
 
-	const order = (next: MachineCommand) => {
+	const runCommand = (next: MachineCommand) => {
 		const machine = machines.get(next.machine);
 		if (!machine) {
 			return 'invalid' as const;
@@ -43,7 +43,7 @@
 
 		tokens.set(next.machine, next.fencingToken);
 		machines.set(next.machine, {...machine, state: 'maintenance'});
-		orders.push(next);
+		commands.push(next);
 		memory.onCommand?.(next);
 		return 'done' as const;
 	};
@@ -52,34 +52,33 @@
 		onCommand: undefined,
 		list: async () => succeed([...machines.values()]),
 		move: async ({machine, fencingToken, holder}) =>
-			order({kind: 'move', machine, fencingToken, holder}),
+			runCommand({kind: 'move', machine, fencingToken, holder}),
 		maintain: async ({machine, fencingToken, holder}) =>
-			order({kind: 'maintain', machine, fencingToken, holder}),
+			runCommand({kind: 'maintain', machine, fencingToken, holder}),
 		put(machine) {
 			machines.set(machine.id, machine);
 		},
 		remove(id) {
 			machines.delete(id);
 		},
-		listCommands: () => orders,
+		listCommands: () => commands,
 	};
 	return memory;
 };
 
-/** A feed in memory. */
+/** A feed in memory with controls for tests. */
 export type MemoryFeed<Value> = Feed<Value> & {
 	readonly put: (key: string, value: Value | undefined) => void;
-	/** The entry cannot be read any more. */
+	/** Makes an entry unreadable. */
 	readonly setUnreadable: (key: string, problem: string) => void;
 };
 
-/** Creates an empty feed. */
 export const createMemoryFeed = <Value>(): MemoryFeed<Value> => {
 	const entries = new Map<string, FeedEntry<Value>>();
 	const history: Array<FeedEntry<Value>> = [];
 	const signal = createChangeSignal();
 
-	const note = (entry: FeedEntry<Value>) => {
+	const publish = (entry: FeedEntry<Value>) => {
 		history.push(entry);
 		signal.notify();
 	};
@@ -92,12 +91,12 @@
 				entries.set(key, {key, value});
 			}
 
-			note({key, value});
+			publish({key, value});
 		},
 		setUnreadable(key, problem) {
 			const entry = {key, value: undefined, problem};
 			entries.set(key, entry);
-			note(entry);
+			publish(entry);
 		},
 		readAll: async () =>
 			succeed({
--- a/packages/ports/src/memory/workers.test.ts
+++ b/packages/ports/src/memory/workers.test.ts
@@ -44,7 +44,7 @@
 	});
 });
 
-tap.t.test('a renewed task reports its use and then fails', async (t) => {
+tap.t.test('a renewed task reports its usage and then fails', async (t) => {
 	const {workers, setTime} = createFixture();
 	await workers.start('w1', task);
 	setTime(90);
@@ -76,7 +76,7 @@
 	t.match(await workers.start('w2', task), {error: {kind: 'unreachable'}});
 });
 
-tap.t.test('a reboot stops what runs and is told', async (t) => {
+tap.t.test('a reboot stops all tasks and is reported', async (t) => {
 	const {workers, rebooted} = createFixture();
 	await workers.start('w1', task);
 	t.match(await workers.checkpoint('w1', 't1'), {ok: true});
@@ -87,5 +87,5 @@
 	t.match(await workers.checkpoint('w1', 't1'), {error: {kind: 'refused'}});
 	t.same(rebooted, ['w1']);
 	t.match(await workers.reboot('w1', 'life-1'), {error: {kind: 'refused'}});
-	t.same(rebooted, ['w1'], 'a call meant for an earlier life does nothing');
+	t.same(rebooted, ['w1'], 'a call for an earlier incarnation has no effect');
 });
--- a/packages/ports/src/memory/workers.ts
+++ b/packages/ports/src/memory/workers.ts
@@ -1,6 +1,6 @@
 /**
  * Workers in memory, for the embedded daemon, tests and benches. A task runs
- * while its lease is renewed; time comes from the function given.
+ * while its lease is renewed, by the clock of the options.
  */
 import * as core from '@gullstand/core';
 import type {
@@ -10,33 +10,33 @@
 	Workers,
 } from '../ports/workers.js';
 
-/** What a task does in fact, whatever its job declared. */
+/** Actual behaviour of a task, regardless of what its job declared. */
 export type TaskBehaviour = {
 	readonly runMs: number;
 	readonly coresUsed: number;
 	readonly memoryMbUsed: number;
-	/** Why it fails at its end; absent if it succeeds. */
+	/** Reason of its failure at the end; absent if it succeeds. */
 	readonly failure?: string;
 };
 
-/** Settings of workers in memory. */
+/** Options of workers in memory. */
 export type MemoryWorkersOptions = {
 	readonly workers: readonly string[];
-	/** The present time, in milliseconds. */
+	/** Returns the present time, in milliseconds. */
 	readonly now: () => number;
-	/** Age of what is reported, in milliseconds. */
+	/** Age of the reported usage, in milliseconds. */
 	readonly reportAgeMs?: number;
 	readonly getBehaviour?: (worker: string, task: TaskSpec) => TaskBehaviour;
-	/** The life of a worker; a reboot meant for another is refused. */
+	/** Returns the current incarnation; a reboot of any other is refused. */
 	readonly getIncarnation?: (worker: string) => string | undefined;
-	/** Told of a reboot, so that the instance list can show it. */
+	/** Called on a reboot, so that the instance list can show it. */
 	readonly onReboot?: (worker: string) => void;
 };
 
 type Task = {
 	readonly spec: TaskSpec;
 	readonly behaviour: TaskBehaviour;
-	/** Work done up to `countedAt`, in milliseconds at full speed. */
+	/** Work done until `countedAt`, in milliseconds at full speed. */
 	doneMs: number;
 	countedAt: number;
 	share: number;
@@ -62,7 +62,7 @@
 	task.reason = reason;
 };
 
-/** Counts a task's work up to now, its end and the end of its lease. */
+/** Advances a task to `now`, and ends it if its work or lease is over. */
 const advanceTask = (task: Task, now: number): void => {
 	if (!isActive(task)) {
 		return;
@@ -114,12 +114,12 @@
 	behaviour: TaskBehaviour,
 	now: number,
 ) => {
-	const earlier = worker.tasks.get(spec.taskId);
-	if (earlier && spec.fencingToken <= earlier.spec.fencingToken) {
+	const previous = worker.tasks.get(spec.taskId);
+	if (previous && spec.fencingToken <= previous.spec.fencingToken) {
 		return refuse('fencing token is too low');
 	}
 
-	if (earlier && isActive(earlier)) {
+	if (previous && isActive(previous)) {
 		return refuse('task runs');
 	}
 
@@ -127,16 +127,16 @@
 	return core.succeed(undefined);
 };
 
-const getBehaviourByDefault = (_: string, task: TaskSpec): TaskBehaviour => ({
+const getDefaultBehaviour = (_: string, task: TaskSpec): TaskBehaviour => ({
 	runMs: Number.POSITIVE_INFINITY,
 	coresUsed: task.cores,
 	memoryMbUsed: task.memoryMb,
 });
 
-/** Makes workers without tasks. Renewing a task that has ended does nothing. */
+/** Creates workers without tasks. Renewing an ended task has no effect. */
 export const createMemoryWorkers = (options: MemoryWorkersOptions): Workers => {
 	const {now, reportAgeMs = 0} = options;
-	const getBehaviour = options.getBehaviour ?? getBehaviourByDefault;
+	const getBehaviour = options.getBehaviour ?? getDefaultBehaviour;
 	const workers = new Map<string, Worker>(
 		options.workers.map((id) => [id, {tasks: new Map()}]),
 	);
@@ -157,7 +157,7 @@
 		return action(worker, at);
 	};
 
-	const getTasks = (worker: Worker, taskIds: readonly string[]): Task[] =>
+	const getActiveTasks = (worker: Worker, taskIds: readonly string[]): Task[] =>
 		taskIds
 			.map((taskId) => worker.tasks.get(taskId))
 			.filter((task) => task !== undefined)
@@ -170,7 +170,7 @@
 			),
 		renew: async (id, taskIds, leaseMs) =>
 			withWorker(id, (worker, at) => {
-				for (const task of getTasks(worker, taskIds)) {
+				for (const task of getActiveTasks(worker, taskIds)) {
 					task.leaseUntil = at + leaseMs;
 				}
 
@@ -178,7 +178,7 @@
 			}),
 		checkpoint: async (id, taskId) =>
 			withWorker(id, (worker, at) => {
-				const [task] = getTasks(worker, [taskId]);
+				const [task] = getActiveTasks(worker, [taskId]);
 				if (!task) {
 					return refuse('no such task runs');
 				}
@@ -188,7 +188,7 @@
 			}),
 		throttle: async (id, taskId, share) =>
 			withWorker(id, (worker) => {
-				const [task] = getTasks(worker, [taskId]);
+				const [task] = getActiveTasks(worker, [taskId]);
 				if (!task) {
 					return refuse('no such task runs');
 				}
@@ -199,7 +199,7 @@
 			}),
 		stop: async (id, taskIds) =>
 			withWorker(id, (worker) => {
-				for (const task of getTasks(worker, taskIds)) {
+				for (const task of getActiveTasks(worker, taskIds)) {
 					endTask(task, 'stopped', 'asked to stop');
 				}
 
@@ -215,12 +215,12 @@
 			),
 		reboot: async (id, incarnation) =>
 			withWorker(id, (worker) => {
-				const life = options.getIncarnation?.(id) ?? incarnation;
-				if (life !== incarnation) {
+				const current = options.getIncarnation?.(id) ?? incarnation;
+				if (current !== incarnation) {
 					return core.fail({kind: 'refused', reason: 'another life'});
 				}
 
-				for (const task of getTasks(worker, [...worker.tasks.keys()])) {
+				for (const task of getActiveTasks(worker, [...worker.tasks.keys()])) {
 					endTask(task, 'stopped', 'reboot');
 				}
 
--- a/packages/ports/src/ports/advice.ts
+++ b/packages/ports/src/ports/advice.ts
@@ -1,9 +1,9 @@
-/** Port to the service that names executors for a step. */
+/** Port to the placement advice service, which names executors for a step. */
 import type {scheduler} from '@gullstand/core';
 
-/** The service. A call ends within the given time, in milliseconds. */
+/** The advice service. A call ends within `timeoutMs` milliseconds. */
 export type AdviceService = {
-	/** Absent if no answer came, or the service is busy. */
+	/** Resolves to undefined if no answer came or the service is busy. */
 	readonly requestAdvice: (
 		request: scheduler.AdviceRequest,
 		timeoutMs: number,
--- a/packages/ports/src/ports/executors.ts
+++ b/packages/ports/src/ports/executors.ts
@@ -1,43 +1,43 @@
 /** Port to executors that run tasks under leases. */
 import type {scheduler} from '@gullstand/core';
 
-/** One life of an executor and where it is reached. */
+/** One incarnation of an executor and its address. */
 export type ExecutorTarget = {
 	readonly id: string;
 	readonly address: string;
 };
 
-/** An order to start a task. */
+/** Starts a run of a task. */
 export type StartCommand = {
 	readonly taskId: string;
 	readonly run: number;
 	readonly payload: string;
-	/** Lease end, by the executor's clock. */
+	/** Lease end, in milliseconds of the executor's clock. */
 	readonly leaseEndMs: number;
 	readonly fencingToken: number;
 	readonly checkpoint: string | undefined;
 	readonly ticket: string | undefined;
 };
 
-/** Names one run. */
+/** Identifies the run that a command applies to. */
 export type RunCommand = {
 	readonly taskId: string;
 	readonly run: number;
 	readonly fencingToken: number;
 };
 
-/** An order to renew the lease of all that runs and to list it. */
+/** Renews the lease of all runs and lists runs and ends. */
 export type PollRequest = {
 	readonly fencingToken: number;
-	/** Ends up to this number may be forgotten. */
+	/** The executor may discard ends up to this number. */
 	readonly acknowledgedUpto: number;
-	/** Lease end, by the executor's clock; absent to renew nothing. */
+	/** Lease end by the executor's clock; undefined renews nothing. */
 	readonly leaseEndMs: number | undefined;
-	/** How long to wait for a new end. */
+	/** How long the executor may wait for a new end, in milliseconds. */
 	readonly waitMs: number;
 };
 
-/** Answer to a look. */
+/** Answer to a poll. */
 export type PollAnswer =
 	| {
 			readonly kind: 'seen';
@@ -49,28 +49,28 @@
 	| {readonly kind: 'other-life'}
 	| {readonly kind: 'no-answer'};
 
-/** Calls to executors. Each ends within the given time, in milliseconds. */
+/** Calls to executors. Each ends within `timeoutMs` milliseconds. */
 export type Executors = {
 	readonly start: (
 		target: ExecutorTarget,
-		order: StartCommand,
+		command: StartCommand,
 		timeoutMs: number,
 	) => Promise<scheduler.StartAnswer>;
 	readonly stop: (
 		target: ExecutorTarget,
-		order: RunCommand,
+		command: RunCommand,
 		timeoutMs: number,
 	) => Promise<scheduler.CommandAnswer>;
 	readonly throttle: (
 		target: ExecutorTarget,
-		order: RunCommand & {readonly percent: number},
+		command: RunCommand & {readonly percent: number},
 		timeoutMs: number,
 	) => Promise<scheduler.CommandAnswer>;
 	readonly poll: (
 		target: ExecutorTarget,
-		order: PollRequest,
+		req: PollRequest,
 		timeoutMs: number,
 	) => Promise<PollAnswer>;
-	/** Closes connections to a life that is gone. */
+	/** Closes the connections to an incarnation that has terminated. */
 	readonly closeConnections: (target: ExecutorTarget) => void;
 };
--- a/packages/ports/src/ports/feeds.ts
+++ b/packages/ports/src/ports/feeds.ts
@@ -1,4 +1,4 @@
-/** Ports to what operators and executors write for gullstand to follow. */
+/** Ports to the entries that operators and executors write. */
 import type {Result, scheduler} from '@gullstand/core';
 import type {RowStoreError} from './row-store.js';
 
@@ -12,13 +12,13 @@
 	readonly maxAttempts: number;
 	readonly stretch: number;
 	readonly targetLatencyMs: number;
-	/** Longest time that a call on the route may take. */
+	/** Longest time that a call on the route may take, in milliseconds. */
 	readonly timeoutMs: number;
-	/** Only executors named by the advice service may run its tasks. */
+	/** If set, only executors named by the advice service run its tasks. */
 	readonly advice: AdviceTerms | undefined;
 };
 
-/** Costs and validity of advice on a queue. */
+/** Costs and validity of placement advice for a queue. */
 export type AdviceTerms = {
 	readonly decisionMs: number;
 	readonly eachMs: number;
@@ -30,11 +30,11 @@
 	readonly name: string;
 	/** Its executors refuse what does not fit. */
 	readonly rejectsOverload: boolean;
-	/** Its machines are off and cost nothing. */
+	/** Its machines are switched off and cost nothing. */
 	readonly isStandby: boolean;
 };
 
-/** A whole configuration. Versions grow. */
+/** A complete configuration; a later one has a higher version. */
 export type Configuration = {
 	readonly version: number;
 	readonly routes: readonly QueueRoute[];
@@ -42,16 +42,16 @@
 	readonly maxBodyBytes: number;
 };
 
-/** Maintenance that an operator has asked for. */
+/** A maintenance wave that an operator requests. */
 export type WaveRequest = {
 	readonly id: string;
 	readonly machines: readonly string[];
 	readonly durationMs: number;
-	/** Most machines that may be away at once. */
+	/** Maximum number of machines away at once. */
 	readonly maxAway: number;
 };
 
-/** What an operator has written. */
+/** An entry written by an operator. */
 export type OperatorEntry =
 	| {readonly kind: 'configuration'; readonly value: Configuration}
 	| {readonly kind: 'wave'; readonly value: WaveRequest}
@@ -60,21 +60,21 @@
 /** One entry of a feed. */
 export type FeedEntry<Value> = {
 	readonly key: string;
-	/** Absent once the entry is removed, and while it cannot be read. */
+	/** Undefined if the entry was removed or cannot be read. */
 	readonly value: Value | undefined;
-	/** Why an entry that is there cannot be read; such a one names nothing. */
+	/** Why an existing entry cannot be read; its value is then undefined. */
 	readonly problem?: string;
 };
 
-/** Entries and the version from which to go on. */
+/** Entries and the version after which to read the next changes. */
 export type FeedBatch<Value> = {
 	readonly entries: ReadonlyArray<FeedEntry<Value>>;
 	readonly version: number;
 };
 
 /**
- * A set of entries that can be read whole and followed. A read ends once
- * nothing has come for the time given: its size is up to those who write.
+ * A set of entries that can be read completely and then followed. As writers
+ * determine its size, a read times out only if no data arrives for `timeoutMs`.
  */
 export type Feed<Value> = {
 	readonly readAll: (
@@ -90,5 +90,5 @@
 /** Configurations and waves. */
 export type OperatorFeed = Feed<OperatorEntry>;
 
-/** Executors, as they list themselves. */
+/** Executors, as they register themselves. */
 export type ExecutorFeed = Feed<scheduler.ListedExecutor>;
--- a/packages/ports/src/ports/instance-list.ts
+++ b/packages/ports/src/ports/instance-list.ts
@@ -1,14 +1,14 @@
-/** Port to the platform's lagging list of live and leaving instances. */
+/** Port to the platform's list of live and leaving instances. */
 import type {Result} from '@gullstand/core';
 
-/** One listed instance. The list lags by seconds. */
+/** One listed instance. The list may be seconds out of date. */
 export type ListedInstance = {
 	readonly id: string;
 	readonly role: 'entry' | 'executor' | 'worker';
 	readonly address: string;
 	readonly availabilityZone: string;
 	readonly state: 'live' | 'leaving';
-	/** Differs between two lives of one instance or address. */
+	/** Unique to each incarnation of an instance or address. */
 	readonly incarnation: string;
 };
 
--- a/packages/ports/src/ports/machines.ts
+++ b/packages/ports/src/ports/machines.ts
@@ -13,17 +13,17 @@
 	readonly availabilityZone: string;
 	readonly labels: readonly string[];
 	readonly capacity: scheduler.Resources;
-	/** Its executor now; each move and each maintenance gives it another. */
+	/** Its current executor; every move and every maintenance replaces it. */
 	readonly executorId: string | undefined;
 };
 
-/** Who orders, for the platform to refuse deposed holders. */
+/** Sender of a command; the platform rejects holders that were replaced. */
 export type CommandAuthority = {
 	readonly holder: string;
 	readonly fencingToken: number;
 };
 
-/** Answer to an order. After `no-answer` it may have been carried out. */
+/** Answer to a command, which may have taken effect after `no-answer`. */
 export type MachineAnswer =
 	| 'done'
 	| 'fenced'
@@ -33,7 +33,7 @@
 	| 'unavailable'
 	| 'no-answer';
 
-/** Calls to the platform. Each ends within the given time, in milliseconds. */
+/** Calls to the platform. Each ends within `timeoutMs` milliseconds. */
 export type Machines = {
 	readonly list: (
 		timeoutMs: number,
@@ -41,12 +41,18 @@
 		Result<readonly Machine[], {readonly kind: 'unavailable' | 'timeout'}>
 	>;
 	readonly move: (
-		order: CommandAuthority & {readonly machine: string; readonly pool: string},
+		command: CommandAuthority & {
+			readonly machine: string;
+			readonly pool: string;
+		},
 		timeoutMs: number,
 	) => Promise<MachineAnswer>;
-	/** Restarts a machine for maintenance; ends all that runs on it. */
+	/** Restarts a machine for maintenance, which ends all runs on it. */
 	readonly maintain: (
-		order: CommandAuthority & {readonly machine: string; readonly wave: string},
+		command: CommandAuthority & {
+			readonly machine: string;
+			readonly wave: string;
+		},
 		timeoutMs: number,
 	) => Promise<MachineAnswer>;
 };
--- a/packages/ports/src/ports/object-store.ts
+++ b/packages/ports/src/ports/object-store.ts
@@ -7,7 +7,7 @@
 	| {readonly kind: 'timeout'}
 	| {readonly kind: 'too-large'};
 
-/** The object store: whole objects by name, the last put stands. */
+/** Stores whole objects by name; the last put wins. */
 export type ObjectStore = {
 	readonly get: (
 		name: string,
--- a/packages/ports/src/ports/row-store.ts
+++ b/packages/ports/src/ports/row-store.ts
@@ -1,24 +1,24 @@
 /**
  * Port to a store of rows in partitions, with transactions within one
- * partition and a feed of what has changed in a table.
+ * partition and a feed of the changes to a table.
  * Source: docs/design/platform-programs.md.
  */
 import type {Result} from '@gullstand/core';
 
-/** Names one row. */
+/** Identifies one row. */
 export type RowKey = {
 	readonly table: string;
 	readonly part: string;
 	readonly key: string;
 };
 
-/** A row as read. Versions grow over all rows of the store. */
+/** A row as read. Versions increase across all rows of the store. */
 export type StoredRow = RowKey & {
 	readonly version: number;
 	readonly value: string;
 };
 
-/** The version that a row must have; 0 means that it does not exist. */
+/** The version that a row must have; 0 if it must not exist. */
 export type RowCheck = RowKey & {readonly version: number};
 
 /** A row to write. */
@@ -33,49 +33,49 @@
 
 /** Why a call failed. */
 export type RowStoreError =
-	/** Certainly not committed; `rows` are those of the checks, as they are. */
+	/** Not committed; `rows` are the current rows of the checks. */
 	| {readonly kind: 'conflict'; readonly rows: readonly StoredRow[]}
-	/** Certainly nothing was done. */
+	/** The call had no effect. */
 	| {readonly kind: 'unavailable'}
-	/** It may have been done, or may be done yet. */
+	/** The call may have taken effect, or may still do so. */
 	| {
 			readonly kind: 'timeout';
-			/** Bytes of an answer that was not whole; absent if none had come. */
+			/** Bytes received of an incomplete answer; absent if none. */
 			readonly receivedBytes?: number;
 	  }
-	/** The history that a feed asks for is gone: read anew. */
+	/** The requested changes are no longer kept: read the whole table. */
 	| {readonly kind: 'history-lost'};
 
-/** Rows of one partition of a table, from a key on, in order of keys. */
+/** A range of rows of one partition of a table, in key order. */
 export type RowRange = {
 	readonly table: string;
 	readonly part: string;
-	/** First key. */
+	/** First key, inclusive. */
 	readonly from?: string;
-	/** First key that is left out. */
+	/** End of the range, exclusive. */
 	readonly to?: string;
-	/** Most rows of a page; the store gives no more than its own bound. */
+	/** Maximum rows per page; the store may apply a lower limit. */
 	readonly limit?: number;
 };
 
-/** Rows as of one moment. */
+/** A consistent snapshot of rows. */
 export type RowPage = {
 	readonly rows: readonly StoredRow[];
-	/** Newest version of the store at that moment. */
+	/** Newest version of the store in the snapshot. */
 	readonly version: number;
 	readonly hasMore: boolean;
-	/** Steady clock of the store, in milliseconds. */
+	/** Monotonic clock of the store, in milliseconds. */
 	readonly nowMs: number;
 };
 
-/** A transaction that has been committed. */
+/** Result of a committed transaction. */
 export type TransactionResult = {
 	readonly version: number;
-	/** Steady clock of the store, in milliseconds. */
+	/** Monotonic clock of the store, in milliseconds. */
 	readonly nowMs: number;
 };
 
-/** A row that changed; `value` is absent once it is removed. */
+/** A row that changed; `value` is undefined if it was removed. */
 export type ChangedRow = RowKey & {
 	readonly version: number;
 	readonly value: string | undefined;
@@ -84,21 +84,21 @@
 /** Changes of a table since a version. */
 export type RowChanges = {
 	readonly rows: readonly ChangedRow[];
-	/** Where to go on. */
+	/** Version after which to read the next changes. */
 	readonly version: number;
 };
 
-/** How long to wait for changes. */
+/** A request for the changes of a table. */
 export type FeedRequest = {
 	readonly table: string;
 	readonly afterVersion: number;
-	/** The answer comes at the first change, or after this time. */
+	/** Time to wait for a first change, in milliseconds. */
 	readonly waitMs: number;
 };
 
 /**
- * The store. A transaction ends within the given time, in milliseconds; any
- * other call ends once nothing of its answer has come for that time.
+ * The store. A transaction ends within `timeoutMs` milliseconds; any other call
+ * times out if no data arrives for that time.
  */
 export type RowStore = {
 	readonly transact: (
@@ -109,7 +109,7 @@
 		range: RowRange,
 		timeoutMs: number,
 	) => Promise<Result<RowPage, RowStoreError>>;
-	/** Names of the partitions of a table that hold rows. */
+	/** Lists the partitions of a table that hold rows. */
 	readonly listParts: (
 		table: string,
 		timeoutMs: number,
--- a/packages/ports/src/ports/table-service.ts
+++ b/packages/ports/src/ports/table-service.ts
@@ -4,7 +4,7 @@
  */
 import type {Result} from '@gullstand/core';
 
-/** JSON that a row holds. */
+/** The JSON value of a row. */
 export type JsonValue =
 	| null
 	| boolean
@@ -13,17 +13,17 @@
 	| readonly JsonValue[]
 	| {readonly [key: string]: JsonValue};
 
-/** One row. A version is given by the service and grows with every write. */
+/** One row. The service assigns the version, which increases on every write. */
 export type Row = {
 	readonly table: string;
 	readonly key: string;
 	readonly version: number;
 	readonly value: JsonValue;
-	/** Id of the write that made this version, for read-back. */
+	/** Id of the transaction that wrote this version, for read-back. */
 	readonly operationId: string;
 };
 
-/** What must hold of a row for the transaction to commit. */
+/** Condition on a row for the transaction to commit. */
 export type Precondition =
 	| {readonly kind: 'any'}
 	| {readonly kind: 'absent'}
@@ -44,7 +44,7 @@
 			readonly key: string;
 			readonly when: Precondition;
 	  }
-	/** Commits only if the precondition holds; changes nothing. */
+	/** Only checks the precondition; changes nothing. */
 	| {
 			readonly kind: 'check';
 			readonly table: string;
@@ -64,17 +64,17 @@
 	| {readonly kind: 'timeout'}
 	| {readonly kind: 'too-large'};
 
-/** A transaction that has been committed. */
+/** Result of a committed transaction. */
 export type CommitResult = {
-	/** Versions of the rows put, in the order of the writes. */
+	/** Versions of the rows that were put, in the order of the writes. */
 	readonly versions: readonly number[];
 };
 
-/** Rows of one table whose keys begin with a prefix, after a key. */
+/** Selects rows of one table by key prefix, optionally after a key. */
 export type RangeQuery = {
 	readonly table: string;
 	readonly prefix: string;
-	/** Only keys above this one. */
+	/** Only keys greater than this one. */
 	readonly after?: string;
 	readonly limit: number;
 };
@@ -88,7 +88,7 @@
 	readonly range: (
 		query: RangeQuery,
 	) => Promise<Result<readonly Row[], StoreError>>;
-	/** All writes commit, or none. The operation id is kept in each row put. */
+	/** Commits all writes or none; each row put stores the operation id. */
 	readonly commit: (
 		writes: readonly Write[],
 		operationId: string,
--- a/packages/ports/src/ports/workers.ts
+++ b/packages/ports/src/ports/workers.ts
@@ -1,11 +1,11 @@
 /** Port to the platform's workers, which run tasks under leases. */
 import type {Result} from '@gullstand/core';
 
-/** What a worker is asked to run. */
+/** A task for a worker to run. */
 export type TaskSpec = {
 	readonly taskId: string;
 	readonly jobId: string;
-	/** Grows with each placement; a worker refuses a lower one. */
+	/** Increases with each placement; a worker refuses a lower one. */
 	readonly fencingToken: number;
 	readonly leaseMs: number;
 	/** Name of the checkpoint object to start from. */
@@ -15,7 +15,7 @@
 	readonly accelerators: number;
 };
 
-/** What a worker reports of one task; usage lags. */
+/** A worker's report on one task; usage may be out of date. */
 export type TaskReport = {
 	readonly taskId: string;
 	readonly jobId: string;
@@ -26,10 +26,10 @@
 	readonly reason?: string;
 };
 
-/** What a worker reports of itself. */
+/** A worker's report on all its tasks. */
 export type WorkerReport = {
 	readonly worker: string;
-	/** When the usage was measured, in milliseconds of the worker's clock. */
+	/** Time of measurement, in milliseconds of the worker's clock. */
 	readonly measuredAt: number;
 	readonly tasks: readonly TaskReport[];
 };
@@ -40,7 +40,7 @@
 	| {readonly kind: 'unreachable'}
 	| {readonly kind: 'timeout'};
 
-/** Calls to workers, by id of the worker. */
+/** Calls to workers, by worker id. */
 export type Workers = {
 	readonly start: (
 		worker: string,
@@ -68,9 +68,9 @@
 		worker: string,
 	) => Promise<Result<WorkerReport, WorkerError>>;
 	/**
-	 * Drains, then reboots; the list shows it leaving, then live again. Names
-	 * the life that is meant, as the list shows it: a call that arrives late is
-	 * refused, and never reboots an instance that is back already.
+	 * Drains and reboots a worker; the instance list shows it leaving, then
+	 * live. The incarnation is the listed one, so that a late call is refused
+	 * instead of rebooting an instance that has already restarted.
 	 */
 	readonly reboot: (
 		worker: string,
--- a/packages/ports/src/wire/messages.ts
+++ b/packages/ports/src/wire/messages.ts
@@ -1,5 +1,5 @@
 /**
- * Messages of the platform's HTTP protocol, as both ends check them.
+ * Schemas of the platform's HTTP messages, shared by client and server.
  * Source: docs/design/platform-port.md.
  */
 import * as zod from 'zod';
@@ -14,7 +14,7 @@
 } from '../ports/table-service.js';
 import type {TaskSpec, WorkerError, WorkerReport} from '../ports/workers.js';
 
-/** Paths of the calls; each is a POST with a JSON body. */
+/** Paths of the calls: POST with a JSON body, except for objects. */
 export const paths = {
 	get: '/v1/table/get',
 	range: '/v1/table/range',
@@ -26,7 +26,7 @@
 
 const count = zod.number().int().min(0);
 
-/** A body that `JSON.parse` gave is JSON already, whatever it holds. */
+/** Any parsed JSON value; no further validation is needed. */
 const json = zod.custom<JsonValue>((value) => value !== undefined);
 
 /** One row. */
@@ -80,7 +80,7 @@
 	versions: zod.array(count),
 });
 
-/** A refusal by the table service; `current` is null if the row is absent. */
+/** Refusal by the table service; `current` is null if the row is absent. */
 export const storeRefusal = zod
 	.discriminatedUnion('kind', [
 		zod.object({
@@ -112,7 +112,7 @@
 	),
 });
 
-/** What a worker is asked to run. */
+/** A task for a worker to run. */
 export const taskSpec: zod.ZodType<TaskSpec> = zod.object({
 	taskId: zod.string(),
 	jobId: zod.string(),
@@ -148,7 +148,7 @@
 /** A call to one worker. */
 export type WorkerRequest = zod.infer<typeof workerRequest>;
 
-/** A refusal by a worker or by the way to it. */
+/** A refusal by a worker, or by the platform if it cannot reach one. */
 export const workerRefusal: zod.ZodType<WorkerError> = zod.discriminatedUnion(
 	'kind',
 	[
