--- a/packages/stand-in/src/clock/virtual-clock.ts
+++ b/packages/stand-in/src/clock/virtual-clock.ts
@@ -1,6 +1,6 @@
 /**
- * A clock whose time passes only from one timer to the next, so that runs
- * with timers end at once and repeat exactly.
+ * A clock that jumps from one timer to the next, so that simulations with timers
+ * run without delay and are deterministic.
  */
 import {setImmediate} from 'node:timers/promises';
 
@@ -9,19 +9,19 @@
 	readonly callback: () => void;
 };
 
-/** A clock with its own timers. Times are in milliseconds from 0. */
+/** A clock with its own timers. Times are in milliseconds, starting at 0. */
 export type VirtualClock = {
 	readonly getNow: () => number;
-	/** Calls back once at a time; returns how to cancel it. */
+	/** Calls `callback` once at the given time; returns a cancel function. */
 	readonly callAt: (at: number, callback: () => void) => () => void;
 	readonly wait: (delayMs: number) => Promise<void>;
-	/** Runs timers in order up to a time, then stands there. */
+	/** Runs timers in order until a time, at which the clock then stops. */
 	readonly runUntil: (until: number) => Promise<void>;
-	/** Runs until no timer is left or a bound on their number is reached. */
+	/** Runs until no timer is left or `maxTimers` have run. */
 	readonly runAll: (maxTimers: number) => Promise<void>;
 };
 
-/** First index of a timer later than a time; timers are in order. */
+/** Returns the index of the first timer after `at`; timers are sorted. */
 const findIndex = (timers: readonly Timer[], at: number): number => {
 	let low = 0;
 	let high = timers.length;
@@ -34,7 +34,7 @@
 	return low;
 };
 
-/** Makes a clock at time 0. Timers of one time run in order of creation. */
+/** Creates a clock at 0. Timers of the same time run in creation order. */
 export const createVirtualClock = (): VirtualClock => {
 	const timers: Timer[] = [];
 	let now = 0;
@@ -50,7 +50,7 @@
 		};
 	};
 
-	/** Lets promises settle, then runs the next timer up to a time. */
+	/** Lets promises settle, then runs the next timer if due by `until`. */
 	const runNext = async (until: number): Promise<boolean> => {
 		await setImmediate();
 		const [timer] = timers;
--- a/packages/stand-in/src/index.ts
+++ b/packages/stand-in/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins of the platform and of upstreams, with fault injection. */
+/** Stand-ins for the platform and for upstreams, with fault injection. */
 export * from './platform/app.js';
 export * from './platform/server.js';
 export * as answers from './upstream/answer.js';
--- a/packages/stand-in/src/platform/app.ts
+++ b/packages/stand-in/src/platform/app.ts
@@ -1,9 +1,9 @@
-/** The platform's HTTP protocol over any set of ports. */
+/** Serves the platform's HTTP protocol from a set of ports. */
 import type * as hono from 'hono';
 import * as core from '@gullstand/core';
 import * as platform from '@gullstand/ports';
 
-/** The ports that an app serves. */
+/** Ports that an app serves. */
 export type PlatformPorts = {
 	readonly tables: platform.TableService;
 	readonly objects: platform.ObjectStore;
@@ -111,7 +111,7 @@
 	});
 };
 
-/** Adds the routes of every port. A body that makes no sense answers 500. */
+/** Adds the routes of all ports. An invalid body is answered with 500. */
 export const addPlatformRoutes = (
 	app: hono.Hono,
 	ports: PlatformPorts,
--- a/packages/stand-in/src/platform/server.test.ts
+++ b/packages/stand-in/src/platform/server.test.ts
@@ -10,7 +10,7 @@
 	when: {kind: 'absent'},
 };
 
-const startPair = async (t: tap.Test, timeoutMs = 2000) => {
+const startServerAndClient = async (t: tap.Test, timeoutMs = 2000) => {
 	const server = await startPlatformServer({random: () => 0.5});
 	const connection = platform.createHttpConnection({
 		...platform.defaultHttpOptions,
@@ -37,7 +37,7 @@
 
 for (const [kind, error, hasEffect] of kinds) {
 	tap.t.test(`commit with fault ${kind}`, async (t) => {
-		const {server, tables} = await startPair(t);
+		const {server, tables} = await startServerAndClient(t);
 		server.faults.script([kind]);
 		const result = await tables.commit([write], 'op-1');
 		t.equal(result.ok ? undefined : result.error.kind, error);
@@ -47,31 +47,31 @@
 }
 
 tap.t.test('a call to a slow platform ends at its timeout', async (t) => {
-	const {server, tables} = await startPair(t, 50);
+	const {server, tables} = await startServerAndClient(t, 50);
 	server.faults.set({delayMs: 10_000});
 	t.match(await tables.get('t', 'a'), {error: {kind: 'timeout'}});
 });
 
-tap.t.test('a closed port is unavailable, not unknown', async (t) => {
-	const {server, tables} = await startPair(t);
+tap.t.test('a call to a closed port is unavailable, not unknown', async (t) => {
+	const {server, tables} = await startServerAndClient(t);
 	await server.close();
 	const result = await tables.commit([write], 'op-1');
 	t.match(result, {error: {kind: 'unavailable'}});
 });
 
-tap.t.test('table calls are as in memory', async (t) => {
-	const {tables} = await startPair(t);
+tap.t.test('table calls work as in memory', async (t) => {
+	const {tables} = await startServerAndClient(t);
 	t.same(await tables.get('t', 'a'), {ok: true, value: undefined});
 	t.match(await tables.commit([write], 'op-1'), {value: {versions: [1]}});
 	t.match(await tables.commit([write], 'op-2'), {
 		error: {kind: 'conflict', current: {version: 1, operationId: 'op-1'}},
 	});
-	const gone: platform.Write = {
+	const conflicting: platform.Write = {
 		...write,
 		when: {kind: 'version', version: 7},
 		key: 'b',
 	};
-	t.same(await tables.commit([gone], 'op-3'), {
+	t.same(await tables.commit([conflicting], 'op-3'), {
 		ok: false,
 		error: {kind: 'conflict', table: 't', key: 'b', current: undefined},
 	});
@@ -82,34 +82,37 @@
 	t.match(await tables.commit([large], 'op-4'), {error: {kind: 'too-large'}});
 });
 
-tap.t.test('objects, list and workers are as in memory', async (t) => {
-	const {server, connection} = await startPair(t);
-	const objects = platform.createHttpObjectStore(connection);
-	t.same(await objects.get('a/b'), {ok: true, value: undefined});
-	const body = new Uint8Array([1, 2, 3]);
-	t.match(await objects.put('a/b', body), {ok: true});
-	t.match(await objects.get('a/b'), {value: body});
-	t.match(await objects.delete('a/b'), {ok: true});
-	t.same(await objects.get('a/b'), {ok: true, value: undefined});
-	const list = platform.createHttpInstanceList(connection);
-	t.same(await list.list(), {ok: true, value: []});
-	server.faults.set({isListStale: true});
-	server.instances.set({
-		id: 'e1',
-		role: 'entry',
-		address: '127.0.0.1:1',
-		availabilityZone: 'a',
-		state: 'live',
-		incarnation: '1',
-	});
-	t.same(await list.list(), {ok: true, value: []});
-	server.faults.set({isListStale: false});
-	t.match(await list.list(), {value: [{id: 'e1'}]});
-	const workers = platform.createHttpWorkers(connection);
-	t.match(await workers.report('w1'), {error: {kind: 'unreachable'}});
-});
+tap.t.test(
+	'objects, instance list and workers work as in memory',
+	async (t) => {
+		const {server, connection} = await startServerAndClient(t);
+		const objects = platform.createHttpObjectStore(connection);
+		t.same(await objects.get('a/b'), {ok: true, value: undefined});
+		const body = new Uint8Array([1, 2, 3]);
+		t.match(await objects.put('a/b', body), {ok: true});
+		t.match(await objects.get('a/b'), {value: body});
+		t.match(await objects.delete('a/b'), {ok: true});
+		t.same(await objects.get('a/b'), {ok: true, value: undefined});
+		const list = platform.createHttpInstanceList(connection);
+		t.same(await list.list(), {ok: true, value: []});
+		server.faults.set({isListStale: true});
+		server.instances.set({
+			id: 'e1',
+			role: 'entry',
+			address: '127.0.0.1:1',
+			availabilityZone: 'a',
+			state: 'live',
+			incarnation: '1',
+		});
+		t.same(await list.list(), {ok: true, value: []});
+		server.faults.set({isListStale: false});
+		t.match(await list.list(), {value: [{id: 'e1'}]});
+		const workers = platform.createHttpWorkers(connection);
+		t.match(await workers.report('w1'), {error: {kind: 'unreachable'}});
+	},
+);
 
-tap.t.test('an answer that makes no sense is unknown', async (t) => {
+tap.t.test('an invalid answer leaves the outcome unknown', async (t) => {
 	const server = await startPlatformServer({
 		random: () => 0.5,
 		ports: {
--- a/packages/stand-in/src/platform/server.ts
+++ b/packages/stand-in/src/platform/server.ts
@@ -1,6 +1,6 @@
 /**
- * The platform in memory over HTTP on 127.0.0.1, with faults. A lost request
- * or reply closes the connection without an answer.
+ * Serves the in-memory platform over HTTP on 127.0.0.1, with fault injection. A
+ * lost request or reply closes the connection without an answer.
  */
 import type {AddressInfo} from 'node:net';
 import * as timers from 'node:timers/promises';
@@ -9,24 +9,24 @@
 import * as platform from '@gullstand/ports';
 import {addPlatformRoutes, type PlatformPorts} from './app.js';
 
-/** Settings of a stand-in platform. */
+/** Options of a stand-in platform. */
 export type PlatformServerOptions = {
-	/** Numbers in [0, 1) that choose faults. */
+	/** Returns a number in [0, 1), which chooses faults. */
 	readonly random: () => number;
-	/** 0 takes a free port. */
+	/** Port to listen on; 0, the default, chooses a free one. */
 	readonly port?: number;
-	/** Ports that differ from fresh ones in memory. */
+	/** Replacements for some of the in-memory ports. */
 	readonly ports?: Partial<PlatformPorts>;
 };
 
-/** A platform that listens. */
+/** A listening stand-in platform. */
 export type PlatformServer = {
 	readonly origin: string;
 	readonly faults: platform.faults.FaultControl;
 	readonly tables: platform.MemoryTableService;
 	readonly instances: platform.MemoryInstanceList;
 	readonly ports: PlatformPorts;
-	/** Calls taken since the start, by path. */
+	/** Number of calls received since the start, by path. */
 	readonly calls: ReadonlyMap<string, number>;
 	readonly close: () => Promise<void>;
 };
@@ -78,7 +78,7 @@
 	workers: platform.createMemoryWorkers({workers: [], now: () => Date.now()}),
 });
 
-/** Starts a stand-in platform. */
+/** Starts a stand-in platform; the caller closes it. */
 export const startPlatformServer = async (
 	options: PlatformServerOptions,
 ): Promise<PlatformServer> => {
--- a/packages/stand-in/src/upstream/answer.ts
+++ b/packages/stand-in/src/upstream/answer.ts
@@ -1,17 +1,17 @@
-/** Answers that prove which request they belong to. */
+/** Answers that can be verified against their requests. */
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 
 /** Header with the id of a request. */
 export const requestIdHeader = 'x-request-id';
 
-/** Header with the wanted length of the answer, in bytes. */
+/** Header with the requested length of the answer, in bytes. */
 export const answerBytesHeader = 'x-answer-bytes';
 
-/** Header of a declared refusal. */
+/** Header of a refusal that declares the request was not run. */
 export const refusalHeader = 'x-not-run';
 
-/** The whole answer: a checksum of the request, repeated to a length. */
+/** Creates an answer: a checksum of the request, repeated to `bytes`. */
 export const createAnswer = (
 	requestId: string,
 	requestBody: string,
--- a/packages/stand-in/src/upstream/executor.ts
+++ b/packages/stand-in/src/upstream/executor.ts
@@ -1,57 +1,58 @@
 /**
- * A small stand-in for one executor of a service: an HTTP/1.1 server with
- * a number of slots and a queue, whose faults are set from outside. It logs
- * the id of every request that it ran, which makes it the judge of outcomes.
+ * A stand-in for one executor of a service: an HTTP/1.1 server with slots, a
+ * queue and injected faults. It records the id of every request that it ran, so
+ * that tests and benches can check reported outcomes.
  */
 import {Buffer} from 'node:buffer';
 import * as http from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
 import * as answers from './answer.js';
 
-/** What is wrong with an executor. Shares are in [0, 1] of its requests. */
+/** Fault of an executor. A share is a fraction of its requests, in [0, 1]. */
 export type Fault =
 	| {readonly kind: 'none'}
 	| {readonly kind: 'slow'; readonly factor: number}
-	/** Resets the connection after it ran the request. */
+	/** Resets the connection after running the request. */
 	| {readonly kind: 'reset'; readonly share: number}
-	/** Sends half of the answer, then closes in the ordinary way. */
+	/** Sends half of the answer, then closes the connection gracefully. */
 	| {
 			readonly kind: 'half';
 			readonly share: number;
 			readonly framing: 'length' | 'chunked';
 	  }
-	/** Connections open now swallow all for good; new ones work. */
+	/** Currently open connections never answer again; new ones work. */
 	| {readonly kind: 'silent-old'}
-	/** Takes connections and swallows all. */
+	/** Accepts connections, but never answers. */
 	| {readonly kind: 'hang'}
+	/** Refuses requests without running them. */
 	| {readonly kind: 'refuse'; readonly share: number}
-	/** The process is gone: connections reset, new ones refused. */
+	/** Stops listening: resets connections and refuses new ones. */
 	| {readonly kind: 'gone'};
 
-/** Settings of one executor. */
+/** Options of one executor. */
 export type ExecutorOptions = {
 	readonly id: string;
 	readonly availabilityZone: string;
 	readonly slots: number;
-	/** Draws one service time in milliseconds. */
+	/** Returns a random service time, in milliseconds. */
 	readonly drawServiceMs: () => number;
-	/** Draws a number in [0, 1). */
+	/** Returns a random number in [0, 1). */
 	readonly random: () => number;
-	/** Idle time after which it closes a connection; 0 for never. */
+	/** Idle time until it closes a connection, in milliseconds; 0 for never. */
 	readonly keepAliveMs?: number;
 };
 
-/** A running stand-in. */
+/** A running stand-in executor. */
 export type StandInExecutor = {
 	readonly id: string;
 	readonly availabilityZone: string;
-	/** IP number and port. */
+	/** IP address and port. */
 	readonly address: string;
-	/** Ids of the requests it ran, in order. */
+	/** Ids of the requests that it ran, in order. */
 	readonly runs: readonly string[];
-	/** Ids of the requests that came on a silent connection. */
+	/** Ids of the requests received on an unresponsive connection. */
 	readonly unanswered: readonly string[];
-	/** Most connections and requests that were open at once. */
+	/** Maximum numbers of concurrent connections and running requests. */
 	readonly peaks: {connections: number; running: number};
 	readonly setFault: (fault: Fault) => Promise<void>;
 	readonly close: () => Promise<void>;
@@ -68,10 +69,10 @@
 	readonly options: ExecutorOptions;
 	readonly server: http.Server;
 	readonly sockets: Set<Socket>;
-	readonly silent: Set<Socket>;
+	readonly unresponsive: Set<Socket>;
 	readonly queue: Set<Work>;
 	readonly runs: string[];
-	readonly swallowed: string[];
+	readonly unanswered: string[];
 	readonly peaks: {connections: number; running: number};
 	fault: Fault;
 	running: number;
@@ -79,15 +80,15 @@
 
 const defaultAnswerBytes = 256;
 
-/** Long enough for the first half to reach the caller. */
+/** Lets the first half reach the caller, in milliseconds. */
 const halfPauseMs = 30;
 
-const hits = (state: State, share: number): boolean =>
+const isSelected = (state: State, share: number): boolean =>
 	state.options.random() < share;
 
 /**
- * Node 20 never closes the handle of a socket that is reset while it shuts
- * down, and its thread then never ends.
+ * Resets a connection. Node 20 never closes the handle of a socket that is reset
+ * during its shutdown, which would keep the thread alive.
  */
 const reset = (socket: Socket): void => {
 	if (socket.writableEnded) {
@@ -98,7 +99,7 @@
 };
 
 const sendWhole = (res: http.ServerResponse, answer: Buffer): void => {
-	// Both framings are in use all the time, by the checksum's first digit.
+	// Chooses the framing by the checksum, so that both are always in use.
 	if (answer[0] !== undefined && answer[0] % 2 === 0) {
 		res.setHeader('content-length', answer.length);
 		res.end(answer);
@@ -128,17 +129,17 @@
 
 const sendAnswer = (state: State, work: Work): void => {
 	const {req, res, id, body} = work;
-	if (state.silent.has(req.socket) || state.fault.kind === 'hang') {
+	if (state.unresponsive.has(req.socket) || state.fault.kind === 'hang') {
 		return;
 	}
 
-	const wanted = Number(req.headers[answers.answerBytesHeader]);
-	const bytes = wanted > 0 ? wanted : defaultAnswerBytes;
+	const requestedBytes = Number(req.headers[answers.answerBytesHeader]);
+	const bytes = requestedBytes > 0 ? requestedBytes : defaultAnswerBytes;
 	const answer = answers.createAnswer(id, body, bytes);
 	const {fault} = state;
-	if (fault.kind === 'reset' && hits(state, fault.share)) {
+	if (fault.kind === 'reset' && isSelected(state, fault.share)) {
 		reset(req.socket);
-	} else if (fault.kind === 'half' && hits(state, fault.share)) {
+	} else if (fault.kind === 'half' && isSelected(state, fault.share)) {
 		sendHalf(work, answer, fault.framing);
 	} else {
 		sendWhole(res, answer);
@@ -184,8 +185,8 @@
 
 	const {fault} = state;
 	const id = String(req.headers[answers.requestIdHeader]);
-	if (state.silent.has(req.socket)) {
-		state.swallowed.push(id);
+	if (state.unresponsive.has(req.socket)) {
+		state.unanswered.push(id);
 		return;
 	}
 
@@ -198,7 +199,7 @@
 		return;
 	}
 
-	if (fault.kind === 'refuse' && hits(state, fault.share)) {
+	if (fault.kind === 'refuse' && isSelected(state, fault.share)) {
 		refuse(res);
 		return;
 	}
@@ -212,13 +213,13 @@
 	startNext(state);
 };
 
-const takeRequest = async (
+const tryHandleRequest = async (
 	...request: Parameters<typeof handleRequest>
 ): Promise<void> => {
 	try {
 		await handleRequest(...request);
 	} catch {
-		// A request that was cut off while it was read gets no answer.
+		// The request was cut off while it was read: nobody awaits an answer.
 	}
 };
 
@@ -229,7 +230,7 @@
 	socket.on('error', () => undefined);
 	socket.once('close', () => {
 		state.sockets.delete(socket);
-		state.silent.delete(socket);
+		state.unresponsive.delete(socket);
 	});
 };
 
@@ -260,7 +261,7 @@
 	state.fault = fault;
 	if (fault.kind === 'silent-old') {
 		for (const socket of state.sockets) {
-			state.silent.add(socket);
+			state.unresponsive.add(socket);
 		}
 	}
 
@@ -285,10 +286,10 @@
 		options,
 		server,
 		sockets: new Set(),
-		silent: new Set(),
+		unresponsive: new Set(),
 		queue: new Set(),
 		runs: [],
-		swallowed: [],
+		unanswered: [],
 		peaks: {connections: 0, running: 0},
 		fault: {kind: 'none'},
 		running: 0,
@@ -297,7 +298,7 @@
 		trackSocket(state, socket);
 	});
 	server.on('request', (req, res) => {
-		void takeRequest(state, req, res);
+		void tryHandleRequest(state, req, res);
 	});
 	const port = await listen(server, 0);
 	return {
@@ -305,7 +306,7 @@
 		availabilityZone: options.availabilityZone,
 		address: `127.0.0.1:${port}`,
 		runs: state.runs,
-		unanswered: state.swallowed,
+		unanswered: state.unanswered,
 		peaks: state.peaks,
 		setFault: async (fault) => setFault(state, fault, port),
 		close: async () => setFault(state, {kind: 'gone'}, port),
