--- a/packages/cli/src/bin.ts
+++ b/packages/cli/src/bin.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `gullstand`: the operators' command line. */
+/** `gullstand`: the command line for operators. */
 import {Command} from 'commander';
 import {registerConfig} from './commands/config.js';
 import {registerDemo} from './commands/demo.js';
--- a/packages/cli/src/client/operator-client.ts
+++ b/packages/cli/src/client/operator-client.ts
@@ -1,13 +1,13 @@
-/** Calls to an entry's operator API. */
+/** Client of an entry's operator API. */
 import {request} from 'undici';
 
-/** Where the operator API is and with which token. */
+/** URL of the operator API and the token for it. */
 export type OperatorTarget = {
 	readonly url: string;
 	readonly token: string;
 };
 
-/** One call. */
+/** One call to the operator API. */
 export type OperatorCall = {
 	readonly method: 'GET' | 'PUT' | 'POST' | 'DELETE';
 	readonly path: string;
@@ -24,7 +24,7 @@
 
 const timeoutMs = 60_000;
 
-const readJson = (text: string): unknown => {
+const parseJson = (text: string): unknown => {
 	try {
 		return JSON.parse(text);
 	} catch {
@@ -32,7 +32,7 @@
 	}
 };
 
-/** Makes one call; rejects only if no answer came. */
+/** Makes one call; rejects only if no answer was received. */
 export const callOperator = async (
 	target: OperatorTarget,
 	{method, path, body, headers}: OperatorCall,
@@ -52,6 +52,6 @@
 	return {
 		status: res.statusCode,
 		etag: typeof etag === 'string' ? etag : undefined,
-		body: readJson(await res.body.text()),
+		body: parseJson(await res.body.text()),
 	};
 };
--- a/packages/cli/src/commands/answer.ts
+++ b/packages/cli/src/commands/answer.ts
@@ -1,42 +1,42 @@
-/** Prints answers of an entry and chooses the exit code. */
+/** Prints answers of an entry and sets the exit code. */
 import {stringify} from 'smol-toml';
 import type {OperatorAnswer} from '../client/operator-client.js';
 import {exitCodes, type Io, type TargetFlags} from './io.js';
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** A field as text. */
+/** Formats a field as text. */
 export const formatValue = (value: unknown): string =>
 	typeof value === 'string' ? value : (JSON.stringify(value) ?? '(none)');
 
-/** Fields of an answer; none if it is not an object. */
+/** Returns the fields of an answer; none if its body is not an object. */
 export const getFields = (answer: OperatorAnswer): Fields =>
 	typeof answer.body === 'object' && answer.body !== null
 		? (answer.body as Fields)
 		: {};
 
-/** First line of a file that `show` has written: the version it was read at. */
+/** Formats the first line of a `show` output: the version of the object. */
 export const formatVersionLine = (etag: string): string => `# version ${etag}`;
 
 const versionLine = /^# version ("\d{1,15}")$/mv;
 
-/** The version that a file was read at, if it says one. */
+/** Returns the version from the version line, if there is one. */
 export const readVersionLine = (text: string): string | undefined =>
 	versionLine.exec(text)?.[1];
 
-/** An object as TOML, with its version. */
+/** Formats an object as TOML, with its version. */
 export const formatObject = (value: unknown, etag: string | undefined) =>
 	[
 		...(etag === undefined ? [] : [formatVersionLine(etag)]),
 		stringify(value).trimEnd(),
 	].join('\n');
 
-const formatLag = (lag: Fields): string =>
-	`  ${formatValue(lag.entry)}: ${formatValue(lag.reason)}, at revision ${formatValue(lag.inForce)}`;
+const formatLaggingEntry = (entry: Fields): string =>
+	`  ${formatValue(entry.entry)}: ${formatValue(entry.reason)}, at revision ${formatValue(entry.inForce)}`;
 
 const formatFault = (fault: unknown): string => `  ${JSON.stringify(fault)}`;
 
-/** Lines that say where a change is in force. */
+/** Formats where a change is in force, as lines. */
 export const formatInForce = (fields: Fields): readonly string[] => {
 	if (fields.isInForce === undefined) {
 		return [];
@@ -50,11 +50,11 @@
 	const reason =
 		fields.isUnknown === true
 			? ['  the entries could not be read']
-			: lagging.map((lag) => formatLag(lag));
+			: lagging.map((each) => formatLaggingEntry(each));
 	return ['not in force everywhere yet:', ...reason];
 };
 
-/** Lines that say why a call failed. */
+/** Formats why a call failed, as lines. */
 export const formatFailure = (answer: OperatorAnswer): readonly string[] => {
 	const fields = getFields(answer);
 	const {error, message, outcome, operationId} = fields;
@@ -81,7 +81,7 @@
 	409: exitCodes.conflict,
 };
 
-/** The exit code for an answer. */
+/** Returns the exit code for an answer. */
 export const getExitCode = (answer: OperatorAnswer): number => {
 	if (getFields(answer).outcome === 'unknown') {
 		return exitCodes.unknown;
@@ -93,7 +93,7 @@
 	);
 };
 
-/** Prints an answer, or why there is none; sets the exit code. */
+/** Prints an answer or why the call failed, and sets the exit code. */
 export const printAnswer = (
 	answer: OperatorAnswer,
 	flags: TargetFlags,
--- a/packages/cli/src/commands/call.ts
+++ b/packages/cli/src/commands/call.ts
@@ -1,15 +1,15 @@
-/** One call to an entry and how its answer is printed. */
+/** Calls an entry and prints the answer. */
 import {callOperator, type OperatorCall} from '../client/operator-client.js';
 import {printAnswer} from './answer.js';
 import {readTarget, type Io, type TargetFlags} from './io.js';
 
-/** Fields of an answer. */
+/** Fields of a JSON answer. */
 export type Fields = Readonly<Record<string, unknown>>;
 
-/** Lines for an answer's fields. */
+/** Formats the fields of an answer as lines. */
 export type FormatAnswer = (fields: Fields) => readonly string[];
 
-/** Makes the call and prints its answer. */
+/** Makes a call and prints its answer. */
 export const callAndPrint = async (
 	request: OperatorCall,
 	flags: TargetFlags,
--- a/packages/cli/src/commands/commands.test.fixture.ts
+++ b/packages/cli/src/commands/commands.test.fixture.ts
@@ -1,4 +1,4 @@
-/** An embedded daemon and the command line against it, for tests. */
+/** Runs command lines against an embedded daemon, for tests. */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -44,7 +44,7 @@
 	return {code, lines, text: lines.join('\n')};
 };
 
-/** Starts the daemon; `run` runs one command line. */
+/** Starts the daemon; `run` runs one command line, `write` a file. */
 export const startFixture = async (t: tap.Test) => {
 	const now = () => performance.now();
 	const settings = createEmbeddedSettings();
--- a/packages/cli/src/commands/commands.test.ts
+++ b/packages/cli/src/commands/commands.test.ts
@@ -20,7 +20,7 @@
 urgentStartMs = 1500
 `;
 
-tap.t.test('an operator shows, changes and loses a race', async (t) => {
+tap.t.test('a change based on an outdated version conflicts', async (t) => {
 	const {run, write} = await startFixture(t);
 	const file = await write('brokers.toml', brokers);
 	t.match(await run('contract', 'create', file, '--wait', '5000'), {
@@ -82,7 +82,7 @@
 	[['entry', 'list', '--json'], /"entries":\[/v],
 ];
 
-tap.t.test('lists what there is', async (t) => {
+tap.t.test('lists objects and the state of the fleet', async (t) => {
 	const {run} = await startFixture(t);
 	for (const [words, expected] of lists) {
 		const {code, text} = await run(...words);
--- a/packages/cli/src/commands/config.ts
+++ b/packages/cli/src/commands/config.ts
@@ -1,9 +1,9 @@
-/** `gullstand config`: settings of an entry. */
+/** `gullstand config`: checks settings files of entries. */
 import process from 'node:process';
 import type {Command} from 'commander';
 import {formatFault, loadSettings} from '@gullstand/daemon';
 
-const badSettingsExit = 2;
+const invalidSettingsExitCode = 2;
 
 const checkConfig = async (file: string) => {
 	const loaded = await loadSettings(file);
@@ -16,10 +16,10 @@
 		console.error(formatFault(fault));
 	}
 
-	process.exitCode = badSettingsExit;
+	process.exitCode = invalidSettingsExitCode;
 };
 
-/** Registers the commands of this domain. */
+/** Registers `gullstand config`. */
 export const registerConfig = (program: Command) => {
 	const config = program.command('config').description('settings of an entry');
 	config
--- a/packages/cli/src/commands/demo.ts
+++ b/packages/cli/src/commands/demo.ts
@@ -1,4 +1,4 @@
-/** `gullstand demo`: one embedded daemon at work. */
+/** `gullstand demo`: runs an embedded daemon under load. */
 import process from 'node:process';
 import type {Command} from 'commander';
 import {hasDemoSucceeded, runDemo, type DemoReport} from '../demo/run-demo.js';
@@ -20,7 +20,7 @@
 	);
 };
 
-/** Registers the commands of this domain. */
+/** Registers `gullstand demo`. */
 export const registerDemo = (program: Command) => {
 	program
 		.command('demo')
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -1,4 +1,4 @@
-/** `gullstand status|pool|move|entry|change`: what the fleet is doing. */
+/** `gullstand status|pool|move|entry|change`: shows and changes the fleet. */
 import type {Command} from 'commander';
 import {formatInForce, formatValue} from './answer.js';
 import {callAndPrint, type Fields} from './call.js';
@@ -27,8 +27,8 @@
 	const holding = entry.holding as readonly string[];
 	const state =
 		entry.lags === null ? 'up to date' : `lags: ${formatValue(entry.lags)}`;
-	const held = holding.length === 0 ? '' : `, holds ${holding.join(' ')}`;
-	return `${formatValue(entry.entry)} ${formatValue(entry.address)} revision ${formatValue(entry.inForce)}, ${state}${held}, version ${formatValue(entry.etag)}`;
+	const holdings = holding.length === 0 ? '' : `, holds ${holding.join(' ')}`;
+	return `${formatValue(entry.entry)} ${formatValue(entry.address)} revision ${formatValue(entry.inForce)}, ${state}${holdings}, version ${formatValue(entry.etag)}`;
 };
 
 const formatObjectChange = (change: Fields): string => {
@@ -54,7 +54,7 @@
 			),
 	);
 	addTargetFlags(group.command('show').argument('<pool>'))
-		.description('show instances, services and what binds them')
+		.description('show instances, services and the contracts that limit them')
 		.action(async (pool: string, flags: TargetFlags) => {
 			const path = `/v1/pools/${encodeURIComponent(pool)}`;
 			await callAndPrint({method: 'GET', path}, flags, io, (fields) => {
@@ -82,7 +82,7 @@
 			),
 	);
 	addTargetFlags(group.command('forget').argument('<entry>'))
-		.description('say that an entry has certainly ended')
+		.description('confirm that an entry has terminated')
 		.requiredOption('--if-match <version>', 'version that "list" showed')
 		.action(async (entry: string, flags: TargetFlags & {ifMatch: string}) =>
 			callAndPrint(
@@ -139,8 +139,8 @@
 	return [
 		`${formatValue(move.instance)}: ${formatValue(move.from)} to ${formatValue(move.to)}, by ${formatValue(move.author)}`,
 		...lagging.map(
-			(lag) =>
-				`  waits for ${formatValue(lag.entry)}: ${formatValue(lag.reason)}`,
+			(entry) =>
+				`  waits for ${formatValue(entry.entry)}: ${formatValue(entry.reason)}`,
 		),
 	];
 };
@@ -153,7 +153,7 @@
 		`${formatValue(fields.transition)}: revision ${formatValue(fields.revision)}`,
 	];
 	addTargetFlags(group.command('list'))
-		.description('list moves under way and who is waited for')
+		.description('list moves in progress and the entries they wait for')
 		.action(async (flags: TargetFlags) =>
 			callAndPrint({method: 'GET', path: '/v1/moves'}, flags, io, (fields) =>
 				(fields.moves as readonly Fields[]).flatMap((move) => formatMove(move)),
@@ -192,7 +192,7 @@
 
 const registerStatus = (program: Command, io: Io) => {
 	addTargetFlags(program.command('status'))
-		.description('show one entry and how its view stands')
+		.description('show one entry and the state of its view')
 		.action(async (flags: TargetFlags) =>
 			callAndPrint(
 				{method: 'GET', path: '/v1/status'},
@@ -203,7 +203,7 @@
 		);
 };
 
-/** Registers the commands of this domain. */
+/** Registers the fleet commands. */
 export const registerFleet = (program: Command, io: Io) => {
 	registerStatus(program, io);
 	registerPools(program, io);
--- a/packages/cli/src/commands/io.ts
+++ b/packages/cli/src/commands/io.ts
@@ -1,4 +1,4 @@
-/** Where commands read their target from and print to. */
+/** Input, output and exit codes of commands. */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
 import type {Command} from 'commander';
@@ -17,11 +17,11 @@
 	done: 0,
 	failed: 1,
 	usage: 2,
-	/** Someone else has changed the object since it was read. */
+	/** The object was changed by another operator since it was read. */
 	conflict: 3,
-	/** Committed, but not in force everywhere when the wait ended. */
+	/** Committed, but not in force on every entry when the wait ended. */
 	notInForce: 4,
-	/** The outcome is unknown; look it up in the history. */
+	/** The outcome is unknown; the change history shows it. */
 	unknown: 5,
 } as const;
 
@@ -39,7 +39,7 @@
 	env: process.env,
 };
 
-/** Flags by which an entry is reached. */
+/** Flags that select an entry and the output format. */
 export type TargetFlags = {
 	readonly url?: string;
 	readonly tokenFile?: string;
@@ -53,7 +53,7 @@
 		.option('--token-file <file>', 'file with the token, or GULLSTAND_TOKEN')
 		.option('--json', 'print JSON', false);
 
-/** Finds the entry and the token; undefined if one is missing. */
+/** Reads the URL and the token; undefined if one is missing. */
 export const readTarget = async (
 	flags: TargetFlags,
 	io: Io,
--- a/packages/cli/src/commands/job-logs.test.ts
+++ b/packages/cli/src/commands/job-logs.test.ts
@@ -1,4 +1,4 @@
-/** Ledger and charts from lines as a collector keeps them. */
+/** Analyses of log lines with the prefix of a collector. */
 import {jobPhases} from '@gullstand/core';
 import * as tap from 'tap';
 import {
@@ -19,7 +19,7 @@
 		...fields,
 	})}`;
 
-const intake = {
+const acceptedJob = {
 	job: id,
 	queue: 'q',
 	stretch: 2,
@@ -40,7 +40,7 @@
 		outcome: 'ok',
 		tookMs: 10,
 	}),
-	toLine(12, 'job taken in', intake),
+	toLine(12, 'job taken in', acceptedJob),
 	toLine(3005, 'task start', {...task, outcome: 'started', tookMs: 5}),
 	toLine(3500, 'task end', {...task, how: 'done'}),
 	toLine(3510, 'job ended', {job: id, end: 'completed'}),
@@ -52,18 +52,18 @@
 
 const all = jobPhases.readJobs(lines);
 
-tap.t.test('only lines that an entry wrote are read', async (t) => {
+tap.t.test('lines that no entry wrote are ignored', async (t) => {
 	t.equal(lines.length, 7);
 });
 
-tap.t.test('the ledger names the cause', async (t) => {
+tap.t.test('the causes of missed objectives, by queue', async (t) => {
 	t.same(formatMissCauses(all), [
 		'q: 1 jobs, 0 in time; lost of the work asked for',
 		'  100.0% no room for its first task',
 	]);
 });
 
-tap.t.test('the legs of one job', async (t) => {
+tap.t.test('the phases of one job', async (t) => {
 	t.same(formatPhases(all, id), [
 		`${id} q completed, objective 1600 ms`,
 		'  accept 10 ms',
@@ -77,11 +77,11 @@
 	t.same(formatPhases(all, 'ffff'), ['ffff is in none of these lines']);
 });
 
-tap.t.test('charts', async (t) => {
+tap.t.test('charts of causes and of capacity', async (t) => {
 	const causes = plotMissCauses(all, jobPhases.readJobs([]));
 	t.match(causes, /^<svg .*<\/svg>\n$/sv);
 	t.ok(causes.includes('no room for its first task'));
 	t.ok(causes.includes('100.0%'));
-	const room = plotCapacity(lines, 's');
-	t.equal(room.match(/<polyline/gv)?.length, 2);
+	const capacity = plotCapacity(lines, 's');
+	t.equal(capacity.match(/<polyline/gv)?.length, 2);
 });
--- a/packages/cli/src/commands/job-logs.ts
+++ b/packages/cli/src/commands/job-logs.ts
@@ -1,16 +1,16 @@
-/** `gullstand job ledger|legs`: where time went, from the entries' log lines. */
+/** `gullstand job ledger|legs|plot-*`: analyses of the entries' log lines. */
 import {readFile, writeFile} from 'node:fs/promises';
 import {jobPhases} from '@gullstand/core';
 import type {Command} from 'commander';
 import {drawBars, drawLines} from '../plots/svg.js';
 import type {Io} from './io.js';
 
-/** Standard input, for a collector's output. */
+/** File descriptor of standard input, read if no files are given. */
 const standardInput = 0;
 
 const percent = 100;
 
-/** Collectors put a time and a host before what an entry wrote. */
+/** Parses a line, skipping the prefix that log collectors may add. */
 const parseLine = (text: string): readonly jobPhases.LogLine[] => {
 	const begin = text.indexOf('{');
 	try {
@@ -24,7 +24,7 @@
 	}
 };
 
-/** Lines of a text that an entry wrote; all others are left out. */
+/** Parses the log lines of entries in a text and ignores all others. */
 export const parseLines = (text: string): readonly jobPhases.LogLine[] =>
 	text.split('\n').flatMap((line) => parseLine(line));
 
@@ -45,7 +45,7 @@
 const formatShare = (share: number): string =>
 	`${(percent * share).toFixed(1).padStart(5)}%`;
 
-/** The ledger as lines of text. */
+/** Formats the causes of missed objectives by queue, as lines. */
 export const formatMissCauses = (
 	all: jobPhases.LoggedJobs,
 ): readonly string[] =>
@@ -59,7 +59,7 @@
 			),
 	]);
 
-/** The legs of one job as lines of text. */
+/** Formats the phases of one job, as lines. */
 export const formatPhases = (
 	all: jobPhases.LoggedJobs,
 	id: string,
@@ -73,7 +73,7 @@
 	return [
 		`${id} ${job.queue ?? ''} ${job.end ?? 'not ended'}, objective ${Math.round(jobPhases.getObjectiveMs(job))} ms`,
 		...Object.entries(jobPhases.getPhases(job)).map(
-			([leg, ms]) => `  ${leg} ${Math.round(ms)} ms`,
+			([phase, ms]) => `  ${phase} ${Math.round(ms)} ms`,
 		),
 		...(cause ? [`  lost: ${jobPhases.missCauses[cause]}`] : []),
 	];
@@ -81,7 +81,7 @@
 
 const msPerSecond = 1000;
 
-/** A chart of what two sets of lines lost, by cause. */
+/** Draws the work that missed its objective in two logs, by cause. */
 export const plotMissCauses = (
 	before: jobPhases.LoggedJobs,
 	after: jobPhases.LoggedJobs,
@@ -101,22 +101,24 @@
 	);
 };
 
-/** A chart of a pool's room, asked for and held. */
+/** Draws the requested and the held capacity of a pool over time. */
 export const plotCapacity = (
 	lines: readonly jobPhases.LogLine[],
 	pool: string,
 ): string => {
-	const room = jobPhases.readPoolCapacity(lines, pool);
-	const begin = room[0]?.at ?? 0;
+	const capacity = jobPhases.readPoolCapacity(lines, pool);
+	const begin = capacity[0]?.at ?? 0;
 	const toPoints = (get: (each: jobPhases.PoolCapacity) => number) =>
-		room.map((each) => [(each.at - begin) / msPerSecond, get(each)] as const);
+		capacity.map(
+			(each) => [(each.at - begin) / msPerSecond, get(each)] as const,
+		);
 	return drawLines(`Machines of ${pool}`, [
 		{name: 'asked for', points: toPoints(({asked}) => asked)},
 		{name: 'held', points: toPoints(({held}) => held)},
 	]);
 };
 
-/** Registers the commands. */
+/** Registers the log analyses of `gullstand job`. */
 export const registerJobLogs = (group: Command, io: Io): void => {
 	group
 		.command('ledger [files...]')
--- a/packages/cli/src/commands/job.test.ts
+++ b/packages/cli/src/commands/job.test.ts
@@ -26,11 +26,11 @@
 tap.t.test('jobs on the command line', async (t) => {
 	const {run, write} = await startFixture(t);
 	const file = await write('job.toml', job);
-	const bad = await write(
+	const selfDependent = await write(
 		'bad.toml',
 		job.replace('after = [0]', 'after = [1]'),
 	);
-	const odd = await write('odd.toml', `colour = "red"\n${job}`);
+	const unknownField = await write('odd.toml', `colour = "red"\n${job}`);
 	const rows: readonly Row[] = [
 		[
 			'submit',
@@ -64,20 +64,20 @@
 			/unknown-queue/v,
 		],
 		[
-			'an id that is none',
+			'an invalid id',
 			['job', 'submit', 'rating', file, '--id', 'x'],
 			exitCodes.usage,
 			/16 hexadecimal digits/v,
 		],
 		[
-			'a step after itself',
-			['job', 'submit', 'rating', bad],
+			'a step that depends on itself',
+			['job', 'submit', 'rating', selfDependent],
 			exitCodes.usage,
 			/steps\.1\.after 1 is not an earlier step/v,
 		],
 		[
-			'a field that is not known',
-			['job', 'submit', 'rating', odd],
+			'an unknown field',
+			['job', 'submit', 'rating', unknownField],
 			exitCodes.usage,
 			/colour/v,
 		],
@@ -88,7 +88,7 @@
 			/0123456789abcdef (?:queued|running)/v,
 		],
 		[
-			'show one that is not there',
+			'show an unknown job',
 			['job', 'show', 'rating', 'f'.repeat(16)],
 			exitCodes.failed,
 			/unknown-job/v,
--- a/packages/cli/src/commands/job.ts
+++ b/packages/cli/src/commands/job.ts
@@ -1,4 +1,4 @@
-/** `gullstand job` and `gullstand explain`: jobs of a queue. */
+/** `gullstand job` and `gullstand explain`: submits and shows jobs. */
 import {readFile} from 'node:fs/promises';
 import {randomBytes} from 'node:crypto';
 import type {Command} from 'commander';
@@ -35,14 +35,14 @@
 			`${formatValue(task)} ${formatValue(state)}: ${formatValue(because)}`,
 	);
 
-/** Registers the commands. */
+/** Registers `gullstand job` and `gullstand explain`. */
 export const registerJob = (program: Command, io: Io): void => {
 	const group = program
 		.command('job')
 		.description('jobs of a queue: tasks that executors run');
 	addTargetFlags(group.command('submit <queue> <file>'))
-		.description('hand a job in from a TOML file; the same id twice is one job')
-		.option('--id <id>', '16 hexadecimal digits; made up if left out')
+		.description('submit a job from a TOML file; it is accepted once per id')
+		.option('--id <id>', '16 hexadecimal digits; random by default')
 		.action(
 			async (
 				queue: string,
--- a/packages/cli/src/commands/objects.ts
+++ b/packages/cli/src/commands/objects.ts
@@ -1,4 +1,4 @@
-/** `gullstand contract|service|instance`: objects of the view. */
+/** `gullstand contract|service|instance`: shows and changes objects. */
 import {readFile} from 'node:fs/promises';
 import type {Command} from 'commander';
 import {parse} from 'smol-toml';
@@ -22,14 +22,14 @@
 	type TargetFlags,
 } from './io.js';
 
-/** A kind of object and the field that names it. */
+/** A kind of object and its key field. */
 export type ObjectKind = {
 	readonly name: 'contract' | 'service' | 'instance';
 	readonly keyField: string;
 	readonly description: string;
 };
 
-/** The kinds that operators change. */
+/** Kinds of objects that operators may change. */
 export const objectKinds: readonly ObjectKind[] = [
 	{
 		name: 'contract',
@@ -92,7 +92,7 @@
 	];
 };
 
-/** What the commands of one kind share. */
+/** Context of the commands of one kind. */
 type Group = {
 	readonly command: Command;
 	readonly kind: ObjectKind;
--- a/packages/cli/src/commands/wave-format.ts
+++ b/packages/cli/src/commands/wave-format.ts
@@ -1,14 +1,14 @@
-/** Waves as text: plan, progress and what a wave waits for. */
+/** Formats plans, progress and waits of waves as text. */
 import type {waves} from '@gullstand/core';
 
-/** What an entry answers about a wave. */
+/** An entry's answer about a wave. */
 export type WaveStatus = {
 	readonly wave: waves.Wave;
 	readonly counts: waves.Progress['counts'];
 	readonly waits: readonly waves.WaveWait[];
 };
 
-/** What an entry answers about a plan. */
+/** An entry's answer about a plan. */
 export type WavePlan = {
 	readonly wave: waves.Wave;
 	readonly preview: waves.PreviewResult;
@@ -17,9 +17,9 @@
 const minuteMs = 60_000;
 const minutesPerHour = 60;
 const barWidth = 30;
-const orderShown = 12;
+const maxShownDomains = 12;
 
-/** A duration as operators read it, such as `2 h 05 min`. */
+/** Formats a duration, such as `2 h 05 min`. */
 export const formatDuration = (durationMs: number): string => {
 	const minutes = Math.round(durationMs / minuteMs);
 	const hours = Math.floor(minutes / minutesPerHour);
@@ -27,10 +27,10 @@
 	return hours > 0 ? `${hours} h ${rest.padStart(2, '0')} min` : `${rest} min`;
 };
 
-/** A bar of the instances that are done or left out. */
+/** Formats a bar of the instances that are done or skipped. */
 export const formatBar = ({wave, counts}: WaveStatus): string => {
-	const over = counts.done + counts.skipped;
-	const share = wave.instances === 0 ? 1 : over / wave.instances;
+	const finished = counts.done + counts.skipped;
+	const share = wave.instances === 0 ? 1 : finished / wave.instances;
 	const filled = Math.round(share * barWidth);
 	const bar = '#'.repeat(filled).padEnd(barWidth, '.');
 	const away = counts.evacuating + counts.taken;
@@ -63,7 +63,7 @@
 	}
 };
 
-/** One thing that a wave waits for, as a line. */
+/** Formats one thing that a wave waits for, as a line. */
 export const formatWait = (wait: waves.WaveWait): string => {
 	switch (wait.kind) {
 		case 'paused': {
@@ -105,22 +105,22 @@
 	}
 };
 
-/** Progress and waits as lines. */
+/** Formats progress and waits, as lines. */
 export const formatStatus = (status: WaveStatus): readonly string[] => [
 	`wave ${status.wave.id} over ${status.wave.pools.join(', ')}`,
 	formatBar(status),
 	...status.waits.map((wait) => `  waits: ${formatWait(wait)}`),
 ];
 
-/** A plan as lines: order, expected end, moves, what it waits for. */
+/** Formats the order, expected end, moves and limits of a plan, as lines. */
 export const formatPlan = ({wave, preview}: WavePlan): readonly string[] => {
 	const {order, durationMs, moves, held, skipped, holdUps} = preview;
-	const more = order.length - orderShown;
+	const more = order.length - maxShownDomains;
 	return [
 		`wave ${wave.id}: ${wave.instances} instances in ${wave.domains} racks`,
 		`expected end after ${formatDuration(durationMs)}, ${moves} moves (${held} held until there is room)`,
 		...order
-			.slice(0, orderShown)
+			.slice(0, maxShownDomains)
 			.map(
 				({domain, instances, afterMs}) =>
 					`  after ${formatDuration(afterMs)}: ${domain}: ${instances.join(' ')}`,
--- a/packages/cli/src/commands/wave.test.ts
+++ b/packages/cli/src/commands/wave.test.ts
@@ -97,7 +97,7 @@
 	['no such wave', ['start', 'x'], exitCodes.failed, /not-found/],
 ];
 
-tap.t.test('refused waves', async (t) => {
+tap.t.test('refused wave commands', async (t) => {
 	const {run} = await startFixture(t);
 	for (const [name, words, code, text] of refusals) {
 		const result = await run(...words);
@@ -106,12 +106,12 @@
 	}
 });
 
-tap.t.test('durations', async (t) => {
+tap.t.test('formatDuration', async (t) => {
 	t.equal(formatDuration(59_000), '1 min');
 	t.equal(formatDuration(125 * 60_000), '2 h 05 min');
 });
 
-tap.t.test('a wait on a budget names the contract', async (t) => {
+tap.t.test('a wait for a budget names the contract', async (t) => {
 	const text = formatWait({
 		kind: 'budget',
 		pool: 'quoting',
--- a/packages/cli/src/commands/wave.ts
+++ b/packages/cli/src/commands/wave.ts
@@ -1,4 +1,4 @@
-/** `gullstand wave`: plan, run and watch maintenance waves. */
+/** `gullstand wave`: plans, runs and shows maintenance waves. */
 import process from 'node:process';
 import {setTimeout} from 'node:timers/promises';
 import {InvalidArgumentError, type Command} from 'commander';
@@ -13,10 +13,10 @@
 	type WaveStatus,
 } from './wave-format.js';
 
-/** Where a progress bar is drawn; none if the output is no terminal. */
+/** Draws a progress bar, if the output is a terminal. */
 export type Terminal = {
 	readonly isTerminal: boolean;
-	/** Writes over the line that was drawn before. */
+	/** Overwrites the previous line. */
 	readonly redraw: (text: string) => void;
 };
 
@@ -44,7 +44,7 @@
 
 type StatusFlags = TargetFlags & {readonly watch?: number};
 
-const watchEveryMs = 1000;
+const watchIntervalMs = 1000;
 
 const parseNumber = (text: string): number => {
 	const value = Number(text);
@@ -58,7 +58,7 @@
 const getPath = (id: string, part = ''): string =>
 	`/v1/waves/${encodeURIComponent(id)}${part}`;
 
-const call = async (
+const callAndPrint = async (
 	request: OperatorCall,
 	flags: TargetFlags,
 	io: Io,
@@ -86,21 +86,24 @@
 		.action(async (id: string, flags: PlanFlags) => {
 			const {pool: pools, url, tokenFile, json, ...settings} = flags;
 			const body = {pools, ...settings};
-			await call({method: 'PUT', path: getPath(id), body}, flags, io, (plan) =>
-				formatPlan(plan as unknown as WavePlan),
+			await callAndPrint(
+				{method: 'PUT', path: getPath(id), body},
+				flags,
+				io,
+				(plan) => formatPlan(plan as unknown as WavePlan),
 			);
 		});
 	addTargetFlags(group.command('preview').argument('<id>'))
 		.description('show what a wave would do if it started now')
 		.action(async (id: string, flags: TargetFlags) => {
 			const path = getPath(id, '/preview');
-			await call({method: 'GET', path}, flags, io, (plan) =>
+			await callAndPrint({method: 'GET', path}, flags, io, (plan) =>
 				formatPlan(plan as unknown as WavePlan),
 			);
 		});
 };
 
-const commandTexts = {
+const commandDescriptions = {
 	start: 'start a planned wave',
 	pause: 'begin nothing more; what is away comes back',
 	resume: 'go on with a paused wave',
@@ -108,23 +111,23 @@
 } as const;
 
 const registerCommands = (group: Command, io: Io) => {
-	for (const [name, text] of Object.entries(commandTexts)) {
+	for (const [name, description] of Object.entries(commandDescriptions)) {
 		addTargetFlags(group.command(name).argument('<id>'))
-			.description(text)
+			.description(description)
 			.action(async (id: string, flags: TargetFlags) => {
 				const path = getPath(id, `/${name}`);
-				await call({method: 'POST', path}, flags, io, ({wave}) => [
+				await callAndPrint({method: 'POST', path}, flags, io, ({wave}) => [
 					`wave ${id}: ${formatValue((wave as Fields).state)}`,
 				]);
 			});
 	}
 };
 
-const isOver = ({wave, counts}: WaveStatus): boolean =>
+const isFinished = ({wave, counts}: WaveStatus): boolean =>
 	wave.state === 'done' ||
 	(wave.state === 'cancelled' && counts.evacuating + counts.taken === 0);
 
-/** Shows progress until the wave is over: a bar, or a line for each change. */
+/** Shows progress until the wave has ended, as a bar or a line per change. */
 const watch = async (
 	id: string,
 	flags: StatusFlags,
@@ -156,12 +159,12 @@
 		}
 
 		last = text;
-		if (isOver(status)) {
+		if (isFinished(status)) {
 			io.setExitCode(getExitCode(answer));
 			return;
 		}
 
-		await setTimeout(flags.watch ?? watchEveryMs);
+		await setTimeout(flags.watch ?? watchIntervalMs);
 	}
 };
 
@@ -174,21 +177,24 @@
 				id: string,
 				flags: TargetFlags & {readonly watch?: number | true},
 			) => {
-				const {watch: everyMs, ...target} = flags;
-				if (everyMs === undefined) {
-					await call({method: 'GET', path: getPath(id)}, target, io, (status) =>
-						formatStatus(status as unknown as WaveStatus),
+				const {watch: intervalMs, ...target} = flags;
+				if (intervalMs === undefined) {
+					await callAndPrint(
+						{method: 'GET', path: getPath(id)},
+						target,
+						io,
+						(status) => formatStatus(status as unknown as WaveStatus),
 					);
 					return;
 				}
 
-				const ms = everyMs === true ? watchEveryMs : everyMs;
+				const ms = intervalMs === true ? watchIntervalMs : intervalMs;
 				await watch(id, {...target, watch: ms}, io, terminal);
 			},
 		);
 	addTargetFlags(group.command('list').description('list all waves')).action(
 		async (flags: TargetFlags) =>
-			call({method: 'GET', path: '/v1/waves'}, flags, io, ({waves}) =>
+			callAndPrint({method: 'GET', path: '/v1/waves'}, flags, io, ({waves}) =>
 				(waves as readonly Fields[]).map(
 					(wave) =>
 						`${formatValue(wave.id)} ${formatValue(wave.state)} ${(wave.pools as readonly string[]).join(',')}`,
@@ -197,7 +203,7 @@
 	);
 };
 
-/** Registers the commands of this domain. */
+/** Registers `gullstand wave`. */
 export const registerWave = (
 	program: Command,
 	io: Io,
--- a/packages/cli/src/demo/callers.ts
+++ b/packages/cli/src/demo/callers.ts
@@ -1,33 +1,33 @@
-/** Callers of the demo: real requests through a real socket. */
+/** Callers of the demo, which send HTTP requests to the embedded daemon. */
 import {Agent, request} from 'undici';
 import {headerNames} from '@gullstand/daemon';
 
-/** How the callers of one customer call one service. */
+/** Load of one customer on one service. */
 export type LoadOptions = {
 	readonly url: string;
 	readonly token: string;
 	readonly path: string;
 	readonly requests: number;
-	/** Callers that each wait for an answer before they go on. */
+	/** Number of concurrent callers, with one request in flight each. */
 	readonly callers: number;
-	/** Time between an answer and the caller's next request, in ms. */
+	/** Time between an answer and the next request, in milliseconds. */
 	readonly pauseMs: number;
-	/** Makes the key of a request that may not be repeated. */
+	/** Creates the idempotency key of a request. */
 	readonly createKey?: (index: number) => string;
 };
 
-/** Counts of answers, by status and by outcome. */
+/** Number of answers, in total, by status and by outcome. */
 export type LoadReport = {
 	readonly answers: number;
 	readonly statuses: Readonly<Record<string, number>>;
 	readonly outcomes: Readonly<Record<string, number>>;
 };
 
-const addTo = (counts: Record<string, number>, name: string) => {
+const increment = (counts: Record<string, number>, name: string) => {
 	counts[name] = (counts[name] ?? 0) + 1;
 };
 
-/** Sends the load and counts what came back. */
+/** Sends the load and counts the answers. */
 export const sendLoad = async (load: LoadOptions): Promise<LoadReport> => {
 	const agent = new Agent({connections: load.callers, pipelining: 1});
 	const statuses: Record<string, number> = {};
@@ -46,10 +46,10 @@
 			},
 			body: JSON.stringify({index}),
 		});
-		// Read, not dumped: a dump does not tell a cut body.
+		// Reads the body instead of dumping it, to detect an incomplete one.
 		await res.body.arrayBuffer();
-		addTo(statuses, String(res.statusCode));
-		addTo(outcomes, String(res.headers[headerNames.outcome]));
+		increment(statuses, String(res.statusCode));
+		increment(outcomes, String(res.headers[headerNames.outcome]));
 	};
 
 	const runCaller = async () => {
--- a/packages/cli/src/demo/run-demo.ts
+++ b/packages/cli/src/demo/run-demo.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: an embedded daemon, real requests through a real socket, a
- * contract made while it runs and a maintenance wave that finishes under load.
+ * Runs the demo: an embedded daemon that serves HTTP requests while a contract
+ * is created, jobs run and a maintenance wave completes.
  */
 import {performance} from 'node:perf_hooks';
 import type {Contract, waves} from '@gullstand/core';
@@ -20,18 +20,18 @@
 import {callOperator, type OperatorTarget} from '../client/operator-client.js';
 import {sendLoad, type LoadReport} from './callers.js';
 
-/** What the demo found. */
+/** Results of the demo. */
 export type DemoReport = {
 	readonly loads: Readonly<Record<string, LoadReport>>;
 	readonly series: readonly SeriesSummary[];
 	readonly wave: waves.Wave;
-	/** Instances that the wave has maintained. */
+	/** Number of instances that the wave has maintained. */
 	readonly waveDone: number;
 	readonly waveSeconds: number;
-	/** Samples in which more instances were away than a contract allows. */
+	/** Number of samples with more instances away than a contract allows. */
 	readonly budgetViolations: number;
 	readonly budgetSamples: number;
-	/** Jobs by the state that they were last shown in. */
+	/** Number of jobs by their last known state. */
 	readonly jobs: Readonly<Record<string, number>>;
 };
 
@@ -129,7 +129,7 @@
 
 const idDigits = 16;
 
-/** Two steps; the second waits for all tasks of the first. */
+/** A job of two steps; the second waits for all tasks of the first. */
 const demoJob = {
 	payload: 'a schedule of works',
 	steps: [
@@ -140,7 +140,7 @@
 
 type JobRow = {readonly state: string};
 
-/** Hands jobs in and waits until all have ended. */
+/** Submits jobs and waits until all have completed or time is up. */
 const runJobs = async (
 	target: OperatorTarget,
 ): Promise<Readonly<Record<string, number>>> => {
@@ -204,7 +204,7 @@
 	return {loads: {quotes, claims}, series, jobs, ...wave};
 };
 
-/** Runs the demo; everything that it started is stopped again. */
+/** Runs the demo and stops everything that it started. */
 export const runDemo = async (): Promise<DemoReport> => {
 	const now = () => performance.now();
 	const settings = createEmbeddedSettings(0, 0, 'warn');
@@ -229,7 +229,7 @@
 	}
 };
 
-/** Whether the demo showed what it promises. */
+/** Whether the wave, the budget, the jobs and all calls were as expected. */
 export const hasDemoSucceeded = (report: DemoReport): boolean =>
 	report.wave.state === 'done' &&
 	report.budgetViolations === 0 &&
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,3 +1,3 @@
-/** Parts of the command line that benches and tests use. */
+/** Parts of the command line for benches and tests. */
 export * from './client/operator-client.js';
 export * from './demo/run-demo.js';
--- a/packages/cli/src/plots/svg.ts
+++ b/packages/cli/src/plots/svg.ts
@@ -1,4 +1,4 @@
-/** Small charts as SVG text: bars side by side, lines over time. */
+/** Draws small bar and line charts as SVG text. */
 
 const width = 760;
 
@@ -13,10 +13,15 @@
 const escapeText = (text: string): string =>
 	text.replaceAll('&', '&amp;').replaceAll('<', '&lt;');
 
-const toText = (x: number, y: number, text: string, anchor = 'start'): string =>
+const createText = (
+	x: number,
+	y: number,
+	text: string,
+	anchor = 'start',
+): string =>
 	`<text x="${x}" y="${y}" text-anchor="${anchor}">${escapeText(text)}</text>`;
 
-const wrap = (height: number, parts: readonly string[]): string =>
+const createSvg = (height: number, parts: readonly string[]): string =>
 	[
 		`<svg xmlns="http://www.w3.org/2000/svg" width="${width}" height="${height}" font-family="sans-serif" font-size="12">`,
 		`<rect width="${width}" height="${height}" fill="white"/>`,
@@ -25,50 +30,50 @@
 		'',
 	].join('\n');
 
-const listKeys = (
+const createLegend = (
 	title: string,
 	names: readonly string[],
 ): readonly string[] => [
-	toText(8, 18, title),
+	createText(8, 18, title),
 	...names.flatMap((name, index) => [
 		`<rect x="${left + 130 * index}" y="26" width="10" height="10" fill="${colours[index] ?? 'grey'}"/>`,
-		toText(left + 130 * index + 14, 35, name),
+		createText(left + 130 * index + 14, 35, name),
 	]),
 ];
 
 /** One row of bars. */
 export type BarRow = {
 	readonly label: string;
-	/** One for each series. */
+	/** One value per series. */
 	readonly values: readonly number[];
 };
 
-/** Horizontal bars, one row a label; values are percentages. */
+/** Draws horizontal bars, one row per label; values are percentages. */
 export const drawBars = (
 	title: string,
 	series: readonly string[],
 	rows: readonly BarRow[],
 ): string => {
-	const most = Math.max(1e-9, ...rows.flatMap(({values}) => values));
+	const maxValue = Math.max(1e-9, ...rows.flatMap(({values}) => values));
 	const top = 52;
 	const bars = rows.flatMap(({label, values}, row) => [
-		toText(left - 8, top + row * rowHeight + 15, label, 'end'),
+		createText(left - 8, top + row * rowHeight + 15, label, 'end'),
 		...values.flatMap((value, index) => {
 			const y = top + row * rowHeight + index * barHeight;
-			const length = ((width - left - 60) * value) / most;
+			const length = ((width - left - 60) * value) / maxValue;
 			return [
 				`<rect x="${left}" y="${y}" width="${length.toFixed(1)}" height="${barHeight - 2}" fill="${colours[index] ?? 'grey'}"/>`,
-				toText(left + length + 4, y + 9, `${value.toFixed(1)}%`),
+				createText(left + length + 4, y + 9, `${value.toFixed(1)}%`),
 			];
 		}),
 	]);
-	return wrap(top + rows.length * rowHeight + 8, [
-		...listKeys(title, series),
+	return createSvg(top + rows.length * rowHeight + 8, [
+		...createLegend(title, series),
 		...bars,
 	]);
 };
 
-/** A line: points by time in seconds. */
+/** A line with its points by time in seconds. */
 export type Line = {
 	readonly name: string;
 	readonly points: ReadonlyArray<readonly [seconds: number, value: number]>;
@@ -78,17 +83,17 @@
 
 const margin = 40;
 
-/** Lines over time on one axis. */
+/** Draws lines over time with a common axis. */
 export const drawLines = (title: string, lines: readonly Line[]): string => {
 	const points = lines.flatMap((line) => line.points);
 	const from = Math.min(...points.map(([seconds]) => seconds));
 	const to = Math.max(...points.map(([seconds]) => seconds));
-	const most = Math.max(1, ...points.map(([, value]) => value));
+	const maxValue = Math.max(1, ...points.map(([, value]) => value));
 	const base = chartHeight - margin;
 	const toX = (seconds: number) =>
 		margin +
 		((width - 2 * margin) * (seconds - from)) / Math.max(1e-9, to - from);
-	const toY = (value: number) => base - ((base - 60) * value) / most;
+	const toY = (value: number) => base - ((base - 60) * value) / maxValue;
 	const drawn = lines.map(({points: own}, index) => {
 		const path = own
 			.map(
@@ -98,16 +103,16 @@
 			.join(' ');
 		return `<polyline points="${path}" fill="none" stroke="${colours[index] ?? 'grey'}" stroke-width="2"/>`;
 	});
-	return wrap(chartHeight, [
-		...listKeys(
+	return createSvg(chartHeight, [
+		...createLegend(
 			title,
 			lines.map(({name}) => name),
 		),
 		`<line x1="${margin}" y1="${base}" x2="${width - margin}" y2="${base}" stroke="black"/>`,
-		toText(margin, base + 16, `${from.toFixed(0)} s`),
-		toText(width - margin, base + 16, `${to.toFixed(0)} s`, 'end'),
-		toText(margin - 6, toY(most) + 4, most.toFixed(0), 'end'),
-		toText(margin - 6, base + 4, '0', 'end'),
+		createText(margin, base + 16, `${from.toFixed(0)} s`),
+		createText(width - margin, base + 16, `${to.toFixed(0)} s`, 'end'),
+		createText(margin - 6, toY(maxValue) + 4, maxValue.toFixed(0), 'end'),
+		createText(margin - 6, base + 4, '0', 'end'),
 		...drawn,
 	]);
 };
