--- a/packages/ports/src/client/commit-with-read-back.ts
+++ b/packages/ports/src/client/commit-with-read-back.ts
@@ -116,8 +116,8 @@
 };
 
 /**
- * Resolves a conflict after a lost reply, which may be with an earlier attempt of
- * the same transaction. Without a lost reply, no attempt has committed or will.
+ * Resolves a conflict after a lost reply. The conflict may be with an earlier
+ * attempt of the same transaction, so the witness decides whether one committed.
  */
 const resolveConflict = async (
 	attempt: Attempt,
