--- a/packages/cli/src/commands/demo.ts
+++ b/packages/cli/src/commands/demo.ts
@@ -1,7 +1,7 @@
-/** `gullstand demo`: one embedded daemon at work. */
+/** `gullstand demo`: runs an embedded daemon under load. */
 import process from 'node:process';
 import type {Command} from 'commander';
-import {isDemoGood, runDemo, type DemoReport} from '../demo/run-demo.js';
+import {hasDemoSucceeded, runDemo, type DemoReport} from '../demo/run-demo.js';
 
 const printReport = (report: DemoReport) => {
 	console.log('answers');
@@ -20,7 +20,7 @@
 	);
 };
 
-/** Registers the commands of this domain. */
+/** Registers `gullstand demo`. */
 export const registerDemo = (program: Command) => {
 	program
 		.command('demo')
@@ -34,6 +34,6 @@
 				printReport(report);
 			}
 
-			process.exitCode = isDemoGood(report) ? 0 : 1;
+			process.exitCode = hasDemoSucceeded(report) ? 0 : 1;
 		});
 };
--- a/packages/cli/src/commands/objects.ts
+++ b/packages/cli/src/commands/objects.ts
@@ -1,4 +1,4 @@
-/** `gullstand contract|service|instance`: objects of the view. */
+/** `gullstand contract|service|instance`: shows and changes objects. */
 import {readFile} from 'node:fs/promises';
 import type {Command} from 'commander';
 import {parse} from 'smol-toml';
@@ -12,7 +12,7 @@
 	formatObject,
 	printAnswer,
 	readVersionLine,
-	show,
+	formatValue,
 } from './answer.js';
 import {
 	addTargetFlags,
@@ -22,14 +22,14 @@
 	type TargetFlags,
 } from './io.js';
 
-/** A kind of object and the field that names it. */
+/** A kind of object and its key field. */
 export type ObjectKind = {
 	readonly name: 'contract' | 'service' | 'instance';
 	readonly keyField: string;
 	readonly description: string;
 };
 
-/** The kinds that operators change. */
+/** Kinds of objects that operators may change. */
 export const objectKinds: readonly ObjectKind[] = [
 	{
 		name: 'contract',
@@ -88,11 +88,11 @@
 			({path, before, after}) =>
 				`${path}: ${JSON.stringify(before) ?? '(none)'} -> ${JSON.stringify(after) ?? '(none)'}`,
 		),
-		...problems.map((problem) => `would break: ${show(problem)}`),
+		...problems.map((problem) => `would break: ${formatValue(problem)}`),
 	];
 };
 
-/** What the commands of one kind share. */
+/** Context of the commands of one kind. */
 type Group = {
 	readonly command: Command;
 	readonly kind: ObjectKind;
@@ -136,7 +136,7 @@
 			const answer = await callOperator(target, {method: 'GET', path});
 			printAnswer(answer, flags, io, (fields) => {
 				const objects = fields[`${kind.name}s`] as readonly Fields[];
-				return objects.map((each) => show(each[kind.keyField]));
+				return objects.map((each) => formatValue(each[kind.keyField]));
 			});
 		});
 };
@@ -182,7 +182,7 @@
 	const path = getPath(kind, key) + getWaitQuery(flags);
 	const answer = await callOperator(target, {...rest, path});
 	printAnswer(answer, flags, io, (fields) => [
-		`${kind.name} ${key}: revision ${show(fields.revision)}`,
+		`${kind.name} ${key}: revision ${formatValue(fields.revision)}`,
 		...formatInForce(fields),
 	]);
 };
--- a/packages/daemon/src/jobs/owner/executor-link.ts
+++ b/packages/daemon/src/jobs/owner/executor-link.ts
@@ -3,7 +3,7 @@
  * the leases and list runs and ends, and commands sent in between.
  */
 import {scheduler} from '@gullstand/core';
-import type {Executors, ExecutorTarget, LookAnswer} from '@gullstand/ports';
+import type {Executors, ExecutorTarget, PollAnswer} from '@gullstand/ports';
 import {match} from 'ts-pattern';
 import type {Logger} from '../../log/logger.js';
 import {delay} from '../clock.js';
@@ -99,7 +99,7 @@
 		}
 	};
 
-	const applyAnswer = (answer: LookAnswer & {kind: 'seen'}, sentAt: number) => {
+	const applyAnswer = (answer: PollAnswer & {kind: 'seen'}, sentAt: number) => {
 		state.retryMs = periods.pollRetryMs;
 		const {clockMs, running, ends} = answer;
 		const poll = {sentAt, receivedAt: now(), clockMs, running, ends};
@@ -170,7 +170,7 @@
 				? scheduler.grantLease(executor, owner.cfg.taskLeaseMs, now())
 				: undefined;
 		const sentAt = now();
-		const answer = await executors.look(
+		const answer = await executors.poll(
 			target,
 			{fencingToken: owner.token, acknowledgedUpto, leaseEndMs, waitMs},
 			waitMs + periods.pollTimeoutMs,
@@ -290,7 +290,7 @@
 		const {task, number} = throttled;
 		const before = throttled.speedLimitPercent;
 		throttled.speedLimitPercent = percent;
-		const answer = await executors.pace(
+		const answer = await executors.throttle(
 			target,
 			{taskId: task.id, run: number, fencingToken: owner.token, percent},
 			periods.commandTimeoutMs,
@@ -321,7 +321,7 @@
 			idlePause.end();
 			ackPause.end();
 			pollGap.end();
-			executors.forget(target);
+			executors.closeConnections(target);
 		},
 		send(command) {
 			void (command.kind === 'start' ? sendStart(command) : sendStop(command));
--- a/packages/daemon/src/platform/open-platform.ts
+++ b/packages/daemon/src/platform/open-platform.ts
@@ -67,14 +67,14 @@
 		env,
 		id: randomUUID(),
 		fleetRate: platform.client.defaultFleetRate,
-		silentMs: unresponsivePeriods * sharePeriodMs,
+		expireAfterMs: unresponsivePeriods * sharePeriodMs,
 	});
 	const ticker = createTicker(sharer.exchange, sharePeriodMs, env.random);
 	void ticker.start(() => {
 		// An exchange returns its failures as values.
 	});
 	return {
-		setListed: sharer.setListed,
+		setListed: sharer.setListedEntryCount,
 		async stop() {
 			await ticker.stop();
 			await sharer.leave();
--- a/packages/ports/src/client/rate-sharer.test.ts
+++ b/packages/ports/src/client/rate-sharer.test.ts
@@ -13,7 +13,7 @@
 			tables,
 			id: `d${index}`,
 			fleetRate,
-			silentMs: 1000,
+			expireAfterMs: 1000,
 			env: {now: () => at, wait: async () => undefined, random: () => 0.5},
 			guard: {
 				getDemand: () => ({readsPerSecond: 0, writesPerSecond: demand}),
@@ -38,19 +38,22 @@
 	return {sharers, exchange, getWrites, passTime};
 };
 
-tap.t.test('what idle daemons leave goes to the busy one', async (t) => {
+tap.t.test('a busy daemon gets the unused share of idle ones', async (t) => {
 	const {exchange, getWrites} = createFleet([100, 0, 0, 0]);
 	await exchange();
 	t.same(getWrites(), [62.5, 12.5, 12.5, 12.5]);
 });
 
-tap.t.test('all busy: equal shares that add up to the rate', async (t) => {
-	const {exchange, getWrites} = createFleet([100, 100, 100, 100]);
-	await exchange();
-	t.same(getWrites(), [25, 25, 25, 25]);
-});
+tap.t.test(
+	'busy daemons get equal shares that add up to the rate',
+	async (t) => {
+		const {exchange, getWrites} = createFleet([100, 100, 100, 100]);
+		await exchange();
+		t.same(getWrites(), [25, 25, 25, 25]);
+	},
+);
 
-tap.t.test('a daemon that ended is counted until it is silent', async (t) => {
+tap.t.test('a terminated daemon counts until its row expires', async (t) => {
 	const {exchange, getWrites, passTime} = createFleet([100, 100]);
 	await exchange();
 	for (const writes of [50, 50, 100]) {
@@ -71,13 +74,13 @@
 tap.t.test('listed daemons without a row keep their share', async (t) => {
 	const {sharers, exchange, getWrites} = createFleet([100, 100]);
 	for (const sharer of sharers) {
-		sharer.setListed(4);
+		sharer.setListedEntryCount(4);
 	}
 
 	await exchange();
 	t.same(getWrites(), [25, 25]);
 	await sharers[1]!.leave();
-	sharers[0]!.setListed(1);
+	sharers[0]!.setListedEntryCount(1);
 	await sharers[0]!.exchange();
 	t.equal(getWrites()[0], 100);
 });
--- a/packages/ports/src/index.ts
+++ b/packages/ports/src/index.ts
@@ -1,4 +1,4 @@
-/** Ports and clients for the platform. */
+/** Ports to the platform, with HTTP and in-memory implementations. */
 export type * from './ports/table-service.js';
 export type * from './ports/object-store.js';
 export type * from './ports/instance-list.js';
@@ -19,11 +19,11 @@
 export * as messages from './wire/messages.js';
 export * from './http/connection.js';
 export {
-	timeBounds,
+	timeoutKinds,
 	type HttpAnswer,
 	type HttpFailure,
 	type HttpResult,
-	type TimeBound,
+	type TimeoutKind,
 } from './http/exchange.js';
 export * from './http/table-service.js';
 export * from './http/object-store.js';
