--- a/packages/bench/src/benches/at-most-once/world.ts
+++ b/packages/bench/src/benches/at-most-once/world.ts
@@ -63,7 +63,7 @@
 	readonly decidedAt: number;
 };
 
-type Entry = {life: Life; keeper: daemon.idempotency.Keeper};
+type Entry = {life: Life; keeper: daemon.idempotency.RequestDeduplicator};
 
 const readTold = (
 	reply: core.idempotency.Reply | undefined,
@@ -92,7 +92,7 @@
 	const told: Told[] = [];
 	const dispatchDelaysMs: number[] = [];
 	const entries: Entry[] = [];
-	const keepers: daemon.idempotency.Keeper[] = [];
+	const keepers: daemon.idempotency.RequestDeduplicator[] = [];
 	let ids = 0;
 
 	const context: StepContext = {
@@ -114,7 +114,7 @@
 	const startEntry = (entry: number): Entry => {
 		const life: Life = {entry, incarnation: `life-${++ids}`, isAlive: true};
 		const lifeTables = steps.createLifeTables(context, life, tables);
-		const keeper = daemon.idempotency.createKeeper({
+		const keeper = daemon.idempotency.createRequestDeduplicator({
 			tables: variant.wrapTables(lifeTables),
 			objects: steps.createLifeObjects(context, life, objects),
 			clock: {
--- a/packages/bench/src/benches/idle.ts
+++ b/packages/bench/src/benches/idle.ts
@@ -165,7 +165,7 @@
 		address: created.agreement.peers.getAddress(),
 		availabilityZone: 'zone-1',
 		state: 'live',
-		incarnation: created.agreement.life.incarnation,
+		incarnation: created.agreement.self.incarnation,
 	});
 	return created;
 };
--- a/packages/bench/src/benches/invariants/entries.ts
+++ b/packages/bench/src/benches/invariants/entries.ts
@@ -75,7 +75,7 @@
 		address: created.agreement.peers.getAddress(),
 		availabilityZone: 'zone-1',
 		state: 'live',
-		incarnation: created.agreement.life.incarnation,
+		incarnation: created.agreement.self.incarnation,
 	});
 	world.slots[slot] = entry;
 };
--- a/packages/bench/src/benches/outage/daemons.ts
+++ b/packages/bench/src/benches/outage/daemons.ts
@@ -164,7 +164,7 @@
 		address: created.agreement.peers.getAddress(),
 		availabilityZone: 'zone-1',
 		state: 'live',
-		incarnation: created.agreement.life.incarnation,
+		incarnation: created.agreement.self.incarnation,
 	});
 	const servesAfterMs = now() - startedAt;
 	const isServing = servesAfterMs < maxStartMs;
--- a/packages/daemon/src/agreement/agreement.test.ts
+++ b/packages/daemon/src/agreement/agreement.test.ts
@@ -6,7 +6,7 @@
 	call,
 	isServing,
 	now,
-	order,
+	requestMove,
 	readInstance,
 	startCallers,
 	startFleet,
@@ -36,7 +36,7 @@
 		['x3', 'quote'],
 		['x3', 'claims'],
 	] as const) {
-		t.ok(await order(fleet, instance, to));
+		t.ok(await requestMove(fleet, instance, to));
 		await waitUntil(async () => isServing(fleet, instance, to));
 		const executor = fleet.executors[Number(instance.slice(1))]!;
 		const runs = executor.countRuns();
@@ -57,10 +57,13 @@
 	last!.cut.isCut = true;
 	// The peer channel of the last entry stops as well.
 	await last!.daemon.agreement.peers.stop(now());
-	t.ok(await order(fleet, 'x1', 'claims'));
+	t.ok(await requestMove(fleet, 'x1', 'claims'));
 	const requirement = {revision: 2, instance: 'x1'};
 	const readLags = async () => {
-		const lags = await first!.daemon.agreement.member.readLagging(requirement);
+		const lags =
+			await first!.daemon.agreement.member.readPendingAcknowledgements(
+				requirement,
+			);
 		return lags.ok ? lags.value.map(({entry}) => entry) : ['unread'];
 	};
 
@@ -84,7 +87,8 @@
 			method: 'acknowledge',
 			params: {
 				entry: 'e3',
-				incarnation: member.getHeard().get('e3')?.incarnation ?? 'x',
+				incarnation:
+					member.getReceivedAcknowledgements().get('e3')?.incarnation ?? 'x',
 				sequence: 99_999,
 				inForce: 99,
 				holding: [],
@@ -108,7 +112,7 @@
 	}
 
 	await fleet.run(late);
-	t.equal(late.daemon.agreement.member.getStanding().mode, 'sponsored');
+	t.equal(late.daemon.agreement.member.getStatus().mode, 'sponsored');
 	t.notOk(late.daemon.agreement.member.mayControl());
 	t.same(await call(late.daemon, 'quote'), {status: 200, text: 'quote'});
 	for (const {daemon} of fleet.entries) {
@@ -120,7 +124,7 @@
 	}
 
 	await waitUntil(() => late.daemon.agreement.member.mayControl());
-	t.equal(late.daemon.agreement.member.getStanding().mode, 'registered');
+	t.equal(late.daemon.agreement.member.getStatus().mode, 'registered');
 });
 
 tap.t.test(
@@ -134,13 +138,13 @@
 
 		await fleet.run(late);
 		const {member} = late.daemon.agreement;
-		t.equal(member.getStanding().mode, 'sponsored');
+		t.equal(member.getStatus().mode, 'sponsored');
 		for (const id of ['e1', 'e2', 'e3', 'e4']) {
 			fleet.list.remove(id);
 		}
 
 		await wait(3 * shortTimes.membership.isolationMs);
-		t.equal(member.getStanding().mode, 'sponsored');
+		t.equal(member.getStatus().mode, 'sponsored');
 		// A process that stood still for the isolation time is isolated until its
 		// sponsor confirms it again; one without a sponsor is for good.
 		let answer: Awaited<ReturnType<typeof call>> | undefined;
@@ -174,7 +178,7 @@
 	last.cut.isCut = true;
 	fleet.list.remove('e3');
 	await last.daemon.agreement.peers.stop(now());
-	t.ok(await order(fleet, 'x1', 'claims'));
+	t.ok(await requestMove(fleet, 'x1', 'claims'));
 	await waitUntil(() => !last.daemon.agreement.member.mayRoute());
 	const {state} = await readInstance(fleet, 'x1');
 	t.equal(state, 'draining', 'it stops by itself before it is forgotten');
--- a/packages/daemon/src/agreement/agreement.ts
+++ b/packages/daemon/src/agreement/agreement.ts
@@ -10,7 +10,7 @@
 import {createForgetRunner} from '../membership/forget-runner.js';
 import {createInFlight, type InFlight} from '../membership/in-flight.js';
 import {createMember, type Member} from '../membership/member.js';
-import {listPeerAddresses} from '../membership/outage-start.js';
+import {listPeerAddresses} from '../membership/outage-confirmation.js';
 import {createMoveRunner, type MoveRunner} from '../moves/move-runner.js';
 import {createPeerChannel, type PeerChannel} from '../peers/peer-channel.js';
 import type {Settings} from '../settings/schema.js';
@@ -19,7 +19,7 @@
 import {createEnvironment} from '../view/environment.js';
 import {createSnapshotWriter, readSnapshot} from '../view/snapshot-store.js';
 import {createViewFollower, type ViewFollower} from '../view/view-follower.js';
-import {readImage} from '../view/view-image.js';
+import {restoreView} from '../view/view-image.js';
 import {createElapsedClock} from './elapsed-clock.js';
 import {createStartMarker} from './start-marker.js';
 
@@ -79,7 +79,7 @@
 
 /** The parts of agreement, in the order in which they start. */
 export type Agreement = {
-	readonly life: acknowledgement.EntryIncarnation;
+	readonly self: acknowledgement.EntryIncarnation;
 	readonly parts: readonly Part[];
 	readonly peers: PeerChannel;
 	readonly follower: ViewFollower;
@@ -132,7 +132,7 @@
 	life: {readonly entry: string; readonly incarnation: string},
 ) => {
 	const {list} = platform;
-	for (const address of await listPeerAddresses({list, life})) {
+	for (const address of await listPeerAddresses({list, self: life})) {
 		const answer = await peers.call(
 			address,
 			'readView',
@@ -140,7 +140,7 @@
 			times.callTimeoutMs,
 		);
 		if (answer.ok && answer.value.revision > 0) {
-			return readImage(answer.value);
+			return restoreView(answer.value);
 		}
 	}
 
@@ -155,7 +155,13 @@
 	const now = createElapsedClock(deps.now, wallNow);
 	const life = {entry: settings.entry.id, incarnation: randomUUID()};
 	const peers = settings.peers
-		? createPeerChannel({settings: settings.peers, life, now, wallNow, logger})
+		? createPeerChannel({
+				settings: settings.peers,
+				self: life,
+				now,
+				wallNow,
+				logger,
+			})
 		: createNoPeers();
 
 	const follower = createViewFollower(table, times.viewPollMs, {
@@ -170,7 +176,7 @@
 			},
 		],
 		onChange() {
-			member.followView();
+			member.acknowledgeView();
 		},
 	});
 	const {getView, getFollowed} = follower;
@@ -187,7 +193,7 @@
 		now,
 	});
 	const member = createMember({
-		life,
+		self: life,
 		availabilityZone: settings.entry.availabilityZone,
 		table,
 		list,
@@ -207,7 +213,7 @@
 		logger,
 	});
 	const leases = createLeaseRunner({
-		life,
+		self: life,
 		table,
 		mayControl: member.mayControl,
 		getMembers: member.getMembers,
@@ -218,12 +224,12 @@
 		logger,
 	});
 	const forgetRunner = createForgetRunner({
-		life,
+		self: life,
 		table,
 		list,
 		mayControl: member.mayControl,
 		getMembers: member.getMembers,
-		getSilentMs: leases.getSilentMs,
+		getUnresponsiveMs: leases.getUnresponsiveMs,
 		settings: times.membership,
 		leaseMs: times.leaseMs,
 		pollMs: times.shardPollMs,
@@ -238,7 +244,7 @@
 			const isShard = listShards(getView()).includes(shard);
 			return leases.getHeld(isShard ? shard : fleetShard);
 		},
-		getHeard: member.getHeard,
+		getReceivedAcknowledgements: member.getReceivedAcknowledgements,
 		getFollowed,
 		readOutageStart: marker.read,
 		announce: member.announce,
@@ -255,7 +261,7 @@
 		checkMs: snapshotCheckMs,
 	});
 	return {
-		life,
+		self: life,
 		parts: [
 			peers,
 			follower,
--- a/packages/daemon/src/agreement/fleet.test.fixture.ts
+++ b/packages/daemon/src/agreement/fleet.test.fixture.ts
@@ -312,7 +312,11 @@
 };
 
 /** Orders a move at the first entry. */
-export const order = async (fleet: Fleet, instance: string, to: string) => {
+export const requestMove = async (
+	fleet: Fleet,
+	instance: string,
+	to: string,
+) => {
 	const {follower, member} = fleet.entries[0]!.daemon.agreement;
 	const started = await startMove(
 		fleet.memory,
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -21,11 +21,11 @@
 	createSystemClock,
 	systemRandomness,
 } from './idempotency/system-clock.js';
-import {createKeyedCalls} from './idempotency/keyed-calls.js';
+import {createAtMostOnceCalls} from './idempotency/at-most-once-calls.js';
 import {
 	getGroupSettings,
-	getKeySettings,
-} from './idempotency/keyed-settings.js';
+	getDecisionSettings,
+} from './idempotency/idempotency-settings.js';
 import {createListener} from './http/listener.js';
 import type {JobDaemon} from './jobs/job-daemon.js';
 import type {Logger} from './log/logger.js';
@@ -156,12 +156,12 @@
 		getShare: entryShare.getShare,
 		getSlots: getSlotShare,
 	});
-	const keyed = createKeyedCalls({
+	const keyed = createAtMostOnceCalls({
 		tables: platform.table,
 		objects: platform.objects,
 		entry: settings.entry.id,
-		incarnation: agreement.life.incarnation,
-		settings: getKeySettings(settings.idempotency),
+		incarnation: agreement.self.incarnation,
+		settings: getDecisionSettings(settings.idempotency),
 		groupSettings: getGroupSettings(settings.idempotency),
 		maxAttempts: settings.idempotency.maxAttempts,
 		now,
@@ -205,7 +205,7 @@
 			async onCommitted(delta) {
 				member.announce(delta);
 			},
-			getHeard: member.getHeard,
+			getHeard: member.getReceivedAcknowledgements,
 			env: createEnvironment(),
 			...(deps.jobs ? {jobs: deps.jobs} : {}),
 			now,
@@ -223,7 +223,7 @@
 		},
 		poll,
 		getInFlight: inFlight.count,
-		getHeard: member.getHeard,
+		getHeard: member.getReceivedAcknowledgements,
 		readOutageStart: agreement.readOutageStart,
 		isHolder: () => leases.getHeld(fleetShard) !== undefined,
 		getGuards() {
--- a/packages/daemon/src/idempotency/keyed-calls.test.ts
+++ b/packages/daemon/src/idempotency/at-most-once-calls.test.ts
@@ -13,8 +13,8 @@
 import {createEmbeddedSettings} from '../embedded/embedded-settings.js';
 import {createLogger} from '../log/logger.js';
 import {defaultGroupSettings} from './group-writer.js';
-import {createKeyedCalls} from './keyed-calls.js';
-import {getKeySettings} from './keyed-settings.js';
+import {createAtMostOnceCalls} from './at-most-once-calls.js';
+import {getDecisionSettings} from './idempotency-settings.js';
 
 const now = () => performance.now();
 const largeBudget = 1_048_576;
@@ -179,12 +179,12 @@
 		const tables = platform.createMemoryTableService();
 		const objects = platform.createMemoryObjectStore();
 		const createEntry = (entry: string) =>
-			createKeyedCalls({
+			createAtMostOnceCalls({
 				tables,
 				objects,
 				entry,
 				incarnation: 'a',
-				settings: getKeySettings(embedded.idempotency),
+				settings: getDecisionSettings(embedded.idempotency),
 				groupSettings: {...defaultGroupSettings, windowMs: 0, spacingMs: 0},
 				maxAttempts: 10,
 				now,
--- a/packages/daemon/src/idempotency/keyed-calls.ts
+++ b/packages/daemon/src/idempotency/at-most-once-calls.ts
@@ -17,14 +17,17 @@
 import {headerNames} from '../caller/headers.js';
 import type {Part} from '../supervisor/supervisor.js';
 import type {GroupSettings} from './group-writer.js';
-import {createKeeper, type Keeper} from './keeper.js';
+import {
+	createRequestDeduplicator,
+	type RequestDeduplicator,
+} from './request-deduplicator.js';
 import {createSystemClock, systemRandomness} from './system-clock.js';
 
 type Reply = core.idempotency.Reply;
 type RunResult = core.idempotency.RunResult;
 
 /** What the layer is made of. */
-export type KeyedCallsDeps = {
+export type AtMostOnceCallsDeps = {
 	readonly tables: TableService;
 	readonly objects: ObjectStore;
 	readonly entry: string;
@@ -37,7 +40,7 @@
 };
 
 /** The layer, and the part that ends it. */
-export type KeyedCalls = {
+export type AtMostOnceCalls = {
 	readonly layer: CallLayer;
 	readonly part: Part;
 	/** Attempts that are open on this entry. */
@@ -93,7 +96,7 @@
 
 /** Runs one call under its key. */
 const runKeyed = async (
-	keeper: Keeper,
+	keeper: RequestDeduplicator,
 	call: Call,
 	key: string,
 	next: CallHandler,
@@ -135,7 +138,7 @@
 
 /** Ends when the keeper has, or at a deadline of `now`. */
 const stopKeeper = async (
-	keeper: Keeper,
+	keeper: RequestDeduplicator,
 	deadline: number,
 	now: () => number,
 ) => {
@@ -148,9 +151,11 @@
 };
 
 /** Makes the layer; calls that may be repeated pass it untouched. */
-export const createKeyedCalls = (deps: KeyedCallsDeps): KeyedCalls => {
+export const createAtMostOnceCalls = (
+	deps: AtMostOnceCallsDeps,
+): AtMostOnceCalls => {
 	const {now, ...rest} = deps;
-	const keeper = createKeeper({
+	const keeper = createRequestDeduplicator({
 		...rest,
 		clock: createSystemClock(now),
 		randomness: systemRandomness,
--- a/packages/daemon/src/idempotency/attempt-runner.ts
+++ b/packages/daemon/src/idempotency/attempt-runner.ts
@@ -2,7 +2,11 @@
 import * as core from '@gullstand/core';
 import type {Result} from '@gullstand/core';
 import type {ObjectStore, TableService} from '@gullstand/ports';
-import {type GroupWriter, readStored, tableName} from './group-writer.js';
+import {
+	type GroupWriter,
+	readStored,
+	idempotencyTable,
+} from './group-writer.js';
 import type {Clock} from './ports.js';
 
 type Attempt = core.idempotency.Attempt;
@@ -15,7 +19,7 @@
 export type Dispatch = (dispatchBy: number) => Promise<RunResult>;
 
 /** What attempts share. */
-export type RunnerPorts = {
+export type AttemptRunnerPorts = {
 	readonly tables: TableService;
 	readonly objects: ObjectStore;
 	readonly writer: GroupWriter;
@@ -23,8 +27,8 @@
 };
 
 /** One attempt to run. */
-export type RunnerOptions = {
-	readonly ports: RunnerPorts;
+export type AttemptRunnerOptions = {
+	readonly ports: AttemptRunnerPorts;
 	readonly rowKey: string;
 	readonly claim: core.idempotency.Claim;
 	readonly settings: core.idempotency.Settings;
@@ -35,9 +39,9 @@
 };
 
 /** A running attempt. */
-export type Runner = {
+export type AttemptRunner = {
 	/** Tells that no caller waits any more; true if it goes on to answer. */
-	readonly leave: () => boolean;
+	readonly reportCallerGone: () => boolean;
 };
 
 type State = {
@@ -74,7 +78,7 @@
 };
 
 /** Starts an attempt; its reply and end are told once each. */
-export const runAttempt = (options: RunnerOptions): Runner => {
+export const runAttempt = (options: AttemptRunnerOptions): AttemptRunner => {
 	const {ports, rowKey, claim, settings, dispatch, onReply, onEnd} = options;
 	const {tables, objects, writer, clock} = ports;
 	const state: State = {
@@ -84,7 +88,9 @@
 	};
 
 	const read = async () => {
-		const result = await settleCall(async () => tables.get(tableName, rowKey));
+		const result = await settleCall(async () =>
+			tables.get(idempotencyTable, rowKey),
+		);
 		update({
 			kind: 'read',
 			result: result.ok
@@ -198,7 +204,7 @@
 
 	take(core.idempotency.createAttempt(claim, settings, clock.getTime()));
 	return {
-		leave() {
+		reportCallerGone() {
 			update({kind: 'caller-gone'});
 			return state.attempt?.isAnswered === false;
 		},
--- a/packages/daemon/src/idempotency/group-writer.ts
+++ b/packages/daemon/src/idempotency/group-writer.ts
@@ -18,7 +18,7 @@
 type WriteResult = core.idempotency.WriteResult;
 
 /** Table of the rows. */
-export const tableName = 'idempotency';
+export const idempotencyTable = 'idempotency';
 
 /** How writes are grouped. */
 export type GroupSettings = core.idempotency.GroupLimits & {
@@ -113,7 +113,7 @@
 		state.commitCount++;
 		const writes = entries.map(({key, row, when}) => ({
 			kind: 'put' as const,
-			table: tableName,
+			table: idempotencyTable,
 			key,
 			value: row satisfies JsonValue,
 			when,
--- a/packages/daemon/src/idempotency/keyed-settings.ts
+++ b/packages/daemon/src/idempotency/idempotency-settings.ts
@@ -3,7 +3,7 @@
 import {type GroupSettings, defaultGroupSettings} from './group-writer.js';
 
 /** The section `[idempotency]` of an entry's settings. */
-export type KeyedSettings = Pick<
+export type IdempotencySettings = Pick<
 	core.idempotency.Settings,
 	| 'retentionMs'
 	| 'storeWithinMs'
@@ -17,19 +17,19 @@
 };
 
 /** Settings of the decisions, with what operators do not set. */
-export const getKeySettings = (
-	cfg: KeyedSettings,
+export const getDecisionSettings = (
+	cfg: IdempotencySettings,
 ): core.idempotency.Settings => {
 	const {commitSpacingMs, maxAttempts, ...rest} = cfg;
 	return {...core.idempotency.defaultSettings, ...rest};
 };
 
 /** Settings of the group writer. */
-export const getGroupSettings = (cfg: KeyedSettings): GroupSettings => ({
+export const getGroupSettings = (cfg: IdempotencySettings): GroupSettings => ({
 	...defaultGroupSettings,
 	spacingMs: cfg.commitSpacingMs,
 });
 
 /** Shortest retention that is safe with the other settings. */
-export const getShortestRetentionMs = (cfg: KeyedSettings): number =>
-	core.idempotency.getShortestRetentionMs(getKeySettings(cfg));
+export const getShortestRetentionMs = (cfg: IdempotencySettings): number =>
+	core.idempotency.getShortestRetentionMs(getDecisionSettings(cfg));
--- a/packages/daemon/src/idempotency/keeper.test.ts
+++ b/packages/daemon/src/idempotency/request-deduplicator.test.ts
@@ -5,7 +5,10 @@
 import * as tap from 'tap';
 import {createCancellation} from '../caller/cancellation.js';
 import {defaultGroupSettings} from './group-writer.js';
-import {type KeyedRequest, createKeeper} from './keeper.js';
+import {
+	type AtMostOnceRequest,
+	createRequestDeduplicator,
+} from './request-deduplicator.js';
 
 type RunResult = core.idempotency.RunResult;
 type Reply = core.idempotency.Reply;
@@ -31,7 +34,7 @@
 	});
 	let ids = 0;
 	const createEntry = (entry: string, incarnation = 'a') =>
-		createKeeper({
+		createRequestDeduplicator({
 			tables: platform.faults.wrapTableService(tables, control),
 			objects,
 			clock: {
@@ -51,8 +54,8 @@
 	let runs = 0;
 	const createRequest = (
 		result: RunResult,
-		changes: Partial<KeyedRequest> = {},
-	): KeyedRequest => ({
+		changes: Partial<AtMostOnceRequest> = {},
+	): AtMostOnceRequest => ({
 		customer: 'broker',
 		key: 'k',
 		service: 'claims',
--- a/packages/daemon/src/idempotency/keeper.ts
+++ b/packages/daemon/src/idempotency/request-deduplicator.ts
@@ -9,8 +9,8 @@
 import type {Cancellation} from '../caller/cancellation.js';
 import {
 	type Dispatch,
-	type Runner,
-	type RunnerPorts,
+	type AttemptRunner,
+	type AttemptRunnerPorts,
 	runAttempt,
 } from './attempt-runner.js';
 import {createDeferred} from './deferred.js';
@@ -20,7 +20,7 @@
 type Reply = core.idempotency.Reply;
 
 /** What a keeper is made of. */
-export type KeeperOptions = {
+export type RequestDeduplicatorOptions = {
 	readonly tables: TableService;
 	readonly objects: ObjectStore;
 	readonly clock: Clock;
@@ -34,7 +34,7 @@
 };
 
 /** One request that may run at most once. */
-export type KeyedRequest = core.idempotency.FingerprintParts & {
+export type AtMostOnceRequest = core.idempotency.FingerprintParts & {
 	readonly customer: string;
 	/** As checked by `core.idempotency.parseKey`. */
 	readonly key: string;
@@ -46,8 +46,8 @@
 };
 
 /** At-most-once requests of one entry. */
-export type Keeper = {
-	readonly handle: (req: KeyedRequest) => Promise<Reply>;
+export type RequestDeduplicator = {
+	readonly handle: (req: AtMostOnceRequest) => Promise<Reply>;
 	/** Takes no new requests; ends when all attempts have ended. */
 	readonly stop: () => Promise<void>;
 	readonly getOpenCount: () => number;
@@ -57,11 +57,11 @@
 /** An attempt that requests on this entry share. */
 type Shared = {
 	readonly reply: Promise<Reply>;
-	runner: Runner | undefined;
+	runner: AttemptRunner | undefined;
 	waiters: number;
 };
 
-const hashFingerprint = (req: KeyedRequest): string =>
+const hashFingerprint = (req: AtMostOnceRequest): string =>
 	createHash('sha256')
 		.update(core.idempotency.formatFingerprint(req))
 		.digest('base64url');
@@ -76,7 +76,9 @@
 	reply.kind === 'error' && reply.error === 'still-running';
 
 /** Makes the keeper of one entry. */
-export const createKeeper = (options: KeeperOptions): Keeper => {
+export const createRequestDeduplicator = (
+	options: RequestDeduplicatorOptions,
+): RequestDeduplicator => {
 	const {clock, randomness, settings, entry, incarnation} = options;
 	const {tables, objects, groupSettings} = options;
 	const writer = createGroupWriter({
@@ -85,7 +87,7 @@
 		randomness,
 		settings: groupSettings,
 	});
-	const ports: RunnerPorts = {tables, objects, writer, clock};
+	const ports: AttemptRunnerPorts = {tables, objects, writer, clock};
 	const shared = new Map<string, Shared>();
 	const stops: Array<() => void> = [];
 	let openCount = 0;
@@ -106,7 +108,7 @@
 		}
 	};
 
-	const start = (req: KeyedRequest, name: string, fingerprint: string) => {
+	const start = (req: AtMostOnceRequest, name: string, fingerprint: string) => {
 		const deferred = createDeferred<Reply>();
 		const attempt: Shared = {
 			reply: deferred.promise,
@@ -149,7 +151,7 @@
 	const join = async (
 		attempt: Shared,
 		name: string,
-		req: KeyedRequest,
+		req: AtMostOnceRequest,
 		isOwn: boolean,
 	): Promise<Reply> => {
 		const {promise, resolve} = createDeferred<Reply>();
@@ -168,14 +170,14 @@
 		attempt.waiters--;
 		const isGone = req.cancellation?.isCancelled() ?? false;
 		const isLeft = isGone && attempt.waiters === 0;
-		if (isLeft && attempt.runner?.leave() === false) {
+		if (isLeft && attempt.runner?.reportCallerGone() === false) {
 			drop(name, attempt);
 		}
 
 		return reply;
 	};
 
-	const handle = async (req: KeyedRequest): Promise<Reply> => {
+	const handle = async (req: AtMostOnceRequest): Promise<Reply> => {
 		const fingerprint = hashFingerprint(req);
 		const rowKey = core.idempotency.formatRowKey(req.customer, req.key);
 		const name = `${rowKey} ${fingerprint}`;
--- a/packages/daemon/src/idempotency/sweeper.test.ts
+++ b/packages/daemon/src/idempotency/sweeper.test.ts
@@ -2,7 +2,7 @@
 import * as platform from '@gullstand/ports';
 import * as standIn from '@gullstand/stand-in';
 import * as tap from 'tap';
-import {tableName} from './group-writer.js';
+import {idempotencyTable} from './group-writer.js';
 import {createSweeper} from './sweeper.js';
 
 const {clockSkewMs} = core.idempotency.defaultSettings;
@@ -68,7 +68,7 @@
 	const objects = platform.createMemoryObjectStore();
 	const put = async (key: string, value: platform.JsonValue) =>
 		tables.commit(
-			[{kind: 'put', table: tableName, key, value, when: {kind: 'any'}}],
+			[{kind: 'put', table: idempotencyTable, key, value, when: {kind: 'any'}}],
 			'op',
 		);
 	const create = (reached: platform.TableService = tables) =>
@@ -88,7 +88,7 @@
 		});
 	const listKeys = async () => {
 		const result = await tables.range({
-			table: tableName,
+			table: idempotencyTable,
 			prefix: '',
 			limit: 1000,
 		});
--- a/packages/daemon/src/idempotency/sweeper.ts
+++ b/packages/daemon/src/idempotency/sweeper.ts
@@ -5,7 +5,7 @@
 import * as core from '@gullstand/core';
 import type {ObjectStore, Row, TableService} from '@gullstand/ports';
 import type {Part} from '../supervisor/supervisor.js';
-import {readStored, tableName} from './group-writer.js';
+import {readStored, idempotencyTable} from './group-writer.js';
 import type {Clock, Randomness} from './ports.js';
 
 type ExpiredRow = core.idempotency.ExpiredRow;
@@ -51,7 +51,7 @@
 
 		const writes = rows.map(({key, version}) => ({
 			kind: 'delete' as const,
-			table: tableName,
+			table: idempotencyTable,
 			key,
 			when: {kind: 'version' as const, version},
 		}));
@@ -88,7 +88,7 @@
 	const sweepPage = async (): Promise<number> => {
 		const {pageRows: limit} = settings;
 		const result = await tables.range({
-			table: tableName,
+			table: idempotencyTable,
 			prefix: '',
 			limit,
 			...(after !== undefined && {after}),
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -460,7 +460,7 @@
 
 		const channel = createPeerChannel({
 			settings: {...settings.peers, keyHex},
-			life: self,
+			self,
 			now,
 			wallNow: clock.epochNow,
 			logger,
--- a/packages/daemon/src/limits/credit-channel.ts
+++ b/packages/daemon/src/limits/credit-channel.ts
@@ -37,7 +37,7 @@
 };
 
 /** Name of one life of an entry; another life has another name. */
-export const getMember = (entry: string, incarnation: string): string =>
+export const formatMember = (entry: string, incarnation: string): string =>
 	`${entry}/${incarnation}`;
 
 const count = z.int().min(0);
@@ -110,7 +110,7 @@
 		peers.addMethod('credits', creditsSchema, (params, from) => ({
 			messages: handler(
 				{
-					member: getMember(from.entry, from.incarnation),
+					member: formatMember(from.entry, from.incarnation),
 					address: params.address,
 				},
 				params.messages,
--- a/packages/daemon/src/limits/credit-limits.test.ts
+++ b/packages/daemon/src/limits/credit-limits.test.ts
@@ -12,7 +12,7 @@
 import {
 	type CreditPeer,
 	createCreditChannel,
-	getMember,
+	formatMember,
 } from './credit-channel.js';
 import {createCreditLimits} from './credit-limits.js';
 
@@ -104,10 +104,10 @@
 	{peers, link}: {peers: CreditPeer[]; link: Link},
 ) => {
 	const life = {entry, incarnation: '1'};
-	const self = getMember(entry, '1');
+	const self = formatMember(entry, '1');
 	const channel = createPeerChannel({
 		settings: {address: '127.0.0.1', port: 0, keyHex: 'ab'.repeat(32)},
-		life,
+		self: life,
 		now,
 		wallNow: () => Date.now(),
 		logger: {warn: () => undefined as never},
@@ -124,7 +124,7 @@
 		},
 		now,
 		settings,
-		silentAfterMs: core.silence.defaultSilentAfterMs,
+		unresponsiveAfterMs: core.silence.defaultSilentAfterMs,
 		listPeers: () => peers.filter((each) => each.member !== self),
 		getSlots: () => new Map([['quotes', new Map([['x', slots]])]]),
 		mayRoute: () => true,
--- a/packages/daemon/src/limits/credit-limits.ts
+++ b/packages/daemon/src/limits/credit-limits.ts
@@ -26,7 +26,7 @@
 	readonly now: () => number;
 	readonly settings: core.CreditSettings;
 	/** Silence of a peer after which another home is turned to. */
-	readonly silentAfterMs: number;
+	readonly unresponsiveAfterMs: number;
 	/**
 	 * The listed entries without this one; undefined until they are known.
 	 * Until then this entry uses its static share.
@@ -58,7 +58,7 @@
 		executor: string,
 	) => number;
 	/** This entry stops: others follow another home. */
-	readonly leave: () => void;
+	readonly announceLeaving: () => void;
 	readonly getGate: (pool: string) => gates.PoolGate;
 };
 
@@ -67,7 +67,7 @@
 
 /** Creates the limits; nothing is sent before the start. */
 export const createCreditLimits = (deps: CreditLimitsDeps): CreditLimits => {
-	const {self, channel, now, settings, silentAfterMs} = deps;
+	const {self, channel, now, settings, unresponsiveAfterMs} = deps;
 	const all = new Map<string, gates.PoolGate>();
 	const heardAt: core.silence.HeardAt = new Map();
 	const heard = new Set<string>();
@@ -158,7 +158,7 @@
 			heardAt,
 			names,
 			now(),
-			silentAfterMs,
+			unresponsiveAfterMs,
 		);
 		const slots = deps.getSlots();
 		const listed = [self, ...names].toSorted();
@@ -238,9 +238,9 @@
 				resolve(result);
 			};
 
-			held.remove = gate.enter({
+			held.remove = gate.enqueue({
 				deadline: call.deadline,
-				pass() {
+				admit() {
 					hasPassed = true;
 					const cutAt = now() + settings.longestAttemptMs;
 					const deadline = Math.min(call.deadline, cutAt);
@@ -325,7 +325,7 @@
 				core.creditBorrower.getHeld(borrower, executor),
 			);
 		},
-		leave() {
+		announceLeaving() {
 			isLeaving = true;
 			leaving.add(self);
 			tick();
--- a/packages/daemon/src/limits/fleet-limits.ts
+++ b/packages/daemon/src/limits/fleet-limits.ts
@@ -2,12 +2,12 @@
 import * as core from '@gullstand/core';
 import type {Agreement} from '../agreement/agreement.js';
 import {listServing} from '../view/list-serving.js';
-import {createCreditChannel, getMember} from './credit-channel.js';
+import {createCreditChannel, formatMember} from './credit-channel.js';
 import {createCreditLimits, type CreditLimits} from './credit-limits.js';
 
 /** What the limits need of a daemon. */
 export type FleetLimitsDeps = {
-	readonly agreement: Pick<Agreement, 'life' | 'peers' | 'member' | 'follower'>;
+	readonly agreement: Pick<Agreement, 'self' | 'peers' | 'member' | 'follower'>;
 	readonly now: () => number;
 	/** No request runs longer; the same on every entry. */
 	readonly longestRequestMs: number;
@@ -58,11 +58,11 @@
 
 /** Builds the limits; nothing is sent before the start. */
 export const createFleetLimits = (deps: FleetLimitsDeps): CreditLimits => {
-	const {life, peers, member, follower} = deps.agreement;
+	const {self, peers, member, follower} = deps.agreement;
 	let revision = -1;
 	let slots: ReturnType<typeof listSlots> = new Map();
 	return createCreditLimits({
-		self: getMember(life.entry, life.incarnation),
+		self: formatMember(self.entry, self.incarnation),
 		channel: createCreditChannel(peers),
 		now: deps.now,
 		settings: {
@@ -71,17 +71,17 @@
 			leaseMs,
 			longestAttemptMs: deps.longestRequestMs,
 		},
-		silentAfterMs,
+		unresponsiveAfterMs: silentAfterMs,
 		mayRoute: member.mayRoute,
 		random: Math.random,
 		listPeers() {
 			const {registrations} = member.getMembers();
-			const own = registrations.get(life.entry)?.value.acknowledged;
-			return own?.incarnation === life.incarnation
+			const own = registrations.get(self.entry)?.value.acknowledged;
+			return own?.incarnation === self.incarnation
 				? [...registrations]
-						.filter(([entry]) => entry !== life.entry)
+						.filter(([entry]) => entry !== self.entry)
 						.map(([entry, {value}]) => ({
-							member: getMember(entry, value.acknowledged.incarnation),
+							member: formatMember(entry, value.acknowledged.incarnation),
 							address: value.address,
 						}))
 				: undefined;
--- a/packages/daemon/src/limits/pool-gate.ts
+++ b/packages/daemon/src/limits/pool-gate.ts
@@ -9,7 +9,7 @@
 /** A call that waits; `pass` must take its slot before it returns. */
 export type Waiter = {
 	readonly deadline: number;
-	readonly pass: () => void;
+	readonly admit: () => void;
 };
 
 /** What a gate needs. */
@@ -28,7 +28,7 @@
 export type PoolGate = {
 	readonly takeSlot: TakeSlot;
 	/** Lets the call pass now or later; returns its removal from the queue. */
-	readonly enter: (waiter: Waiter) => () => void;
+	readonly enqueue: (waiter: Waiter) => () => void;
 	readonly update: (members: PoolMembers) => void;
 	readonly receive: (message: CreditMessage) => void;
 	/** Called once a heartbeat; what is to be sent is returned. */
@@ -79,7 +79,7 @@
 		while (waiting[0] && hasUsable()) {
 			const waiter = waiting.shift()!;
 			turnDeadline = waiter.deadline;
-			waiter.pass();
+			waiter.admit();
 			turnDeadline = undefined;
 		}
 	};
@@ -169,7 +169,7 @@
 			);
 			return executor === undefined ? undefined : createSlot(executor);
 		},
-		enter(waiter) {
+		enqueue(waiter) {
 			const found = waiting.findIndex(
 				({deadline}) => deadline > waiter.deadline,
 			);
--- a/packages/daemon/src/membership/acknowledge.ts
+++ b/packages/daemon/src/membership/acknowledge.ts
@@ -41,7 +41,7 @@
 	const upMs = deps.now() - state.startedAt;
 	state.sequence += 1;
 	const ack = core.acknowledgement.createAcknowledgement(
-		deps.life,
+		deps.self,
 		state.sequence,
 		{
 			view,
@@ -64,7 +64,7 @@
 	state: MemberState,
 ): readonly string[] =>
 	state.pendingQuorum ?? [
-		...new Set([deps.life.entry, ...state.members.registrations.keys()]),
+		...new Set([deps.self.entry, ...state.members.registrations.keys()]),
 	];
 
 /** Makes the row of this entry. */
--- a/packages/daemon/src/membership/forget-runner.ts
+++ b/packages/daemon/src/membership/forget-runner.ts
@@ -21,13 +21,13 @@
 
 /** What the runner needs. */
 export type ForgetRunnerDeps = {
-	readonly life: acknowledgement.EntryIncarnation;
+	readonly self: acknowledgement.EntryIncarnation;
 	readonly table: TableService;
 	readonly list: InstanceList;
 	readonly mayControl: () => boolean;
 	readonly getMembers: () => MembershipRows;
 	/** How long the heartbeat of a watched neighbour has stayed away. */
-	readonly getSilentMs: (entry: string) => number;
+	readonly getUnresponsiveMs: (entry: string) => number;
 	readonly settings: membershipStatus.MembershipSettings;
 	readonly leaseMs: number;
 	readonly pollMs: number;
@@ -46,8 +46,8 @@
 const listSilent = (deps: ForgetRunnerDeps): readonly string[] => {
 	const entries = [...deps.getMembers().registrations.keys()];
 	return core.monitoredPeers
-		.listMonitoredPeers(deps.life.entry, entries)
-		.filter((entry) => deps.getSilentMs(entry) >= deps.leaseMs);
+		.listMonitoredPeers(deps.self.entry, entries)
+		.filter((entry) => deps.getUnresponsiveMs(entry) >= deps.leaseMs);
 };
 
 const observeList = async (
@@ -102,7 +102,7 @@
 			quorum: silent.value.quorum.length,
 		},
 		deps.settings,
-		deps.life.entry,
+		deps.self.entry,
 	);
 	if (result.ok) {
 		await deps.table.commit(toWrites(result.value), randomUUID());
--- a/packages/daemon/src/membership/peer-members.ts
+++ b/packages/daemon/src/membership/member-methods.ts
@@ -19,19 +19,16 @@
 }) as unknown as z.ZodType<viewChange.ViewDelta>;
 
 const getConfirmedAgeMs = (deps: MemberDeps, state: MemberState): number =>
-	Math.min(
-		deps.now() - state.standing.confirmedAt,
-		deps.settings.forgetAfterMs,
-	);
+	Math.min(deps.now() - state.status.confirmedAt, deps.settings.forgetAfterMs);
 
 /** Keeps the newest acknowledgement of the newest life that spoke. */
-export const hear = (
+export const recordAcknowledgement = (
 	state: MemberState,
 	ack: acknowledgement.Acknowledgement,
 ): void => {
-	const known = state.heard.get(ack.entry);
+	const known = state.received.get(ack.entry);
 	const isKnownLife = known?.incarnation === ack.incarnation;
-	state.heard.set(
+	state.received.set(
 		ack.entry,
 		isKnownLife
 			? core.acknowledgement.chooseNewerAcknowledgement(known, ack)
@@ -45,7 +42,7 @@
 	ack: acknowledgement.Acknowledgement,
 ): boolean => {
 	const mayControl = core.membershipStatus.mayControl(
-		state.standing,
+		state.status,
 		deps.settings,
 		deps.now(),
 	);
@@ -72,7 +69,7 @@
 	peers.addMethod('ping', z.object({entry: z.string()}), (_params, from) => {
 		state.confirmedPeers.set(from.entry, deps.now());
 		return {
-			incarnation: deps.life.incarnation,
+			incarnation: deps.self.incarnation,
 			revision: deps.getFollowed().view.revision,
 			confirmedAgeMs: getConfirmedAgeMs(deps, state),
 		};
@@ -93,7 +90,7 @@
 	);
 	peers.addMethod('acknowledge', acknowledgementSchema, (ack, from) => {
 		if (core.acknowledgement.isSameIncarnation(ack, from)) {
-			hear(state, ack);
+			recordAcknowledgement(state, ack);
 		}
 
 		return {};
@@ -133,7 +130,7 @@
 	state: MemberState,
 ): void => {
 	const ack = createAcknowledgement(deps, state);
-	hear(state, ack);
+	recordAcknowledgement(state, ack);
 	const text = JSON.stringify([ack.inForce, ack.holding]);
 	if (!state.isRegistered || text === state.lastSent) {
 		return;
--- a/packages/daemon/src/membership/member-state.ts
+++ b/packages/daemon/src/membership/member-state.ts
@@ -13,7 +13,7 @@
 
 /** What membership needs from the rest of a daemon. */
 export type MemberDeps = {
-	readonly life: acknowledgement.EntryIncarnation;
+	readonly self: acknowledgement.EntryIncarnation;
 	readonly availabilityZone: string;
 	readonly table: TableService;
 	readonly list: InstanceList;
@@ -47,7 +47,7 @@
 /** State of one life; changed in place by the parts of this folder. */
 export type MemberState = {
 	readonly startedAt: number;
-	standing: membershipStatus.MembershipStatus;
+	status: membershipStatus.MembershipStatus;
 	isRegistered: boolean;
 	/** The quorum that the own committed row names. */
 	quorum: readonly string[];
@@ -63,7 +63,7 @@
 	/** Newest acknowledgement that others may have seen. */
 	highestInForce: number;
 	/** Acknowledgements heard from peers, by entry. */
-	readonly heard: Map<string, acknowledgement.Acknowledgement>;
+	readonly received: Map<string, acknowledgement.Acknowledgement>;
 	/** Entries that this one speaks for, and when they last asked. */
 	readonly sponsored: Map<
 		string,
@@ -89,7 +89,7 @@
 /** Creates the state of a new life. */
 export const createMemberState = (now: number): MemberState => ({
 	startedAt: now,
-	standing: {mode: 'registered', confirmedAt: Number.NEGATIVE_INFINITY},
+	status: {mode: 'registered', confirmedAt: Number.NEGATIVE_INFINITY},
 	isRegistered: false,
 	quorum: [],
 	pendingQuorum: undefined,
@@ -98,7 +98,7 @@
 	sequence: 0,
 	hasReplaced: false,
 	highestInForce: 0,
-	heard: new Map(),
+	received: new Map(),
 	sponsored: new Map(),
 	sponsorAddress: undefined,
 	awaitedBy: new Map(),
--- a/packages/daemon/src/membership/member.ts
+++ b/packages/daemon/src/membership/member.ts
@@ -27,9 +27,9 @@
 import {
 	confirmByList,
 	confirmByMajority,
-	standWithoutTable,
-} from './outage-start.js';
-import {addMemberMethods, sendAcknowledgement} from './peer-members.js';
+	continueWithoutTable,
+} from './outage-confirmation.js';
+import {addMemberMethods, sendAcknowledgement} from './member-methods.js';
 import {deregister, register, renew} from './register.js';
 
 /** Membership of this entry. */
@@ -40,15 +40,15 @@
 	readonly mayControl: () => boolean;
 	/** The registered entries, read anew when one has joined or left. */
 	readonly getMembers: () => MembershipRows;
-	readonly getStanding: () => membershipStatus.MembershipStatus;
+	readonly getStatus: () => membershipStatus.MembershipStatus;
 	/** Acknowledgements that peers have sent here. */
-	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
+	readonly getReceivedAcknowledgements: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	/** Puts a new view in force and acknowledges it. */
-	readonly followView: () => void;
+	readonly acknowledgeView: () => void;
 	/** Hands a committed change to every peer and asks to be told. */
 	readonly announce: (delta: viewChange.ViewDelta) => void;
 	/** The registered entries that have not met a requirement yet. */
-	readonly readLagging: (
+	readonly readPendingAcknowledgements: (
 		requirement: pendingAcknowledgements.Requirement,
 	) => Promise<
 		Result<
@@ -68,7 +68,7 @@
 const registerOrStand = async (deps: MemberDeps, state: MemberState) => {
 	const outcome = await register(deps, state);
 	if (outcome === 'unavailable') {
-		await standWithoutTable(deps, state);
+		await continueWithoutTable(deps, state);
 	}
 };
 
@@ -79,7 +79,7 @@
 	}
 
 	await renew(deps, state);
-	const ageMs = deps.now() - state.standing.confirmedAt;
+	const ageMs = deps.now() - state.status.confirmedAt;
 	if (ageMs > deps.settings.isolationMs / 2) {
 		await confirmByMajority(deps, state);
 	}
@@ -146,7 +146,7 @@
 	deps.offerDeltas([delta]);
 	const awaitedBy = deps.peers.getAddress();
 	for (const [entry, {value}] of state.members.registrations) {
-		if (entry !== deps.life.entry) {
+		if (entry !== deps.self.entry) {
 			void offer(deps, value.address, {delta, awaitedBy});
 		}
 	}
@@ -164,7 +164,7 @@
 		? core.succeed(
 				core.pendingAcknowledgements.listPendingAcknowledgements(
 					[...rows.value.registrations.values()].map(({value}) => value),
-					state.heard,
+					state.received,
 					requirement,
 				),
 			)
@@ -180,7 +180,7 @@
 
 	addMemberMethods(deps, state, acknowledge);
 	const mayRoute = () =>
-		core.membershipStatus.mayRoute(state.standing, deps.settings, deps.now());
+		core.membershipStatus.mayRoute(state.status, deps.settings, deps.now());
 
 	const tickers = [
 		createTicker(async () => beat(deps, state), deps.heartbeatMs, Math.random),
@@ -223,18 +223,15 @@
 		mayRoute,
 		mayControl: () =>
 			state.isRegistered &&
-			core.membershipStatus.mayControl(
-				state.standing,
-				deps.settings,
-				deps.now(),
-			),
+			core.membershipStatus.mayControl(state.status, deps.settings, deps.now()),
 		getMembers: () => state.members,
-		getStanding: () => state.standing,
-		getHeard: () => state.heard,
-		followView: acknowledge,
+		getStatus: () => state.status,
+		getReceivedAcknowledgements: () => state.received,
+		acknowledgeView: acknowledge,
 		announce(delta) {
 			announce(deps, state, delta);
 		},
-		readLagging: async (requirement) => readLagging(deps, state, requirement),
+		readPendingAcknowledgements: async (requirement) =>
+			readLagging(deps, state, requirement),
 	};
 };
--- a/packages/daemon/src/membership/outage-start.ts
+++ b/packages/daemon/src/membership/outage-confirmation.ts
@@ -3,16 +3,16 @@
 import type {membershipStatus} from '@gullstand/core';
 import {createAcknowledgement} from './acknowledge.js';
 import type {MemberDeps, MemberState} from './member-state.js';
-import {confirm} from './register.js';
+import {recordConfirmation} from './register.js';
 
 /** Addresses of other entries, from the platform's list. */
 export const listPeerAddresses = async (
-	deps: Pick<MemberDeps, 'list' | 'life'>,
+	deps: Pick<MemberDeps, 'list' | 'self'>,
 ): Promise<readonly string[]> => {
 	const listed = await deps.list.list();
 	return listed.ok
 		? listed.value
-				.filter(({role, id}) => role === 'entry' && id !== deps.life.entry)
+				.filter(({role, id}) => role === 'entry' && id !== deps.self.entry)
 				.map(({address}) => address)
 		: [];
 };
@@ -22,8 +22,8 @@
 	mode: membershipStatus.EntryMode,
 	askedAt: number,
 ) => {
-	if (state.standing.mode !== mode) {
-		state.standing = core.membershipStatus.changeMode(mode, askedAt);
+	if (state.status.mode !== mode) {
+		state.status = core.membershipStatus.changeMode(mode, askedAt);
 	}
 };
 
@@ -47,7 +47,7 @@
 	const confirmedAt = askedAt - answer.value.confirmedAgeMs;
 	setMode(state, 'sponsored', confirmedAt);
 	state.sponsorAddress = address;
-	confirm(deps, state, 'sponsor', confirmedAt);
+	recordConfirmation(deps, state, 'sponsor', confirmedAt);
 	return true;
 };
 
@@ -67,7 +67,7 @@
  * Looks for a sponsor among the listed peers; with none in reach, stands on
  * the snapshot. Does nothing until there is a view.
  */
-export const standWithoutTable = async (
+export const continueWithoutTable = async (
 	deps: MemberDeps,
 	state: MemberState,
 ): Promise<void> => {
@@ -84,7 +84,7 @@
 	const askedAt = deps.now();
 	if (await deps.confirmSnapshot()) {
 		setMode(state, 'snapshot', askedAt);
-		confirm(deps, state, 'snapshot', askedAt);
+		recordConfirmation(deps, state, 'snapshot', askedAt);
 	}
 };
 
@@ -102,11 +102,11 @@
 		return;
 	}
 
-	const shown = listed.value.find(({id}) => id === deps.life.entry);
+	const shown = listed.value.find(({id}) => id === deps.self.entry);
 	if (askedAt - state.renewedAt < deps.settings.isolationMs / 2) {
 		state.listedIncarnation = shown?.incarnation;
 	} else if (shown && shown.incarnation === state.listedIncarnation) {
-		confirm(deps, state, 'list', askedAt);
+		recordConfirmation(deps, state, 'list', askedAt);
 	}
 };
 
@@ -121,15 +121,15 @@
 	const askedAt = deps.now();
 	const {registrations} = state.members;
 	const others = [...registrations].filter(
-		([entry]) => entry !== deps.life.entry,
+		([entry]) => entry !== deps.self.entry,
 	);
-	const heard = new Set([deps.life.entry]);
+	const heard = new Set([deps.self.entry]);
 	await Promise.all(
 		others.map(async ([entry, {value}]) => {
 			const answer = await deps.peers.call(
 				value.address,
 				'ping',
-				{entry: deps.life.entry},
+				{entry: deps.self.entry},
 				deps.callTimeoutMs,
 			);
 			if (answer.ok) {
@@ -141,6 +141,6 @@
 	const isMajority = (quorum: readonly string[]) =>
 		quorum.filter((entry) => heard.has(entry)).length * 2 > quorum.length;
 	if (quorums.every((quorum) => isMajority(quorum))) {
-		confirm(deps, state, 'majority', askedAt);
+		recordConfirmation(deps, state, 'majority', askedAt);
 	}
 };
--- a/packages/daemon/src/membership/register.test.ts
+++ b/packages/daemon/src/membership/register.test.ts
@@ -50,7 +50,7 @@
 	const clock = {now: 1000};
 	const held = {count: 0};
 	const deps: MemberDeps = {
-		life: {entry: 'e1', incarnation},
+		self: {entry: 'e1', incarnation},
 		availabilityZone: 'z',
 		table: withFaults(memory, faults),
 		list: createMemoryInstanceList(),
@@ -100,18 +100,18 @@
 tap.t.test('only a heartbeat that was made confirms', async (t) => {
 	const {faults, clock, deps, state} = await createFixture();
 	await register(deps, state);
-	t.equal(state.standing.confirmedAt, 1000);
+	t.equal(state.status.confirmedAt, 1000);
 	clock.now = 2000;
 	faults.lost = 'no-effect';
 	await renew(deps, state);
-	t.equal(state.standing.confirmedAt, 1000, 'the row proves nothing new');
+	t.equal(state.status.confirmedAt, 1000, 'the row proves nothing new');
 	faults.lost = 'effect';
 	clock.now = 3000;
 	await renew(deps, state);
-	t.equal(state.standing.confirmedAt, 3000, 'read back by its operation id');
+	t.equal(state.status.confirmedAt, 3000, 'read back by its operation id');
 	clock.now = 4000;
 	await renew(deps, state);
-	t.equal(state.standing.confirmedAt, 4000);
+	t.equal(state.status.confirmedAt, 4000);
 	t.equal(state.pendingWrites.size, 0);
 });
 
@@ -125,7 +125,7 @@
 	await renew(deps, state);
 	t.notOk(state.isRegistered);
 	t.notOk(
-		core.membershipStatus.mayRoute(state.standing, deps.settings, deps.now()),
+		core.membershipStatus.mayRoute(state.status, deps.settings, deps.now()),
 	);
 	t.equal(await register(deps, state), 'registered');
 });
--- a/packages/daemon/src/membership/register.ts
+++ b/packages/daemon/src/membership/register.ts
@@ -11,14 +11,14 @@
 export type RegisterOutcome = 'registered' | 'moved-on' | 'unavailable';
 
 /** Takes in a confirmation that was asked for at a time. */
-export const confirm = (
+export const recordConfirmation = (
 	deps: MemberDeps,
 	state: MemberState,
 	source: membershipStatus.ConfirmationSource,
 	askedAt: number,
 ): void => {
-	state.standing = core.membershipStatus.confirmMembership(
-		state.standing,
+	state.status = core.membershipStatus.confirmMembership(
+		state.status,
 		source,
 		askedAt,
 		deps.settings,
@@ -35,17 +35,17 @@
 	}
 
 	state.members = members.value;
-	const hasEarlier = members.value.registrations.has(deps.life.entry);
+	const hasEarlier = members.value.registrations.has(deps.self.entry);
 	return {counter: row.value, hasEarlier};
 };
 
 const setRegistered = (deps: MemberDeps, state: MemberState) => {
 	state.isRegistered = true;
-	state.standing = core.membershipStatus.changeMode(
+	state.status = core.membershipStatus.changeMode(
 		'registered',
 		state.renewedAt,
 	);
-	deps.logger.info('registered', {...deps.life});
+	deps.logger.info('registered', {...deps.self});
 };
 
 type OwnRow =
@@ -64,7 +64,7 @@
 	deps: MemberDeps,
 	state: MemberState,
 ): Promise<OwnRow> => {
-	const row = await readRegistration(deps.table, deps.life.entry);
+	const row = await readRegistration(deps.table, deps.self.entry);
 	if (!row.ok) {
 		return {kind: 'unreadable'};
 	}
@@ -79,7 +79,7 @@
 	}
 
 	const {incarnation} = value.acknowledged;
-	if (incarnation !== deps.life.incarnation) {
+	if (incarnation !== deps.self.incarnation) {
 		return {kind: 'replaced', incarnation};
 	}
 
@@ -134,7 +134,7 @@
 		throw new VError(
 			'life %s of entry %s has taken the place of this one',
 			state.replacedBy,
-			deps.life.entry,
+			deps.self.entry,
 		);
 	}
 
@@ -176,11 +176,11 @@
 /** The row is gone: nothing may be routed until it is written anew. */
 const lose = (deps: MemberDeps, state: MemberState) => {
 	state.isRegistered = false;
-	state.standing = core.membershipStatus.changeMode(
+	state.status = core.membershipStatus.changeMode(
 		'registered',
 		Number.NEGATIVE_INFINITY,
 	);
-	deps.logger.error('registration lost', {...deps.life});
+	deps.logger.error('registration lost', {...deps.self});
 };
 
 /** One heartbeat: acknowledgement, sign of life and confirmation in one. */
@@ -196,7 +196,7 @@
 		core.registration.renewRegistration(row, state.rowVersion),
 	);
 	if (committed.ok) {
-		confirm(deps, state, 'table', state.renewedAt);
+		recordConfirmation(deps, state, 'table', state.renewedAt);
 		return;
 	}
 
@@ -215,7 +215,7 @@
 
 		case 'own': {
 			settle(state, own.id, own.version);
-			confirm(deps, state, 'table', state.renewedAt);
+			recordConfirmation(deps, state, 'table', state.renewedAt);
 			break;
 		}
 
@@ -252,7 +252,7 @@
 	}
 
 	state.isRegistered = false;
-	const {entry} = deps.life;
+	const {entry} = deps.self;
 	if (!isLettingGo(deps, state)) {
 		deps.logger.warn('registration left behind', {entry});
 		return;
--- a/packages/daemon/src/moves/move-rows.ts
+++ b/packages/daemon/src/moves/move-rows.ts
@@ -50,7 +50,7 @@
 			},
 		],
 		randomUUID(),
-		{...options, also: [toMoveWrite(step), ...step.conditions]},
+		{...options, extraWrites: [toMoveWrite(step), ...step.conditions]},
 	);
 	return committed.ok ? core.succeed(committed.value.delta) : committed;
 };
--- a/packages/daemon/src/moves/move-runner.ts
+++ b/packages/daemon/src/moves/move-runner.ts
@@ -23,7 +23,7 @@
 	readonly table: TableService;
 	/** The lease under which an instance is moved, if it is held here. */
 	readonly getHeldFor: (instance: string) => shardLease.HeldShard | undefined;
-	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
+	readonly getReceivedAcknowledgements: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	readonly getFollowed: () => followedView.FollowedView;
 	/** What is known of entries that start in an outage. */
 	readonly readOutageStart: () => Promise<move.OutageStart>;
@@ -35,7 +35,7 @@
 
 /** The move runner and what each move waits for. */
 export type MoveRunner = Part & {
-	readonly getWaits: () => ReadonlyMap<string, move.MoveStep>;
+	readonly getLastSteps: () => ReadonlyMap<string, move.MoveStep>;
 };
 
 const dropMove = async (
@@ -66,7 +66,7 @@
 				registrations: [...rows.value.registrations.values()].map(
 					({value}) => value,
 				),
-				received: deps.getHeard(),
+				received: deps.getReceivedAcknowledgements(),
 				outageStart,
 			}
 		: undefined;
@@ -148,6 +148,6 @@
 		name: 'moves',
 		start: ticker.start,
 		stop: ticker.stop,
-		getWaits: () => waits,
+		getLastSteps: () => waits,
 	};
 };
--- a/packages/daemon/src/operator/waves/app.ts
+++ b/packages/daemon/src/operator/waves/app.ts
@@ -3,8 +3,11 @@
 import * as core from '@gullstand/core';
 import {budget, waves} from '@gullstand/core';
 import type {StoreError, Write} from '@gullstand/ports';
-import {readDrain} from '../../waves/drain-check.js';
-import {createViewLedgers, type Listed} from '../../waves/ledger-book.js';
+import {readDrainCheck} from '../../waves/drain-check.js';
+import {
+	createViewLedgers,
+	type ListedInstances,
+} from '../../waves/ledger-cache.js';
 import {createFacts, noJobs} from '../../waves/wave-facts.js';
 import {
 	loadWave,
@@ -33,7 +36,7 @@
 const waitsShown = 20;
 const maxRaces = 5;
 
-const readListed = async ({list}: OperatorDeps): Promise<Listed> => {
+const readListed = async ({list}: OperatorDeps): Promise<ListedInstances> => {
 	const listed = await list?.list();
 	return new Map(listed?.ok ? listed.value.map((each) => [each.id, each]) : []);
 };
@@ -188,7 +191,7 @@
 		jobs: noJobs,
 		observations: {isDrained: () => false, getProbesPassed: () => 0},
 	});
-	const drain = await readDrain({...deps, getInFlight: () => 0});
+	const drain = await readDrainCheck({...deps, getInFlight: () => 0});
 	return waves.listWaits({progress, facts, now}, waitsShown).map((wait) => {
 		const phase =
 			wait.kind === 'drain'
@@ -197,7 +200,11 @@
 		return wait.kind === 'drain' && phase?.kind === 'taken'
 			? {
 					...wait,
-					lagging: drain?.getLagging(wait.instance, phase.drainRevision) ?? [],
+					lagging:
+						drain?.listPendingAcknowledgements(
+							wait.instance,
+							phase.drainRevision,
+						) ?? [],
 				}
 			: wait;
 	});
--- a/packages/daemon/src/operator/waves/plan-wave.ts
+++ b/packages/daemon/src/operator/waves/plan-wave.ts
@@ -4,14 +4,14 @@
 import {
 	createViewLedgers,
 	getServicesByPool,
-	type Listed,
-} from '../../waves/ledger-book.js';
+	type ListedInstances,
+} from '../../waves/ledger-cache.js';
 import {createFacts, noJobs, type WaveJobs} from '../../waves/wave-facts.js';
 
 /** What a plan is judged by. */
 export type PlanSources = {
 	readonly view: View;
-	readonly listed: Listed;
+	readonly listed: ListedInstances;
 	readonly jobs?: WaveJobs;
 	/** Present time in milliseconds of the wall clock. */
 	readonly now: number;
--- a/packages/daemon/src/peers/envelope.ts
+++ b/packages/daemon/src/peers/envelope.ts
@@ -108,12 +108,12 @@
 	readonly key: Buffer;
 	readonly nonces: NonceWindow;
 	/** Difference of wall clocks that is accepted, in milliseconds. */
-	readonly maxApartMs: number;
+	readonly maxClockSkewMs: number;
 };
 
 /** Judges a call; `undefined` means authentic and new. */
 export const checkCall = (
-	{key, nonces, maxApartMs}: EnvelopeCheck,
+	{key, nonces, maxClockSkewMs}: EnvelopeCheck,
 	call: Envelope & {readonly signature: string},
 	body: string,
 	wallNow: number,
@@ -126,7 +126,7 @@
 		return 'bad-signature';
 	}
 
-	if (Math.abs(wallNow - call.time) > maxApartMs) {
+	if (Math.abs(wallNow - call.time) > maxClockSkewMs) {
 		return 'clock-apart';
 	}
 
--- a/packages/daemon/src/peers/peer-channel.test.ts
+++ b/packages/daemon/src/peers/peer-channel.test.ts
@@ -14,7 +14,7 @@
 const createChannel = (entry: string, key = keyHex, wallOffsetMs = 0) =>
 	createPeerChannel({
 		settings: {address: '127.0.0.1', port: 0, keyHex: key},
-		life: {entry, incarnation: `${entry}-1`},
+		self: {entry, incarnation: `${entry}-1`},
 		now: () => performance.now(),
 		wallNow: () => Date.now() + wallOffsetMs,
 		logger: {warn: () => undefined as never},
--- a/packages/daemon/src/peers/peer-channel.ts
+++ b/packages/daemon/src/peers/peer-channel.ts
@@ -5,7 +5,7 @@
 import type {Logger} from '../log/logger.js';
 import type {Part} from '../supervisor/supervisor.js';
 import {createPeerClient, type PeerClient} from './peer-client.js';
-import type {PeerLife} from './peer-methods.js';
+import type {PeerIdentity} from './peer-methods.js';
 import {createPeerServer, type PeerServer} from './peer-server.js';
 
 /** Settings of the peer channel. */
@@ -18,7 +18,7 @@
 /** What the peer channel needs. */
 export type PeerChannelDeps = {
 	readonly settings: PeerSettings;
-	readonly life: PeerLife;
+	readonly self: PeerIdentity;
 	readonly now: () => number;
 	/** Wall clock, in milliseconds; peers' clocks may be 30 s apart. */
 	readonly wallNow: () => number;
@@ -50,7 +50,7 @@
 
 /** Creates the peer channel; methods may be added before its start. */
 export const createPeerChannel = (deps: PeerChannelDeps): PeerChannel => {
-	const {settings, life, now, wallNow, logger} = deps;
+	const {settings, self, now, wallNow, logger} = deps;
 	const key = Buffer.from(settings.keyHex, 'hex');
 	let refused = 0;
 
@@ -59,7 +59,7 @@
 		getAddress: () => `${settings.address}:${listener.getPort()}`,
 		wallNow,
 		maxBodyBytes,
-		maxApartMs,
+		maxClockSkewMs: maxApartMs,
 		onRefused(reason) {
 			refused += 1;
 			logger.warn('peer message refused', {reason});
@@ -75,7 +75,7 @@
 	return {
 		name: 'peers',
 		async start(reportFailure) {
-			client = createPeerClient({key, life, wallNow, connectTimeoutMs});
+			client = createPeerClient({key, self, wallNow, connectTimeoutMs});
 			await listener.start(reportFailure);
 		},
 		async stop(deadline) {
--- a/packages/daemon/src/peers/peer-client.ts
+++ b/packages/daemon/src/peers/peer-client.ts
@@ -16,7 +16,7 @@
 } from './envelope.js';
 import type {
 	PeerError,
-	PeerLife,
+	PeerIdentity,
 	PeerMethod,
 	PeerMethods,
 } from './peer-methods.js';
@@ -25,7 +25,7 @@
 /** What a peer client needs. */
 export type PeerClientDeps = {
 	readonly key: Buffer;
-	readonly life: PeerLife;
+	readonly self: PeerIdentity;
 	readonly wallNow: () => number;
 	readonly connectTimeoutMs: number;
 };
@@ -95,7 +95,7 @@
 	};
 
 	const seal = (address: string, body: string) => {
-		const {entry, incarnation} = deps.life;
+		const {entry, incarnation} = deps.self;
 		const nonce = createNonce();
 		const time = deps.wallNow();
 		const call = {entry, incarnation, to: address, time, nonce};
--- a/packages/daemon/src/peers/peer-methods.ts
+++ b/packages/daemon/src/peers/peer-methods.ts
@@ -7,7 +7,7 @@
 import type {JobPeerMethods} from '../jobs/peer-methods.js';
 
 /** One life of an entry and where it is reached. */
-export type PeerLife = {
+export type PeerIdentity = {
 	readonly entry: string;
 	readonly incarnation: string;
 };
@@ -75,7 +75,7 @@
 /** A method's handler; `from` is proved. */
 export type PeerHandler<Method extends PeerMethod> = (
 	params: PeerMethods[Method]['params'],
-	from: PeerLife,
+	from: PeerIdentity,
 ) => PeerMethods[Method]['result'] | Promise<PeerMethods[Method]['result']>;
 
 /** Checks what a method receives. */
--- a/packages/daemon/src/peers/peer-server.ts
+++ b/packages/daemon/src/peers/peer-server.ts
@@ -15,7 +15,7 @@
 } from './envelope.js';
 import type {
 	PeerHandler,
-	PeerLife,
+	PeerIdentity,
 	PeerMethod,
 	PeerSchema,
 } from './peer-methods.js';
@@ -27,7 +27,7 @@
 	readonly getAddress: () => string;
 	readonly wallNow: () => number;
 	readonly maxBodyBytes: number;
-	readonly maxApartMs: number;
+	readonly maxClockSkewMs: number;
 	readonly onRefused: (reason: EnvelopeRefusal) => void;
 };
 
@@ -48,9 +48,9 @@
 
 /** Creates a peer server. */
 export const createPeerServer = (deps: PeerServerDeps): PeerServer => {
-	const {key, maxApartMs} = deps;
-	const rpc = new JSONRPCServer<PeerLife>({errorListener: () => undefined});
-	const nonces = createNonceWindow(maxApartMs);
+	const {key, maxClockSkewMs} = deps;
+	const rpc = new JSONRPCServer<PeerIdentity>({errorListener: () => undefined});
+	const nonces = createNonceWindow(maxClockSkewMs);
 	const bodyBudget = createByteBudget(deps.maxBodyBytes * maxBodiesHeld);
 	const app = new Hono<{Bindings: HttpBindings}>();
 
@@ -74,7 +74,7 @@
 			signature: header('signature'),
 		};
 		const refusal = checkCall(
-			{key, nonces, maxApartMs},
+			{key, nonces, maxClockSkewMs},
 			call,
 			text,
 			deps.wallNow(),
@@ -96,7 +96,7 @@
 		addMethod(method, schema, handler) {
 			rpc.addMethod(
 				method,
-				async (params: JSONRPCRequest['params'], from: PeerLife) => {
+				async (params: JSONRPCRequest['params'], from: PeerIdentity) => {
 					const parsed = schema.safeParse(params);
 					if (!parsed.success) {
 						throw new VError(parsed.error, `${method}: malformed parameters`);
--- a/packages/daemon/src/settings/schema.ts
+++ b/packages/daemon/src/settings/schema.ts
@@ -5,7 +5,7 @@
  */
 import {isIP} from 'node:net';
 import {z} from 'zod';
-import {getShortestRetentionMs} from '../idempotency/keyed-settings.js';
+import {getShortestRetentionMs} from '../idempotency/idempotency-settings.js';
 
 const sha256Hex = z.string().regex(/^[\da-f]{64}$/v, {
 	error: 'a SHA-256 in 64 lower-case hexadecimal digits is allowed',
--- a/packages/daemon/src/shards/lease-runner.ts
+++ b/packages/daemon/src/shards/lease-runner.ts
@@ -19,7 +19,7 @@
 
 /** What the lease runner needs. */
 export type LeaseRunnerDeps = {
-	readonly life: acknowledgement.EntryIncarnation;
+	readonly self: acknowledgement.EntryIncarnation;
 	readonly table: TableService;
 	readonly mayControl: () => boolean;
 	readonly getMembers: () => MembershipRows;
@@ -38,7 +38,7 @@
 	readonly getHeld: (shard: string) => shardLease.HeldShard | undefined;
 	readonly listHeld: () => readonly shardLease.HeldShard[];
 	/** How long the heartbeat of a watched neighbour has stayed away. */
-	readonly getSilentMs: (entry: string) => number;
+	readonly getUnresponsiveMs: (entry: string) => number;
 };
 
 type State = {
@@ -54,7 +54,7 @@
 	const entries = [...deps.getMembers().registrations.keys()];
 	const versions = new Map<string, number>();
 	for (const entry of core.monitoredPeers.listMonitoredPeers(
-		deps.life.entry,
+		deps.self.entry,
 		entries,
 	)) {
 		const row = await deps.table.get(core.agreementTables.entry, entry);
@@ -107,7 +107,7 @@
 	const holder = read.lease?.value.holder?.entry ?? '';
 	const row = deps.getMembers().registrations.get(holder);
 	const result = core.shardLease.acquireShard(shard, read.lease, {
-		self: deps.life,
+		self: deps.self,
 		leaseMs: deps.leaseMs,
 		evidence: {
 			registeredIncarnation: row?.value.acknowledged.incarnation,
@@ -120,7 +120,7 @@
 
 	// Also after a lost reply: the row tells who holds the shard.
 	const after = await readLease(deps, shard);
-	const own = core.shardLease.adoptShard(after?.lease, deps.life);
+	const own = core.shardLease.adoptShard(after?.lease, deps.self);
 	if (own) {
 		state.held.set(shard, own);
 		deps.logger.info('shard acquired', {shard, token: own.token});
@@ -134,7 +134,7 @@
 ) => {
 	state.held.delete(held.shard);
 	const {shard, token, version} = held;
-	const lease = {shard, token, holder: deps.life};
+	const lease = {shard, token, holder: deps.self};
 	await commit(deps, core.shardLease.releaseShard(lease, version));
 	deps.logger.info('shard released', {shard, token});
 };
@@ -163,9 +163,9 @@
 		getSilentMs(state, assigned.get(shard) ?? '') >= deps.leaseMs;
 	const duty = core.shardAssignment.getShardAction(
 		shard,
-		deps.life.entry,
+		deps.self.entry,
 		held !== undefined,
-		isSilent ? new Map([[shard, deps.life.entry]]) : assigned,
+		isSilent ? new Map([[shard, deps.self.entry]]) : assigned,
 	);
 	if (duty === 'acquire') {
 		await acquire(deps, state, shard);
@@ -215,6 +215,6 @@
 		},
 		getHeld: (shard) => (deps.mayControl() ? state.held.get(shard) : undefined),
 		listHeld: () => (deps.mayControl() ? [...state.held.values()] : []),
-		getSilentMs: (entry) => getSilentMs(state, entry),
+		getUnresponsiveMs: (entry) => getSilentMs(state, entry),
 	};
 };
--- a/packages/daemon/src/view/commit-change.ts
+++ b/packages/daemon/src/view/commit-change.ts
@@ -38,7 +38,7 @@
 	/** Who asked for it; kept in the history. */
 	readonly author?: string;
 	/** Rows outside the view that commit with it, and further conditions. */
-	readonly also?: readonly Write[];
+	readonly extraWrites?: readonly Write[];
 	/**
 	 * The view that the change was decided on. A store that is behind it is
 	 * refused: a change there would be lost or would split the history.
@@ -205,7 +205,7 @@
 			id: operationId,
 			writes: [
 				...changes.map((change) => toWrite(change)),
-				...(options.also ?? []),
+				...(options.extraWrites ?? []),
 				...createRevisionWrites(delta, counter),
 			],
 			witness: {table: changeTable, key: getChangeKey(delta.revision)},
--- a/packages/daemon/src/view/view-image.ts
+++ b/packages/daemon/src/view/view-image.ts
@@ -46,7 +46,7 @@
 });
 
 /** Makes the view of a JSON form. */
-export const readImage = (image: ViewImage): followedView.FollowedView => {
+export const restoreView = (image: ViewImage): followedView.FollowedView => {
 	let view = core.emptyView;
 	for (const change of image.changes) {
 		view = core.viewChange.applyChange(view, change);
@@ -117,5 +117,5 @@
 	}
 
 	const image = JSON.parse(Buffer.from(body).toString()) as ViewImage;
-	return core.succeed(readImage(image));
+	return core.succeed(restoreView(image));
 };
--- a/packages/daemon/src/waves/drain-check.ts
+++ b/packages/daemon/src/waves/drain-check.ts
@@ -20,9 +20,9 @@
 };
 
 /** The registered entries as read, and what must still hold at a commit. */
-export type DrainRead = {
+export type DrainCheck = {
 	readonly isDrained: (instance: string, drainRevision: number) => boolean;
-	readonly getLagging: (
+	readonly listPendingAcknowledgements: (
 		instance: string,
 		drainRevision: number,
 	) => readonly pendingAcknowledgements.PendingAcknowledgement[];
@@ -32,9 +32,9 @@
 const {membership} = core.agreementTables;
 
 /** Reads the entries; undefined if the store does not answer. */
-export const readDrain = async (
+export const readDrainCheck = async (
 	deps: DrainCheckDeps,
-): Promise<DrainRead | undefined> => {
+): Promise<DrainCheck | undefined> => {
 	// Read before the entries: one that registers later is among them.
 	const outageStart =
 		(await deps.readOutageStart?.()) ?? core.move.noOutageStart;
@@ -62,7 +62,7 @@
 		outageStart.snapshotRevision >= revision &&
 		outageStart.markerUnchangedMs >= outageStart.markerWaitMs;
 	return {
-		getLagging,
+		listPendingAcknowledgements: getLagging,
 		isDrained: (instance, revision) =>
 			isStartSafe(revision) &&
 			deps.getView().revision >= revision &&
--- a/packages/daemon/src/waves/ledger-book.ts
+++ b/packages/daemon/src/waves/ledger-cache.ts
@@ -15,10 +15,10 @@
 import {readTable, toJson} from '../view/tables.js';
 
 /** The instance list by id. */
-export type Listed = ReadonlyMap<string, ListedInstance>;
+export type ListedInstances = ReadonlyMap<string, ListedInstance>;
 
 /** Ledgers that are kept in step. */
-export type LedgerBook = {
+export type LedgerCache = {
 	readonly getLedgers: () => budget.Ledgers;
 	readonly values: waves.Lookup<budget.Ledger>;
 	/** Notes a ledger that was committed; version undefined: read anew. */
@@ -27,10 +27,10 @@
 	 * True if the ledgers of the services already say what this view and list
 	 * say. The view may have moved on since the last `follow`.
 	 */
-	readonly isInStep: (
+	readonly isUpToDate: (
 		services: readonly string[],
 		view: View,
-		listed: Listed,
+		listed: ListedInstances,
 	) => boolean;
 	/** The next `follow` reads the rows anew. */
 	readonly invalidate: () => void;
@@ -38,9 +38,9 @@
 	 * Brings the ledgers in step; false if some could not be written or read,
 	 * and nothing may be taken away on them.
 	 */
-	readonly follow: (
+	readonly synchronize: (
 		view: View,
-		listed: Listed,
+		listed: ListedInstances,
 		now: number,
 	) => Promise<boolean>;
 };
@@ -64,7 +64,7 @@
 const getEntry = (
 	instance: Instance,
 	known: budget.LedgerEntry | undefined,
-	listed: Listed,
+	listed: ListedInstances,
 	now: number,
 ): budget.LedgerEntry => {
 	if (known?.kind === 'away' && known.wave !== noWave) {
@@ -105,7 +105,11 @@
 	service: string,
 	members: readonly Instance[],
 	known: budget.Ledger | undefined,
-	facts: {readonly view: View; readonly listed: Listed; readonly now: number},
+	facts: {
+		readonly view: View;
+		readonly listed: ListedInstances;
+		readonly now: number;
+	},
 ): budget.Ledger => {
 	const {view, listed, now} = facts;
 	const terms = budget.combineTerms(view.contracts.values(), service);
@@ -121,7 +125,7 @@
 /** Ledgers as they would be without any history, to judge a plan by. */
 export const createViewLedgers = (
 	view: View,
-	listed: Listed,
+	listed: ListedInstances,
 	now: number,
 ): ReadonlyMap<string, budget.Ledger> => {
 	const byPool = viewIndex.groupByPool(view.instances.values());
@@ -135,7 +139,7 @@
 };
 
 /** Creates a book; it reads nothing before the first `follow`. */
-export const createLedgerBook = (table: TableService): LedgerBook => {
+export const createLedgerCache = (table: TableService): LedgerCache => {
 	let ledgers = new Map<string, budget.Versioned<budget.Ledger>>();
 	let isFresh = false;
 
@@ -183,7 +187,7 @@
 		getLedgers: () => ledgers,
 		values: {get: (name) => ledgers.get(name)?.value},
 		update,
-		isInStep(services, view, listed) {
+		isUpToDate(services, view, listed) {
 			const byPool = viewIndex.groupByPool(view.instances.values());
 			return services.every((name) => {
 				const known = ledgers.get(name)?.value;
@@ -199,7 +203,7 @@
 		invalidate() {
 			isFresh = false;
 		},
-		async follow(view, listed, now) {
+		async synchronize(view, listed, now) {
 			if (!isFresh && !(await load())) {
 				return false;
 			}
--- a/packages/daemon/src/waves/wave-commands.ts
+++ b/packages/daemon/src/waves/wave-actions.ts
@@ -6,20 +6,20 @@
  */
 import {randomUUID} from 'node:crypto';
 import {budget, waves} from '@gullstand/core';
-import {getServicesByPool} from './ledger-book.js';
+import {getServicesByPool} from './ledger-cache.js';
 import {
 	commitInstances,
 	commitRows,
 	isInstancePut,
 	readInstance,
 	readInstances,
-	type Command,
-	type CommandDeps,
+	type ActionContext,
+	type ActionDeps,
 	type Put,
 } from './wave-commit.js';
 
 const putPhases = (
-	{loaded}: Command,
+	{loaded}: ActionContext,
 	ids: readonly string[],
 	getPhase: (id: string) => waves.MemberPhase,
 ): budget.RowPut<waves.WaveDomain> => {
@@ -29,7 +29,7 @@
 };
 
 const notePhases = (
-	{loaded}: Command,
+	{loaded}: ActionContext,
 	ids: readonly string[],
 	getPhase: (id: string) => waves.MemberPhase,
 ) => {
@@ -39,8 +39,8 @@
 };
 
 const changePhase = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	command: ActionContext,
 	ids: readonly string[],
 	phase: waves.MemberPhase,
 ): Promise<boolean> => {
@@ -59,8 +59,8 @@
  * no contract is judged by older terms.
  */
 const take = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	command: ActionContext,
 	ids: readonly string[],
 ): Promise<boolean> => {
 	const instances = await readInstances(deps, ids);
@@ -77,7 +77,7 @@
 	const services = instances.flatMap(({value}) =>
 		budget.listLedgerServices(value, servicesByPool),
 	);
-	if (!deps.book.isInStep(services, view, listed)) {
+	if (!deps.ledgerCache.isUpToDate(services, view, listed)) {
 		return false;
 	}
 
@@ -86,7 +86,7 @@
 			operationId,
 			wave: loaded.progress.wave.id,
 			instances,
-			ledgers: deps.book.getLedgers(),
+			ledgers: deps.ledgerCache.getLedgers(),
 			servicesByPool,
 			reserves: facts.reserves,
 		},
@@ -123,8 +123,8 @@
 
 /** Commits one transition of one instance, and nothing else. */
 const transition = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	command: ActionContext,
 	id: string,
 	name: 'finishDrain' | 'startReturn',
 ): Promise<boolean> => {
@@ -140,7 +140,7 @@
 		: false;
 };
 
-const stop = async (deps: CommandDeps, command: Command, id: string) => {
+const stop = async (deps: ActionDeps, command: ActionContext, id: string) => {
 	if (!(await transition(deps, command, id, 'finishDrain'))) {
 		return false;
 	}
@@ -156,8 +156,8 @@
 };
 
 const giveBack = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	command: ActionContext,
 	id: string,
 ): Promise<boolean> => {
 	const instance = await readInstance(deps, id);
@@ -170,7 +170,7 @@
 	const change = budget.returnInstance({
 		operationId,
 		instance,
-		ledgers: deps.book.getLedgers(),
+		ledgers: deps.ledgerCache.getLedgers(),
 		servicesByPool: getServicesByPool(deps.getFollowed().view),
 		evidence: facts.instances.get(id)!.evidence,
 		settings: loaded.progress.wave.settings.returns,
@@ -198,8 +198,8 @@
 
 /** From now on the instance counts as lost, not as taken. */
 const giveUp = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	command: ActionContext,
 	id: string,
 ): Promise<boolean> => {
 	const {phase, pool} = command.loaded.progress.members.get(id)!;
@@ -210,7 +210,7 @@
 	const lost = {...phase, isLost: true};
 	const services = getServicesByPool(deps.getFollowed().view).get(pool) ?? [];
 	const ledgers = services
-		.map((service) => deps.book.getLedgers().get(service))
+		.map((service) => deps.ledgerCache.getLedgers().get(service))
 		.map((ledger) => ledger && budget.convertAwayToLost(ledger, id, deps.now()))
 		.filter((put) => put !== undefined);
 	const row = putPhases(command, [id], () => lost);
@@ -223,8 +223,8 @@
 };
 
 const finish = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	command: ActionContext,
 ): Promise<boolean> => {
 	const {header} = command.loaded;
 	const next = waves.applyWaveCommand(header.value, 'finish', deps.now());
@@ -236,8 +236,8 @@
 };
 
 const move = async (
-	deps: CommandDeps,
-	{loaded: {progress}}: Command,
+	deps: ActionDeps,
+	{loaded: {progress}}: ActionContext,
 	{job, from, to}: Extract<waves.WaveAction, {kind: 'move'}>,
 ): Promise<boolean> => {
 	const {id, cores, memoryMb} = job;
@@ -249,8 +249,8 @@
 
 /** Carries out one action; false if the rows must be read anew. */
 export const runAction = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	command: ActionContext,
 	action: waves.WaveAction,
 ): Promise<boolean> => {
 	switch (action.kind) {
--- a/packages/daemon/src/waves/wave-commit.ts
+++ b/packages/daemon/src/waves/wave-commit.ts
@@ -13,16 +13,16 @@
 import type {client, TableService, Workers, Write} from '@gullstand/ports';
 import {commitChange} from '../view/commit-change.js';
 import {toJson} from '../view/tables.js';
-import type {LedgerBook, Listed} from './ledger-book.js';
+import type {LedgerCache, ListedInstances} from './ledger-cache.js';
 import type {WaveJobs} from './wave-facts.js';
 import type {LoadedWave} from './wave-rows.js';
 
 /** What actions are carried out with. */
-export type CommandDeps = {
+export type ActionDeps = {
 	readonly table: TableService;
 	readonly workers: Workers;
 	readonly jobs: WaveJobs;
-	readonly book: LedgerBook;
+	readonly ledgerCache: LedgerCache;
 	readonly getFollowed: () => followedView.FollowedView;
 	readonly onCommitted: (delta: viewChange.ViewDelta) => Promise<void>;
 	/** Conditions under which this entry may act, such as its shard's lease. */
@@ -33,10 +33,10 @@
 };
 
 /** One action on one wave. */
-export type Command = {
+export type ActionContext = {
 	readonly loaded: LoadedWave;
 	readonly facts: waves.WaveFacts;
-	readonly listed: Listed;
+	readonly listed: ListedInstances;
 	/** Conditions of a drain's end: the entries are still the same. */
 	readonly drainGuards: readonly Write[];
 };
@@ -48,8 +48,8 @@
 
 /** Notes what was committed; without a version the rows are read anew. */
 const notePuts = (
-	deps: CommandDeps,
-	{loaded}: Command,
+	deps: ActionDeps,
+	{loaded}: ActionContext,
 	puts: readonly Put[],
 	versions: ReadonlyArray<number | undefined>,
 ) => {
@@ -57,7 +57,7 @@
 		const version = versions[index];
 		switch (table) {
 			case budget.tables.ledgers: {
-				deps.book.update(value as budget.Ledger, version);
+				deps.ledgerCache.update(value as budget.Ledger, version);
 
 				break;
 			}
@@ -86,8 +86,8 @@
 
 /** Commits rows outside the view. */
 export const commitRows = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	command: ActionContext,
 	puts: readonly Put[],
 ): Promise<boolean> => {
 	const committed = await deps.table.commit(
@@ -103,8 +103,8 @@
 
 /** Commits instances with the rows that go with them. */
 export const commitInstances = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	command: ActionContext,
 	operation: {
 		readonly id: string;
 		readonly instances: ReadonlyArray<budget.RowPut<Instance>>;
@@ -125,7 +125,7 @@
 		operation.id,
 		{
 			author: `wave ${command.loaded.progress.wave.id}`,
-			also: [
+			extraWrites: [
 				...operation.also.map((put) => toWrite(put)),
 				...(operation.guards ?? []),
 				...deps.getGuards(),
@@ -148,7 +148,7 @@
 
 /** Reads an instance row; undefined if there is none or no answer. */
 export const readInstance = async (
-	{table}: CommandDeps,
+	{table}: ActionDeps,
 	id: string,
 ): Promise<budget.Versioned<Instance> | undefined> => {
 	const row = await table.get(budget.tables.instances, id);
@@ -162,7 +162,7 @@
 
 /** Reads instance rows; undefined unless all were read. */
 export const readInstances = async (
-	deps: CommandDeps,
+	deps: ActionDeps,
 	ids: readonly string[],
 ): Promise<ReadonlyArray<budget.Versioned<Instance>> | undefined> => {
 	const read = await Promise.all(ids.map(async (id) => readInstance(deps, id)));
--- a/packages/daemon/src/waves/wave-facts.ts
+++ b/packages/daemon/src/waves/wave-facts.ts
@@ -6,7 +6,7 @@
 	type View,
 	type waves,
 } from '@gullstand/core';
-import {getServicesByPool, type Listed} from './ledger-book.js';
+import {getServicesByPool, type ListedInstances} from './ledger-cache.js';
 
 /** Resources of one worker and the jobs on it. */
 export type WorkerLoad = {
@@ -50,7 +50,7 @@
 const getEvidence = (
 	{id}: Instance,
 	phase: waves.MemberPhase | undefined,
-	listed: Listed,
+	listed: ListedInstances,
 	{getProbesPassed}: Observations,
 ): budget.ReturnEvidence => {
 	const seen = listed.get(id);
@@ -84,7 +84,7 @@
 /** What `createFacts` reads. */
 export type FactSources = {
 	readonly view: View;
-	readonly listed: Listed;
+	readonly listed: ListedInstances;
 	readonly ledgers: waves.Lookup<budget.Ledger>;
 	readonly jobs: WaveJobs;
 	readonly observations: Observations;
--- a/packages/daemon/src/waves/wave-rows.ts
+++ b/packages/daemon/src/waves/wave-rows.ts
@@ -2,7 +2,7 @@
 import {budget, succeed, waves, type Result, type View} from '@gullstand/core';
 import type {Row, StoreError, TableService} from '@gullstand/ports';
 import {readTable} from '../view/tables.js';
-import {getServicesByPool} from './ledger-book.js';
+import {getServicesByPool} from './ledger-cache.js';
 
 /** A wave with its rows and its index. */
 export type LoadedWave = {
--- a/packages/daemon/src/waves/wave-runner.test.ts
+++ b/packages/daemon/src/waves/wave-runner.test.ts
@@ -1,15 +1,15 @@
 import * as fc from 'fast-check';
 import * as tap from 'tap';
 import {
-	createWorld,
+	createSimulation,
 	ids,
 	maxAway,
 	runRounds,
 	type Fault,
-} from './wave-world.test.fixture.js';
+} from './wave-simulation.test.fixture.js';
 
 tap.t.test('a wave maintains every instance once', async (t) => {
-	const world = await createWorld();
+	const world = await createSimulation();
 	await runRounds(world, 1, 60);
 	const {state} = await world.readWave();
 	t.equal(state, 'done');
@@ -23,7 +23,7 @@
 
 tap.t.test('killed at any commit, another entry goes on', async (t) => {
 	for (let at = 0; at < 40; at += 1) {
-		const world = await createWorld();
+		const world = await createSimulation();
 		world.faults.push(
 			...Array.from({length: at}, () => 'none' as const),
 			'killed',
@@ -51,7 +51,7 @@
 			fc.array(fault, {minLength: 40, maxLength: 80}),
 			fc.integer({min: 1, max: 3}),
 			async (drawn, runners) => {
-				const world = await createWorld();
+				const world = await createSimulation();
 				world.faults.push(...drawn);
 				await runRounds(world, runners, 200);
 				const {state} = await world.readWave();
@@ -68,7 +68,7 @@
 );
 
 tap.t.test('a store outage: no new take is announced', async (t) => {
-	const world = await createWorld();
+	const world = await createSimulation();
 	world.faults.push(...Array.from({length: 300}, () => 'unavailable' as const));
 	await runRounds(world, 1, 20);
 	t.equal(world.countAway(), 0);
@@ -82,7 +82,7 @@
 tap.t.test(
 	'loss uses the budget: nothing is taken until it is back',
 	async (t) => {
-		const world = await createWorld();
+		const world = await createSimulation();
 		world.setListed('a', 'leaving');
 		world.setListed('b', 'leaving');
 		await runRounds(world, 1, 10);
@@ -98,7 +98,7 @@
 tap.t.test(
 	'no restart while an entry may start from an older snapshot',
 	async (t) => {
-		const world = await createWorld();
+		const world = await createSimulation();
 		world.outageStart.snapshotRevision = 1;
 		await runRounds(world, 1, 10);
 		t.equal(world.verdict.reboots.size, 0);
@@ -114,7 +114,7 @@
 );
 
 tap.t.test('a contract changed in mid-round binds the next take', async (t) => {
-	const world = await createWorld();
+	const world = await createSimulation();
 	// The change comes after the ledgers were followed, before the first take.
 	world.hooks.push(async () => world.setMaxAway(0));
 	await runRounds(world, 1, 5);
@@ -129,7 +129,7 @@
 	tap.t.test(
 		`${state}: what is away comes back, nothing more goes`,
 		async (t) => {
-			const world = await createWorld();
+			const world = await createSimulation();
 			await runRounds(world, 1, 3);
 			t.ok(world.countAway() > 0);
 			await world.setState(state);
--- a/packages/daemon/src/waves/wave-runner.ts
+++ b/packages/daemon/src/waves/wave-runner.ts
@@ -21,11 +21,11 @@
 import type {Logger} from '../log/logger.js';
 import type {Part} from '../supervisor/supervisor.js';
 import {createTicker} from '../view/ticker.js';
-import {readDrain, type DrainRead} from './drain-check.js';
-import {createLedgerBook, type Listed} from './ledger-book.js';
+import {readDrainCheck, type DrainCheck} from './drain-check.js';
+import {createLedgerCache, type ListedInstances} from './ledger-cache.js';
 import {createProbe, createProbes, type Probe} from './probe.js';
-import {runAction} from './wave-commands.js';
-import type {CommandDeps} from './wave-commit.js';
+import {runAction} from './wave-actions.js';
+import type {ActionDeps} from './wave-commit.js';
 import {createFacts, noJobs, type WaveJobs} from './wave-facts.js';
 import {loadWave, readWaves, type LoadedWave} from './wave-rows.js';
 
@@ -61,7 +61,7 @@
 	/** One round over all waves; the part calls it again and again. */
 	readonly step: () => Promise<void>;
 	/** Advice for the placement of a job. */
-	readonly getAdvice: (
+	readonly getPlacementAdvice: (
 		instance: string,
 		hasMoved: boolean,
 	) => waves.PlacementAdvice;
@@ -78,7 +78,7 @@
 
 type State = {
 	readonly deps: WaveRunnerDeps;
-	readonly command: CommandDeps;
+	readonly command: ActionDeps;
 	readonly probes: ReturnType<typeof createProbes>;
 	readonly loaded: Map<string, LoadedWave>;
 	/** Cancelled waves with nothing away any more. */
@@ -121,7 +121,7 @@
 
 const readListed = async ({
 	list,
-}: WaveRunnerDeps): Promise<Listed | undefined> => {
+}: WaveRunnerDeps): Promise<ListedInstances | undefined> => {
 	const listed = await list.list();
 	return listed.ok
 		? new Map(listed.value.map((each) => [each.id, each]))
@@ -139,7 +139,7 @@
 const retryReboots = async (
 	{deps, rebootAskedAt}: State,
 	loaded: LoadedWave,
-	listed: Listed,
+	listed: ListedInstances,
 ) => {
 	const {view} = deps.getFollowed();
 	for (const {id, phase} of getTakenMembers(loaded)) {
@@ -188,8 +188,8 @@
 
 /** What one round has read. */
 type Round = {
-	readonly listed: Listed;
-	readonly drain: DrainRead | undefined;
+	readonly listed: ListedInstances;
+	readonly drain: DrainCheck | undefined;
 };
 
 /** One step of one wave; false if nothing is left to do now. */
@@ -203,7 +203,7 @@
 	const facts = createFacts(progress, {
 		view: deps.getFollowed().view,
 		listed,
-		ledgers: command.book.values,
+		ledgers: command.ledgerCache.values,
 		jobs: command.jobs,
 		observations: {
 			getProbesPassed: probes.getPassed,
@@ -238,7 +238,7 @@
 		const result = await stepLoaded(state, loaded, round);
 		if (result === 'stale') {
 			state.loaded.delete(id);
-			state.command.book.invalidate();
+			state.command.ledgerCache.invalidate();
 			return;
 		}
 
@@ -262,7 +262,7 @@
 	const {deps, command} = state;
 	if (!(deps.isHolder?.() ?? true)) {
 		state.loaded.clear();
-		command.book.invalidate();
+		command.ledgerCache.invalidate();
 		return;
 	}
 
@@ -280,13 +280,16 @@
 	await deps.poll();
 	const listed = await readListed(deps);
 	const {view} = deps.getFollowed();
-	if (!listed || !(await command.book.follow(view, listed, deps.now()))) {
+	if (
+		!listed ||
+		!(await command.ledgerCache.synchronize(view, listed, deps.now()))
+	) {
 		return;
 	}
 
 	await runProbes(state);
 	const drain = isDraining(state)
-		? await readDrain({...deps, getView: () => deps.getFollowed().view})
+		? await readDrainCheck({...deps, getView: () => deps.getFollowed().view})
 		: undefined;
 	for (const loaded of state.loaded.values()) {
 		await retryReboots(state, loaded, listed);
@@ -303,7 +306,7 @@
 			table,
 			workers,
 			jobs: deps.jobs ?? noJobs,
-			book: createLedgerBook(table),
+			ledgerCache: createLedgerCache(table),
 			getFollowed,
 			onCommitted,
 			getGuards: deps.getGuards ?? (() => []),
@@ -323,7 +326,7 @@
 		step,
 		start: ticker.start,
 		stop: ticker.stop,
-		getAdvice(instance, hasMoved) {
+		getPlacementAdvice(instance, hasMoved) {
 			const advice = new Set(
 				[...state.loaded.values()].map(({progress}) =>
 					waves.getPlacementAdvice(progress, instance, hasMoved),
--- a/packages/daemon/src/waves/wave-world.test.fixture.ts
+++ b/packages/daemon/src/waves/wave-simulation.test.fixture.ts
@@ -70,7 +70,7 @@
 } as unknown as Logger;
 
 /** A fleet in memory, and the counts of its judge. */
-export const createWorld = async () => {
+export const createSimulation = async () => {
 	const table = createMemoryTableService();
 	const list = createMemoryInstanceList();
 	const booting = new Map<string, number>();
@@ -306,11 +306,11 @@
 	};
 };
 
-export type World = Awaited<ReturnType<typeof createWorld>>;
+export type Simulation = Awaited<ReturnType<typeof createSimulation>>;
 
 /** Runs rounds; a killed runner is replaced by another. */
 export const runRounds = async (
-	world: World,
+	world: Simulation,
 	runners: number,
 	rounds: number,
 ) => {
