--- a/packages/daemon/src/agreement/agreement.test.ts
+++ b/packages/daemon/src/agreement/agreement.test.ts
@@ -1,4 +1,4 @@
-/** Several daemons in one process, over sockets, on one platform. */
+/** Runs several daemons in one process, over sockets, on one platform. */
 import {setTimeout as wait} from 'node:timers/promises';
 import * as tap from 'tap';
 import {request} from 'undici';
@@ -59,24 +59,24 @@
 	await last!.daemon.agreement.peers.stop(now());
 	t.ok(await requestMove(fleet, 'x1', 'claims'));
 	const requirement = {revision: 2, instance: 'x1'};
-	const readLags = async () => {
-		const lags =
+	const readPendingEntries = async () => {
+		const pending =
 			await first!.daemon.agreement.member.readPendingAcknowledgements(
 				requirement,
 			);
-		return lags.ok ? lags.value.map(({entry}) => entry) : ['unread'];
+		return pending.ok ? pending.value.map(({entry}) => entry) : ['unread'];
 	};
 
 	await waitUntil(async () => {
-		const lags = await readLags();
-		return lags.join(' ') === 'e3';
+		const pending = await readPendingEntries();
+		return pending.join(' ') === 'e3';
 	});
 	await wait(500);
 	const {state} = await readInstance(fleet, 'x1');
 	t.equal(state, 'draining');
-	t.same(await readLags(), ['e3']);
+	t.same(await readPendingEntries(), ['e3']);
 
-	// A stranger that claims to be e3 changes nothing.
+	// An unauthenticated message in the name of e3 has no effect.
 	const {peers, member} = first!.daemon.agreement;
 	const res = await request(`http://${peers.getAddress()}/peer`, {
 		method: 'POST',
@@ -97,14 +97,14 @@
 	});
 	await res.body.arrayBuffer();
 	t.equal(res.statusCode, 401);
-	t.same(await readLags(), ['e3']);
+	t.same(await readPendingEntries(), ['e3']);
 
 	last!.cut.isCut = false;
 	await waitUntil(async () => isServing(fleet, 'x1', 'claims'));
 	t.pass('the move ends when the entry is back');
 });
 
-tap.t.test('an entry starts in an outage and serves', async (t) => {
+tap.t.test('an entry starts during an outage and serves', async (t) => {
 	const fleet = await startFleet(t);
 	const late = await fleet.startEntry('e4');
 	for (const {cut} of [...fleet.entries, late]) {
@@ -145,8 +145,8 @@
 
 		await wait(3 * shortTimes.membership.isolationMs);
 		t.equal(member.getStatus().mode, 'sponsored');
-		// A process that stood still for the isolation time is isolated until its
-		// sponsor confirms it again; one without a sponsor is for good.
+		// A process paused for the isolation time stays isolated until its sponsor
+		// confirms it again.
 		let answer: Awaited<ReturnType<typeof call>> | undefined;
 		await waitUntil(async () => {
 			answer = await call(late.daemon, 'quote');
@@ -157,7 +157,7 @@
 	},
 );
 
-tap.t.test('shards spread and are handed over at a stop', async (t) => {
+tap.t.test('shards are distributed, and handed over at a stop', async (t) => {
 	const fleet = await startFleet(t);
 	const listHeld = (index: number) =>
 		fleet.entries[index]!.daemon.agreement.leases.listHeld();
@@ -171,17 +171,17 @@
 	t.ok(findHolder()!.token > before);
 });
 
-tap.t.test('a killed entry is forgotten and a move goes on', async (t) => {
+tap.t.test('a killed entry is forgotten and a move continues', async (t) => {
 	const fleet = await startFleet(t, shortTimes);
 	const last = fleet.entries[2]!;
-	// The process is gone as far as the platform and its peers can see.
+	// To the platform and its peers, the process appears terminated.
 	last.cut.isCut = true;
 	fleet.list.remove('e3');
 	await last.daemon.agreement.peers.stop(now());
 	t.ok(await requestMove(fleet, 'x1', 'claims'));
 	await waitUntil(() => !last.daemon.agreement.member.mayRoute());
 	const {state} = await readInstance(fleet, 'x1');
-	t.equal(state, 'draining', 'it stops by itself before it is forgotten');
+	t.equal(state, 'draining', 'it stops routing before it is forgotten');
 	const {status} = await call(last.daemon, 'quote');
 	t.equal(status, 503);
 	await waitUntil(async () => isServing(fleet, 'x1', 'claims'));
@@ -196,7 +196,7 @@
 		const fleet = await startFleet(t, shortTimes);
 		const late = await fleet.startEntry('e4');
 		const {entries, list} = fleet;
-		// Each entry's own row must name all three before the outage.
+		// The row of each entry must name all three before the outage.
 		await waitUntil(() =>
 			entries.every(
 				({daemon}) =>
--- a/packages/daemon/src/agreement/agreement.ts
+++ b/packages/daemon/src/agreement/agreement.ts
@@ -1,6 +1,6 @@
 /**
- * The parts by which this entry agrees with the others: peer channel, view
- * follower, membership, shard leases, moves and the view's snapshot.
+ * The parts that keep entries in agreement: peer channel, view follower,
+ * membership, shard leases, moves and the view's snapshot.
  */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
@@ -23,7 +23,7 @@
 import {createElapsedClock} from './elapsed-clock.js';
 import {createStartMarker} from './start-marker.js';
 
-/** Periods and bounds of agreement, in milliseconds. */
+/** Periods and time limits, in milliseconds. */
 export type AgreementTimes = {
 	readonly viewPollMs: number;
 	readonly heartbeatMs: number;
@@ -37,7 +37,7 @@
 	readonly membership: membershipStatus.MembershipSettings;
 };
 
-/** Times for a fleet of so many entries. */
+/** Returns the times for a fleet with this number of entries. */
 export const getAgreementTimes = (entries: number): AgreementTimes => {
 	const {viewPollMs, heartbeatMs, watchMs, leaseMs, membership} =
 		core.periods.getPeriods(entries);
@@ -55,13 +55,13 @@
 	};
 };
 
-const usualEntries = 9;
+const defaultEntries = 9;
 
-/** Times for a fleet of nine entries. */
+/** Times for a fleet of the default size. */
 export const agreementDefaults: AgreementTimes =
-	getAgreementTimes(usualEntries);
+	getAgreementTimes(defaultEntries);
 
-/** What agreement needs from the rest of a daemon. */
+/** Dependencies of agreement. */
 export type AgreementDeps = {
 	readonly settings: Pick<Settings, 'entry' | 'peers'>;
 	readonly platform: {
@@ -73,7 +73,7 @@
 	readonly logger: Logger;
 	/** Monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Puts a view in force in the routers. */
+	/** Applies a view to the routers. */
 	readonly route: (view: core.View) => void;
 };
 
@@ -86,16 +86,16 @@
 	readonly member: Member;
 	readonly leases: LeaseRunner;
 	readonly moves: MoveRunner;
-	/** What is known of entries that start in an outage. */
+	/** Reads what is known of entries that start during an outage. */
 	readonly readOutageStart: () => Promise<core.move.OutageStart>;
-	/** Wraps slot takers, so that picks are counted and gated. */
+	/** Counts in-flight requests and blocks selections while isolated. */
 	readonly inFlight: InFlight;
 };
 
-/** Shard of everything that belongs to no pool. */
+/** Shard of all work that belongs to no pool. */
 export const fleetShard = 'fleet';
 
-/** Snapshots carry it; those of another fleet are refused. */
+/** Fleet name in snapshots; those of another fleet are refused. */
 export const fleetName = 'gullstand';
 
 /** Time between two reads of the stored snapshot. */
@@ -108,17 +108,17 @@
 	return [fleetShard, ...new Set(pools)];
 };
 
-/** Stands in for the peer channel of an entry that has no peers. */
-const createNoPeers = (): PeerChannel => ({
+/** Peer channel of an entry without peers. */
+const createNullPeerChannel = (): PeerChannel => ({
 	name: 'peers',
 	async start() {
-		// There is nobody to listen to.
+		// Nothing to start.
 	},
 	async stop() {
-		// Nothing was started.
+		// Nothing to stop.
 	},
 	addMethod() {
-		// Nobody calls.
+		// Methods are never called.
 	},
 	call: async () =>
 		core.fail({kind: 'unreachable', message: 'no peers'} as const),
@@ -129,10 +129,10 @@
 const readPeerView = async (
 	{platform, times}: AgreementDeps,
 	peers: PeerChannel,
-	life: {readonly entry: string; readonly incarnation: string},
+	self: {readonly entry: string; readonly incarnation: string},
 ) => {
 	const {list} = platform;
-	for (const address of await listPeerAddresses({list, self: life})) {
+	for (const address of await listPeerAddresses({list, self})) {
 		const answer = await peers.call(
 			address,
 			'readView',
@@ -147,26 +147,26 @@
 	return undefined;
 };
 
-/** Builds the parts; nothing starts yet. */
+/** Creates the parts without starting them. */
 export const createAgreement = (deps: AgreementDeps): Agreement => {
 	const {settings, platform, times, logger} = deps;
 	const {table, objects, list} = platform;
 	const wallNow = () => Date.now();
 	const now = createElapsedClock(deps.now, wallNow);
-	const life = {entry: settings.entry.id, incarnation: randomUUID()};
+	const self = {entry: settings.entry.id, incarnation: randomUUID()};
 	const peers = settings.peers
 		? createPeerChannel({
 				settings: settings.peers,
-				self: life,
+				self,
 				now,
 				wallNow,
 				logger,
 			})
-		: createNoPeers();
+		: createNullPeerChannel();
 
 	const follower = createViewFollower(table, times.viewPollMs, {
 		startSources: [
-			{origin: 'peer', read: async () => readPeerView(deps, peers, life)},
+			{origin: 'peer', read: async () => readPeerView(deps, peers, self)},
 			{
 				origin: 'snapshot',
 				async read() {
@@ -193,7 +193,7 @@
 		now,
 	});
 	const member = createMember({
-		self: life,
+		self,
 		availabilityZone: settings.entry.availabilityZone,
 		table,
 		list,
@@ -213,7 +213,7 @@
 		logger,
 	});
 	const leases = createLeaseRunner({
-		self: life,
+		self,
 		table,
 		mayControl: member.mayControl,
 		getMembers: member.getMembers,
@@ -224,7 +224,7 @@
 		logger,
 	});
 	const forgetRunner = createForgetRunner({
-		self: life,
+		self,
 		table,
 		list,
 		mayControl: member.mayControl,
@@ -261,7 +261,7 @@
 		checkMs: snapshotCheckMs,
 	});
 	return {
-		self: life,
+		self,
 		parts: [
 			peers,
 			follower,
--- a/packages/daemon/src/agreement/elapsed-clock.ts
+++ b/packages/daemon/src/agreement/elapsed-clock.ts
@@ -1,10 +1,10 @@
 /**
- * Elapsed time that does not stand still while the machine is paused: the
- * larger of what the monotonic clock and the wall clock say has passed. A
- * wall clock that is set ahead makes an entry stop early, which is safe.
+ * Elapsed time that includes pauses of the machine: the larger of the times
+ * elapsed on the monotonic and the wall clock. A wall clock that is set ahead
+ * makes an entry stop early, which is safe.
  */
 
-/** Creates a clock in milliseconds; it never goes back. */
+/** Creates a clock in milliseconds that never goes back. */
 export const createElapsedClock = (
 	monotonicNow: () => number,
 	wallNow: () => number,
--- a/packages/daemon/src/agreement/fleet.test.fixture.ts
+++ b/packages/daemon/src/agreement/fleet.test.fixture.ts
@@ -1,4 +1,4 @@
-/** Three entries over sockets on one platform, for the tests of agreement. */
+/** Three entries over sockets on one platform, for tests of agreement. */
 import {once} from 'node:events';
 import {createServer} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -38,7 +38,7 @@
 /** Monotonic time in milliseconds. */
 export const now = () => performance.now();
 
-/** Short periods, so that a test ends soon. */
+/** Short periods, to keep tests fast. */
 export const times = {
 	...agreementDefaults,
 	viewPollMs: 100,
@@ -123,8 +123,8 @@
 	};
 };
 
-/** A table service that one daemon may be cut off from. */
-const createCut = (inner: TableService) => {
+/** A table service that can be cut off from one daemon. */
+const createCuttableTable = (inner: TableService) => {
 	const cut = {isCut: false};
 	const call = async <Value>(action: () => Promise<Value>) => {
 		if (cut.isCut) {
@@ -143,7 +143,7 @@
 	return {cut, table};
 };
 
-/** Waits until something is true; throws after the timeout. */
+/** Waits until a condition is true; throws after the timeout. */
 export const waitUntil = async (
 	isTrue: () => boolean | Promise<boolean>,
 	timeoutMs = 15_000,
@@ -151,7 +151,7 @@
 	const deadline = now() + timeoutMs;
 	while (!(await isTrue())) {
 		if (now() > deadline) {
-			throw new Error('not true in time');
+			throw new Error('the condition was not met before the timeout');
 		}
 
 		await wait(10);
@@ -200,7 +200,7 @@
 	);
 
 	const startEntry = async (id: string) => {
-		const {cut, table} = createCut(memory);
+		const {cut, table} = createCuttableTable(memory);
 		const base = createEmbeddedSettings();
 		const settings = {
 			...base,
@@ -243,7 +243,7 @@
 	return {memory, list, executors, entries, startEntry, run};
 };
 
-/** A fleet and what its tests reach into. */
+/** A running fleet. */
 export type Fleet = Awaited<ReturnType<typeof startFleet>>;
 
 /** Sends one request of a caller. */
@@ -254,21 +254,21 @@
 	return {status: res.statusCode, text: await res.body.text()};
 };
 
-type MoveOrder = {
+type MoveRequest = {
 	readonly instance: string;
 	readonly to: string;
 	readonly author: string;
 };
 
-const maxRaces = 20;
+const maxRevisionRaces = 20;
 
 /**
- * Starts a move without the operators' checks, so that a test may order any;
- * the revision of the drain is that of its transaction.
+ * Starts a move without the checks of the operators' API. The drain revision is
+ * that of the transaction.
  */
 const startMove = async (
 	table: TableService,
-	{instance: id, to, author}: MoveOrder,
+	{instance: id, to, author}: MoveRequest,
 	known: followedView.FollowedView,
 ): Promise<Result<viewChange.ViewDelta, unknown>> => {
 	for (let races = 0; ; races += 1) {
@@ -305,13 +305,13 @@
 			!committed.ok &&
 			committed.error.kind === 'conflict' &&
 			committed.error.table === counterRow.table;
-		if (!isRace || races >= maxRaces) {
+		if (!isRace || races >= maxRevisionRaces) {
 			return committed;
 		}
 	}
 };
 
-/** Orders a move at the first entry. */
+/** Requests a move at the first entry. */
 export const requestMove = async (
 	fleet: Fleet,
 	instance: string,
@@ -336,13 +336,13 @@
 	return (row.ok ? row.value?.value : undefined) as unknown as Instance;
 };
 
-/** True if the row says that the instance serves the pool. */
+/** True if the instance serves the pool according to its row. */
 export const isServing = async (fleet: Fleet, id: string, pool: string) => {
 	const instance = await readInstance(fleet, id);
 	return instance.pool === pool && instance.state === 'serving';
 };
 
-/** Runs callers on every entry until stopped; keeps what was not right. */
+/** Runs callers on every entry until stopped; collects wrong answers. */
 export const startCallers = (fleet: Fleet) => {
 	const state = {isStopped: false, answers: 0, wrong: [] as string[]};
 	const callers = fleet.entries.flatMap(({daemon}) =>
--- a/packages/daemon/src/agreement/start-marker.ts
+++ b/packages/daemon/src/agreement/start-marker.ts
@@ -1,7 +1,8 @@
 /**
- * The start marker in the object store: an entry that stands on the snapshot
- * puts a new one before each read of it, and movers wait until it has stayed
- * the same. Source: docs/design/agreement.md, "Starting in an outage".
+ * The start marker in the object store. An entry that starts from the snapshot
+ * writes a new marker before each read of the snapshot; moves wait until the
+ * marker has been unchanged for long enough.
+ * Source: docs/design/agreement.md, "Starting in an outage".
  */
 import {Buffer} from 'node:buffer';
 import {randomUUID} from 'node:crypto';
@@ -9,10 +10,10 @@
 import type {ObjectStore} from '@gullstand/ports';
 import {readSnapshot} from '../view/snapshot-store.js';
 
-/** Name of the object. */
+/** Name of the marker object. */
 export const startMarkerName = 'view/start-marker';
 
-/** What both sides of the marker need. */
+/** Dependencies of the marker. */
 export type StartMarkerDeps = {
 	readonly objects: ObjectStore;
 	readonly fleet: string;
@@ -22,18 +23,17 @@
 	readonly now: () => number;
 };
 
-/** Both sides of the marker. */
+/** Writes and reads the marker. */
 export type StartMarker = {
-	/** Puts the marker; true if the snapshot shows nothing newer. */
+	/** Writes the marker; true if the snapshot is no newer than the view. */
 	readonly confirm: () => Promise<boolean>;
-	/** What a mover knows, read after the snapshot. */
+	/** Reads the snapshot's revision, then the marker. */
 	readonly read: () => Promise<move.OutageStart>;
 };
 
-/** Creates both sides. */
 export const createStartMarker = (deps: StartMarkerDeps): StartMarker => {
 	const {objects, fleet, now} = deps;
-	let seen: {text: string; since: number} | undefined;
+	let lastMarker: {text: string; since: number} | undefined;
 
 	const getUnchangedMs = (bytes: Uint8Array | undefined): number => {
 		if (!bytes) {
@@ -41,8 +41,8 @@
 		}
 
 		const text = Buffer.from(bytes).toString();
-		seen = seen?.text === text ? seen : {text, since: now()};
-		return now() - seen.since;
+		lastMarker = lastMarker?.text === text ? lastMarker : {text, since: now()};
+		return now() - lastMarker.since;
 	};
 
 	return {
--- a/packages/daemon/src/idempotency/at-most-once-calls.test.ts
+++ b/packages/daemon/src/idempotency/at-most-once-calls.test.ts
@@ -88,7 +88,7 @@
 
 const intake = '/s/claims/intake';
 
-tap.t.test('a route that may not be repeated needs a key', async (t) => {
+tap.t.test('a non-repeatable route requires a key', async (t) => {
 	const {send} = await startEntries(t);
 	const refusals: Array<[string | undefined, number, string]> = [
 		[undefined, 400, 'key-required'],
@@ -116,7 +116,7 @@
 	});
 });
 
-tap.t.test('an outage of the store keeps requests back', async (t) => {
+tap.t.test('a store outage holds non-repeatable requests back', async (t) => {
 	const {send, control} = await startEntries(t);
 	control.set({isDown: true});
 	t.match(await send(0, intake, 'key-2'), {
@@ -131,7 +131,7 @@
 });
 
 tap.t.test(
-	'a refusal before the key is looked up tells no repeat',
+	'a refusal before the key is read leaves the outcome unknown',
 	async (t) => {
 		const {send} = await startEntries(t);
 		const body = 'x'.repeat(smallBudget + 1);
@@ -149,7 +149,12 @@
 	},
 );
 
-type Row = [name: string, results: CallResult[], told: string[], runs: number];
+type Row = [
+	name: string,
+	results: CallResult[],
+	expectedResults: string[],
+	runs: number,
+];
 
 const answer: CallResult = {
 	kind: 'answer',
@@ -173,7 +178,7 @@
 	],
 ];
 
-for (const [name, results, told, runs] of rows) {
+for (const [name, results, expectedResults, runs] of rows) {
 	tap.t.test(`dispatch gives: ${name}`, async (t) => {
 		const embedded = createEmbeddedSettings();
 		const tables = platform.createMemoryTableService();
@@ -202,15 +207,15 @@
 			idempotent: false,
 			cancellation: createCancellation(),
 		} as unknown as Call;
-		for (const [index, expected] of told.entries()) {
-			const keyed = createEntry(`entry-${index}`);
-			const result = await keyed.layer(next)(call);
+		for (const [index, expected] of expectedResults.entries()) {
+			const calls = createEntry(`entry-${index}`);
+			const result = await calls.layer(next)(call);
 			t.equal(
 				result.kind === 'answer' ? result.executor : result.error,
 				expected,
 			);
-			await keyed.part.stop(now() + 5000);
-			t.equal(keyed.getOpenCount(), 0);
+			await calls.part.stop(now() + 5000);
+			t.equal(calls.getOpenCount(), 0);
 		}
 
 		t.equal(count, runs);
--- a/packages/daemon/src/idempotency/at-most-once-calls.ts
+++ b/packages/daemon/src/idempotency/at-most-once-calls.ts
@@ -1,7 +1,7 @@
 /**
- * The layer that runs a non-repeatable call at most once. It stands outside
- * admission and dispatch: what they refuse is told `not-run` only after the
- * entry holds the key's row, so that it is true of the key.
+ * The layer that runs a non-repeatable call at most once. It wraps admission
+ * and dispatch, so that a call they refuse is answered `not-run` only after the
+ * entry has claimed the key's row.
  */
 import {createHash} from 'node:crypto';
 import * as core from '@gullstand/core';
@@ -26,7 +26,7 @@
 type Reply = core.idempotency.Reply;
 type RunResult = core.idempotency.RunResult;
 
-/** What the layer is made of. */
+/** Dependencies of the layer. */
 export type AtMostOnceCallsDeps = {
 	readonly tables: TableService;
 	readonly objects: ObjectStore;
@@ -39,17 +39,17 @@
 	readonly now: () => number;
 };
 
-/** The layer, and the part that ends it. */
+/** The layer, and the part that stops it. */
 export type AtMostOnceCalls = {
 	readonly layer: CallLayer;
 	readonly part: Part;
-	/** Attempts that are open on this entry. */
+	/** Number of open attempts on this entry. */
 	readonly getOpenCount: () => number;
-	/** Transactions sent to the store so far. */
+	/** Number of transactions sent to the store. */
 	readonly getCommitCount: () => number;
 };
 
-/** Named as the executor of an answer that came from the store. */
+/** Reported as the executor of an answer from the store. */
 const storedAnswerExecutor = 'stored-answer';
 
 const toRunResult = (result: CallResult): RunResult => {
@@ -81,30 +81,30 @@
 	};
 };
 
-/** Ends a streamed answer that nobody reads. */
+/** Cancels a streamed answer that nobody reads. */
 const cancelStream = async (result: CallResult) => {
 	if (result.kind === 'answer' && !(result.body instanceof Uint8Array)) {
 		await result.body.cancel();
 	}
 };
 
-/** True if what the call's own dispatch gave is what its caller is told. */
-const isOwnReply = (reply: Reply, own: CallResult): boolean =>
-	own.kind === 'answer'
+/** True if the caller receives the result of this call's own dispatch. */
+const isOwnReply = (reply: Reply, ownResult: CallResult): boolean =>
+	ownResult.kind === 'answer'
 		? reply.kind === 'answer' || reply.error === 'answer-not-kept'
-		: reply.kind === 'error' && reply.error === own.error;
+		: reply.kind === 'error' && reply.error === ownResult.error;
 
-/** Runs one call under its key. */
+/** Runs one call under its idempotency key. */
 const runKeyed = async (
-	keeper: RequestDeduplicator,
+	deduplicator: RequestDeduplicator,
 	call: Call,
 	key: string,
 	next: CallHandler,
 ): Promise<CallResult> => {
-	let own: CallResult | undefined;
+	let ownResult: CallResult | undefined;
 	let isReplied = false;
 	const {contract, service, method, path, body, cancellation} = call;
-	const reply = await keeper.handle({
+	const reply = await deduplicator.handle({
 		customer: contract.customer,
 		key,
 		service: service.name,
@@ -115,47 +115,47 @@
 		cancellation,
 		async dispatch(dispatchBy) {
 			const deadline = Math.min(call.deadline, dispatchBy);
-			// What was sent goes on without its caller: the answer is recorded.
+			// A sent call continues without its caller, to record the answer.
 			const sent = {...call, deadline, cancellation: createCancellation()};
-			own = await next(sent);
-			const result = toRunResult(own);
-			await (isReplied ? cancelStream(own) : undefined);
+			ownResult = await next(sent);
+			const result = toRunResult(ownResult);
+			await (isReplied ? cancelStream(ownResult) : undefined);
 			return result;
 		},
 	});
 	isReplied = true;
-	if (own === undefined) {
+	if (ownResult === undefined) {
 		return toCallResult(reply);
 	}
 
-	if (isOwnReply(reply, own)) {
-		return own;
+	if (isOwnReply(reply, ownResult)) {
+		return ownResult;
 	}
 
-	await cancelStream(own);
+	await cancelStream(ownResult);
 	return toCallResult(reply);
 };
 
-/** Ends when the keeper has, or at a deadline of `now`. */
-const stopKeeper = async (
-	keeper: RequestDeduplicator,
+/** Waits for the deduplicator to stop, until a deadline by `now`. */
+const stopDeduplicator = async (
+	deduplicator: RequestDeduplicator,
 	deadline: number,
 	now: () => number,
 ) => {
 	let cancel: (() => void) | undefined;
-	const late = new Promise<void>((resolve) => {
+	const deadlineReached = new Promise<void>((resolve) => {
 		cancel = createSystemClock(now).callAt(deadline, resolve);
 	});
-	await Promise.race([keeper.stop(), late]);
+	await Promise.race([deduplicator.stop(), deadlineReached]);
 	cancel?.();
 };
 
-/** Makes the layer; calls that may be repeated pass it untouched. */
+/** Creates the layer; passes repeatable calls through. */
 export const createAtMostOnceCalls = (
 	deps: AtMostOnceCallsDeps,
 ): AtMostOnceCalls => {
 	const {now, ...rest} = deps;
-	const keeper = createRequestDeduplicator({
+	const deduplicator = createRequestDeduplicator({
 		...rest,
 		clock: createSystemClock(now),
 		randomness: systemRandomness,
@@ -169,7 +169,7 @@
 		const text = Array.isArray(header) ? header.join(',') : header;
 		const key = core.idempotency.parseKey(text);
 		return key.ok
-			? runKeyed(keeper, call, key.value, next)
+			? runKeyed(deduplicator, call, key.value, next)
 			: createError(key.error);
 	};
 
@@ -180,9 +180,9 @@
 			async start() {
 				// Works on demand.
 			},
-			stop: async (deadline) => stopKeeper(keeper, deadline, now),
+			stop: async (deadline) => stopDeduplicator(deduplicator, deadline, now),
 		},
-		getOpenCount: keeper.getOpenCount,
-		getCommitCount: keeper.getCommitCount,
+		getOpenCount: deduplicator.getOpenCount,
+		getCommitCount: deduplicator.getCommitCount,
 	};
 };
--- a/packages/daemon/src/idempotency/attempt-runner.ts
+++ b/packages/daemon/src/idempotency/attempt-runner.ts
@@ -1,4 +1,4 @@
-/** Runs one attempt: makes the core's calls and feeds their ends back. */
+/** Runs one attempt: performs the core's commands and reports their results. */
 import * as core from '@gullstand/core';
 import type {Result} from '@gullstand/core';
 import type {ObjectStore, TableService} from '@gullstand/ports';
@@ -15,10 +15,10 @@
 type Reply = core.idempotency.Reply;
 type RunResult = core.idempotency.RunResult;
 
-/** Sends the request to an executor. No byte goes out after `dispatchBy`. */
+/** Sends the request to an executor; sends no byte after `dispatchBy`. */
 export type Dispatch = (dispatchBy: number) => Promise<RunResult>;
 
-/** What attempts share. */
+/** Dependencies that attempts share. */
 export type AttemptRunnerPorts = {
 	readonly tables: TableService;
 	readonly objects: ObjectStore;
@@ -26,7 +26,7 @@
 	readonly clock: Clock;
 };
 
-/** One attempt to run. */
+/** Options of one attempt. */
 export type AttemptRunnerOptions = {
 	readonly ports: AttemptRunnerPorts;
 	readonly rowKey: string;
@@ -34,28 +34,28 @@
 	readonly settings: core.idempotency.Settings;
 	readonly dispatch: Dispatch;
 	readonly onReply: (reply: Reply) => void;
-	/** Nothing of the attempt is left to do. */
+	/** Called once the attempt has no work left. */
 	readonly onEnd: () => void;
 };
 
 /** A running attempt. */
 export type AttemptRunner = {
-	/** Tells that no caller waits any more; true if it goes on to answer. */
+	/** Reports that no caller waits; true if the attempt will still answer. */
 	readonly reportCallerGone: () => boolean;
 };
 
 type State = {
 	attempt: Attempt | undefined;
 	cancelWake: () => void;
-	/** Takes the write that is out back, if it was not yet sent. */
+	/** Cancels the pending write; false if it was sent. */
 	withdraw: () => boolean;
 };
 
 const noWake = () => undefined;
 const noWithdraw = () => false;
 
-/** A call that throws had no reply. */
-const settleCall = async <Value, Failure>(
+/** Treats a call that throws as one without a reply. */
+const runCall = async <Value, Failure>(
 	call: () => Promise<Result<Value, Failure>>,
 ): Promise<Result<Value, Failure | {readonly kind: 'timeout'}>> => {
 	try {
@@ -65,8 +65,8 @@
 	}
 };
 
-/** A dispatch that throws may have sent the request. */
-const settleDispatch = async (
+/** Treats a dispatch that throws as lost: the request may have been sent. */
+const runDispatch = async (
 	dispatch: Dispatch,
 	dispatchBy: number,
 ): Promise<RunResult> => {
@@ -77,7 +77,7 @@
 	}
 };
 
-/** Starts an attempt; its reply and end are told once each. */
+/** Starts an attempt; calls `onReply` and `onEnd` once each. */
 export const runAttempt = (options: AttemptRunnerOptions): AttemptRunner => {
 	const {ports, rowKey, claim, settings, dispatch, onReply, onEnd} = options;
 	const {tables, objects, writer, clock} = ports;
@@ -88,7 +88,7 @@
 	};
 
 	const read = async () => {
-		const result = await settleCall(async () =>
+		const result = await runCall(async () =>
 			tables.get(idempotencyTable, rowKey),
 		);
 		update({
@@ -116,17 +116,17 @@
 	};
 
 	const run = async (dispatchBy: number) => {
-		const result = await settleDispatch(dispatch, dispatchBy);
+		const result = await runDispatch(dispatch, dispatchBy);
 		update({kind: 'ran', result});
 	};
 
 	const putObject = async (name: string, body: Uint8Array) => {
-		const result = await settleCall(async () => objects.put(name, body));
+		const result = await runCall(async () => objects.put(name, body));
 		update({kind: 'object-put', isKept: result.ok});
 	};
 
 	const getObject = async (name: string) => {
-		const result = await settleCall(async () => objects.get(name));
+		const result = await runCall(async () => objects.get(name));
 		update({kind: 'object-got', body: result.ok ? result.value : undefined});
 	};
 
@@ -174,7 +174,7 @@
 		update({kind: 'tick'});
 	};
 
-	const take = (step: core.idempotency.Step) => {
+	const applyStep = (step: core.idempotency.Step) => {
 		state.attempt = step.attempt;
 		state.cancelWake();
 		state.cancelWake = noWake;
@@ -199,10 +199,10 @@
 			return;
 		}
 
-		take(core.idempotency.updateAttempt(attempt, event, clock.getTime()));
+		applyStep(core.idempotency.updateAttempt(attempt, event, clock.getTime()));
 	};
 
-	take(core.idempotency.createAttempt(claim, settings, clock.getTime()));
+	applyStep(core.idempotency.createAttempt(claim, settings, clock.getTime()));
 	return {
 		reportCallerGone() {
 			update({kind: 'caller-gone'});
--- a/packages/daemon/src/idempotency/deferred.ts
+++ b/packages/daemon/src/idempotency/deferred.ts
@@ -4,7 +4,7 @@
 	readonly resolve: (value: Value) => void;
 };
 
-/** Makes an unresolved promise. */
+/** Creates an unresolved promise. */
 export const createDeferred = <Value>(): Deferred<Value> => {
 	const resolvers: Array<(value: Value) => void> = [];
 	const promise = new Promise<Value>((resolve) => {
--- a/packages/daemon/src/idempotency/group-writer.test.ts
+++ b/packages/daemon/src/idempotency/group-writer.test.ts
@@ -18,7 +18,7 @@
 	expiresAt: 3,
 });
 
-const createWorld = (
+const createFixture = (
 	changes: {maxWrites?: number; maxCommits?: number} = {},
 ) => {
 	const {maxWrites = 100, maxCommits = 4} = changes;
@@ -28,17 +28,17 @@
 		maxWritesPerCommit: maxWrites,
 	});
 	const commits: Array<{at: number; keys: string}> = [];
-	let out = 0;
-	let mostOut = 0;
+	let inFlight = 0;
+	let maxInFlight = 0;
 	const writer = createGroupWriter({
 		tables: {
 			...inner,
 			async commit(writes, operationId) {
 				const keys = writes.map(({key}) => key).join('');
 				commits.push({at: clock.getNow(), keys});
-				mostOut = Math.max(mostOut, ++out);
+				maxInFlight = Math.max(maxInFlight, ++inFlight);
 				await clock.wait(commitMs);
-				out--;
+				inFlight--;
 				return inner.commit(writes, operationId);
 			},
 		},
@@ -50,11 +50,11 @@
 		settings: {...defaultGroupSettings, spacingMs, windowMs, maxCommits},
 	});
 	const ends: string[] = [];
-	/** Plans a write at a time; the result takes it back. */
+	/** Schedules a write; the returned function cancels it. */
 	const write = (at: number, key: string, isUrgent = true) => {
-		let withdraw = () => false;
+		let cancel = () => false;
 		clock.callAt(at, () => {
-			withdraw = writer.write({
+			cancel = writer.write({
 				key,
 				row: createRow(key),
 				when: {kind: 'absent'},
@@ -64,19 +64,19 @@
 				},
 			});
 		});
-		return () => withdraw();
+		return () => cancel();
 	};
 
-	return {clock, commits, ends, write, getMostOut: () => mostOut};
+	return {clock, commits, ends, write, getMaxInFlight: () => maxInFlight};
 };
 
 type Planned = [at: number, key: string, isUrgent: boolean];
 type Row = [name: string, planned: Planned[], commits: Array<[number, string]>];
 
 const rows: Row[] = [
-	['one that is waited for goes at once', [[5, 'a', true]], [[5, 'a']]],
+	['an urgent write is sent immediately', [[5, 'a', true]], [[5, 'a']]],
 	[
-		'others wait for the spacing, and go together',
+		'later writes wait for the spacing and share a commit',
 		[
 			[0, 'a', true],
 			[1, 'b', true],
@@ -89,9 +89,13 @@
 			[50, 'd'],
 		],
 	],
-	['one that is not waited for is held', [[0, 'a', false]], [[100, 'a']]],
 	[
-		'it goes along with one that is waited for',
+		'a write that is not urgent waits for the window',
+		[[0, 'a', false]],
+		[[100, 'a']],
+	],
+	[
+		'a write that is not urgent joins an urgent one',
 		[
 			[0, 'a', false],
 			[40, 'b', true],
@@ -99,7 +103,7 @@
 		[[40, 'ab']],
 	],
 	[
-		'a key goes once in a commit',
+		'a commit holds each key once',
 		[
 			[0, 'x', true],
 			[1, 'a', true],
@@ -116,63 +120,63 @@
 
 for (const [name, planned, expected] of rows) {
 	tap.t.test(`sends: ${name}`, async (t) => {
-		const world = createWorld();
+		const fixture = createFixture();
 		for (const each of planned) {
-			world.write(...each);
+			fixture.write(...each);
 		}
 
-		await world.clock.runUntil(1000);
+		await fixture.clock.runUntil(1000);
 		t.same(
-			world.commits.map(({at, keys}) => [at, keys]),
+			fixture.commits.map(({at, keys}) => [at, keys]),
 			expected,
 		);
-		t.equal(world.ends.length, planned.length, 'each ends once');
+		t.equal(fixture.ends.length, planned.length, 'each ends once');
 	});
 }
 
-tap.t.test('a write that was not sent can be taken back', async (t) => {
-	const world = createWorld();
-	const withdrawFirst = world.write(0, 'a');
-	const withdrawSecond = world.write(1, 'b');
-	await world.clock.runUntil(10);
-	t.equal(withdrawFirst(), false, 'sent');
-	t.equal(withdrawSecond(), true, 'queued');
-	t.equal(withdrawSecond(), false, 'taken back before');
-	await world.clock.runUntil(1000);
-	t.same(world.ends, ['a committed']);
-	t.equal(world.commits.length, 1);
+tap.t.test('a write that was not sent can be cancelled', async (t) => {
+	const fixture = createFixture();
+	const cancelFirst = fixture.write(0, 'a');
+	const cancelSecond = fixture.write(1, 'b');
+	await fixture.clock.runUntil(10);
+	t.equal(cancelFirst(), false, 'sent');
+	t.equal(cancelSecond(), true, 'queued');
+	t.equal(cancelSecond(), false, 'cancelled before');
+	await fixture.clock.runUntil(1000);
+	t.same(fixture.ends, ['a committed']);
+	t.equal(fixture.commits.length, 1);
 });
 
-tap.t.test('what is too large goes in halves', async (t) => {
-	const world = createWorld({maxWrites: 2});
-	world.write(0, 'x');
+tap.t.test('a group that is too large is split in halves', async (t) => {
+	const fixture = createFixture({maxWrites: 2});
+	fixture.write(0, 'x');
 	for (const key of ['a', 'b', 'c', 'd', 'e']) {
-		world.write(1, key);
+		fixture.write(1, key);
 	}
 
-	await world.clock.runUntil(1000);
+	await fixture.clock.runUntil(1000);
 	t.same(
-		world.commits.map(({keys}) => keys),
+		fixture.commits.map(({keys}) => keys),
 		['x', 'abcde', 'abc', 'de', 'ab', 'c'],
 	);
-	t.ok(world.ends.every((end) => end.endsWith('committed')));
-	t.equal(world.ends.length, 6);
+	t.ok(fixture.ends.every((end) => end.endsWith('committed')));
+	t.equal(fixture.ends.length, 6);
 });
 
-tap.t.test('one that is too large by itself is refused', async (t) => {
-	const world = createWorld({maxWrites: 0});
-	world.write(0, 'a');
-	await world.clock.runUntil(1000);
-	t.same(world.ends, ['a refused']);
+tap.t.test('a single write that is too large is refused', async (t) => {
+	const fixture = createFixture({maxWrites: 0});
+	fixture.write(0, 'a');
+	await fixture.clock.runUntil(1000);
+	t.same(fixture.ends, ['a refused']);
 });
 
-tap.t.test('commits that are out are bounded', async (t) => {
-	const world = createWorld({maxCommits: 2});
+tap.t.test('the number of commits in flight is bounded', async (t) => {
+	const fixture = createFixture({maxCommits: 2});
 	for (let index = 0; index < 5 * defaultGroupSettings.maxRows; index++) {
-		world.write(0, `${index} `);
+		fixture.write(0, `${index} `);
 	}
 
-	await world.clock.runUntil(1000);
-	t.equal(world.getMostOut(), 2);
-	t.equal(world.ends.length, 5 * defaultGroupSettings.maxRows);
+	await fixture.clock.runUntil(1000);
+	t.equal(fixture.getMaxInFlight(), 2);
+	t.equal(fixture.ends.length, 5 * defaultGroupSettings.maxRows);
 });
--- a/packages/daemon/src/idempotency/group-writer.ts
+++ b/packages/daemon/src/idempotency/group-writer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes rows of keys by group commit. Writes that come between two sends, or
- * while all commits allowed at once are out, share the next transaction.
+ * Writes idempotency rows by group commit. Writes that arrive between two
+ * commits, or while the maximum of commits is in flight, share the next
+ * transaction.
  */
 import * as core from '@gullstand/core';
 import type {Result} from '@gullstand/core';
@@ -17,24 +18,24 @@
 type When = core.idempotency.When;
 type WriteResult = core.idempotency.WriteResult;
 
-/** Table of the rows. */
+/** Table of idempotency rows. */
 export const idempotencyTable = 'idempotency';
 
 /** How writes are grouped. */
 export type GroupSettings = core.idempotency.GroupLimits & {
 	/**
-	 * Least time between two sends. A write that a caller waits for goes at
-	 * once if none went within it, so that few requests have no added delay
-	 * and many cost the store no more than one send in this time.
+	 * Minimum time between two commits, in milliseconds. An urgent write is sent
+	 * immediately if no commit started within this time, so that a low request
+	 * rate has no added delay and a high one does not overload the store.
 	 */
 	readonly spacingMs: number;
-	/** How long a write that no caller waits for is held for others. */
+	/** How long a write that is not urgent waits to be grouped. */
 	readonly windowMs: number;
-	/** Transactions that are out at once. */
+	/** Maximum number of transactions in flight. */
 	readonly maxCommits: number;
 };
 
-/** Settings where the operator gives none. */
+/** Settings used if the operator sets none. */
 export const defaultGroupSettings: GroupSettings = {
 	maxRows: 50,
 	maxBytes: 262_144,
@@ -43,7 +44,7 @@
 	maxCommits: 4,
 };
 
-/** What the writer is made of. */
+/** Options of the group writer. */
 export type GroupWriterOptions = {
 	readonly tables: TableService;
 	readonly clock: Clock;
@@ -56,15 +57,16 @@
 	readonly key: string;
 	readonly row: KeyRow;
 	readonly when: When;
+	/** True if a caller waits for the write. */
 	readonly isUrgent: boolean;
 	readonly onEnd: (result: WriteResult) => void;
 };
 
-/** Writes rows; each write's end is told once. */
+/** Writes rows; calls `onEnd` once for each write. */
 export type GroupWriter = {
-	/** Queues a write; the result takes it back if it was not yet sent. */
+	/** Queues a write; the returned function cancels it if it was not sent. */
 	readonly write: (write: RowWrite) => () => boolean;
-	/** Transactions sent so far. */
+	/** Number of transactions sent. */
 	readonly getCommitCount: () => number;
 };
 
@@ -72,11 +74,11 @@
 
 type State = {
 	queue: Entry[];
-	commitsOut: number;
+	commitsInFlight: number;
 	commitCount: number;
 	lastSentAt: number;
-	/** When the queue is sent next, and how to cancel that. */
-	wake: {readonly at: number; readonly cancel: () => void} | undefined;
+	/** When the queue is sent next, and how to cancel the timer. */
+	timer: {readonly at: number; readonly cancel: () => void} | undefined;
 };
 
 const toStored = (row: Row): core.idempotency.StoredRow => ({
@@ -84,27 +86,26 @@
 	row: core.idempotency.parseRow(row.value),
 });
 
-/** A row as the core reads it. */
+/** Converts a row to the core's form. */
 export const readStored = (
 	row: Row | undefined,
 ): core.idempotency.StoredRow | undefined =>
 	row === undefined ? undefined : toStored(row);
 
-const endAll = (entries: readonly Entry[], result: WriteResult) => {
+const completeAll = (entries: readonly Entry[], result: WriteResult) => {
 	for (const entry of entries) {
 		entry.onEnd(result);
 	}
 };
 
-/** Makes a writer over a table service. */
 export const createGroupWriter = (options: GroupWriterOptions): GroupWriter => {
 	const {tables, clock, randomness, settings} = options;
 	const state: State = {
 		queue: [],
-		commitsOut: 0,
+		commitsInFlight: 0,
 		commitCount: 0,
 		lastSentAt: Number.NEGATIVE_INFINITY,
-		wake: undefined,
+		timer: undefined,
 	};
 
 	const commit = async (
@@ -134,7 +135,7 @@
 		);
 	};
 
-	/** Commits a group until each of its writes has its own end. */
+	/** Commits a group, with regrouping until each write has its result. */
 	const commitGroup = async (
 		entries: readonly Entry[],
 		conflicts: number,
@@ -155,8 +156,8 @@
 		switch (error.kind) {
 			case 'conflict': {
 				const current = readStored(error.current);
-				const loser = entries.find((entry) => entry.key === error.key);
-				loser?.onEnd({kind: 'conflict', current});
+				const conflicting = entries.find((entry) => entry.key === error.key);
+				conflicting?.onEnd({kind: 'conflict', current});
 				await commitGroups(
 					core.idempotency.regroupAfterConflict(entries, error.key, conflicts),
 					conflicts + 1,
@@ -167,7 +168,7 @@
 			case 'too-large': {
 				const groups = core.idempotency.regroupAfterTooLarge(entries);
 				if (groups.length === 0) {
-					endAll(entries, {kind: 'refused'});
+					completeAll(entries, {kind: 'refused'});
 				}
 
 				await commitGroups(groups, conflicts);
@@ -175,52 +176,55 @@
 			}
 
 			case 'unavailable': {
-				endAll(entries, {kind: 'refused'});
+				completeAll(entries, {kind: 'refused'});
 				break;
 			}
 
 			case 'timeout': {
-				endAll(entries, {kind: 'lost'});
+				completeAll(entries, {kind: 'lost'});
 				break;
 			}
 		}
 	};
 
 	const send = async (entries: readonly Entry[]) => {
-		state.commitsOut++;
+		state.commitsInFlight++;
 		await commitGroup(entries, 0);
-		state.commitsOut--;
+		state.commitsInFlight--;
 		if (state.queue.length > 0) {
-			wakeAfter(0);
+			scheduleSend(0);
 		}
 	};
 
 	const sendQueue = () => {
-		state.wake?.cancel();
-		state.wake = undefined;
+		state.timer?.cancel();
+		state.timer = undefined;
 		state.lastSentAt = clock.getTime().now;
-		while (state.queue.length > 0 && state.commitsOut < settings.maxCommits) {
+		while (
+			state.queue.length > 0 &&
+			state.commitsInFlight < settings.maxCommits
+		) {
 			const {taken, left} = core.idempotency.takeGroup(state.queue, settings);
 			state.queue = [...left];
 			void send(taken);
 		}
 	};
 
-	/** Sends the queue after a delay, and not before the spacing allows. */
-	const wakeAfter = (delayMs: number) => {
+	/** Schedules the queue after a delay, no earlier than the spacing allows. */
+	const scheduleSend = (delayMs: number) => {
 		const at = Math.max(
 			clock.getTime().now + delayMs,
 			state.lastSentAt + settings.spacingMs,
 		);
-		if (state.wake !== undefined && state.wake.at <= at) {
+		if (state.timer !== undefined && state.timer.at <= at) {
 			return;
 		}
 
-		state.wake?.cancel();
-		state.wake = {at, cancel: clock.callAt(at, sendQueue)};
+		state.timer?.cancel();
+		state.timer = {at, cancel: clock.callAt(at, sendQueue)};
 	};
 
-	const withdraw = (entry: Entry): boolean => {
+	const cancelWrite = (entry: Entry): boolean => {
 		const isQueued = state.queue.includes(entry);
 		state.queue = state.queue.filter((each) => each !== entry);
 		return isQueued;
@@ -230,8 +234,8 @@
 		const bytes = JSON.stringify(rowWrite.row).length;
 		const entry: Entry = {...rowWrite, bytes};
 		state.queue.push(entry);
-		wakeAfter(rowWrite.isUrgent ? 0 : settings.windowMs);
-		return () => withdraw(entry);
+		scheduleSend(rowWrite.isUrgent ? 0 : settings.windowMs);
+		return () => cancelWrite(entry);
 	};
 
 	return {write, getCommitCount: () => state.commitCount};
--- a/packages/daemon/src/idempotency/idempotency-settings.ts
+++ b/packages/daemon/src/idempotency/idempotency-settings.ts
@@ -1,4 +1,4 @@
-/** The operator's settings of at-most-once requests, as the parts take them. */
+/** Converts the operator's idempotency settings to those of the modules. */
 import * as core from '@gullstand/core';
 import {type GroupSettings, defaultGroupSettings} from './group-writer.js';
 
@@ -16,7 +16,7 @@
 	readonly maxAttempts: number;
 };
 
-/** Settings of the decisions, with what operators do not set. */
+/** Settings of the core, with defaults for those not set by operators. */
 export const getDecisionSettings = (
 	cfg: IdempotencySettings,
 ): core.idempotency.Settings => {
@@ -30,6 +30,6 @@
 	spacingMs: cfg.commitSpacingMs,
 });
 
-/** Shortest retention that is safe with the other settings. */
+/** Minimum safe retention with the other settings, in milliseconds. */
 export const getShortestRetentionMs = (cfg: IdempotencySettings): number =>
 	core.idempotency.getShortestRetentionMs(getDecisionSettings(cfg));
--- a/packages/daemon/src/idempotency/index.ts
+++ b/packages/daemon/src/idempotency/index.ts
@@ -1,4 +1,4 @@
-/** At-most-once requests of an entry; docs/design/at-most-once.md. */
+/** At-most-once execution of requests. Source: docs/design/at-most-once.md. */
 export type * from './ports.js';
 export * from './system-clock.js';
 export type {Dispatch} from './attempt-runner.js';
--- a/packages/daemon/src/idempotency/ports.ts
+++ b/packages/daemon/src/idempotency/ports.ts
@@ -1,17 +1,17 @@
-/** What the shell of at-most-once requests is given from outside. */
+/** Clock and randomness that at-most-once requests depend on. */
 import type * as core from '@gullstand/core';
 
-/** Clocks and timers, so that tests and benches drive the same code. */
+/** Clocks and timers; tests and benches replace them. */
 export type Clock = {
 	readonly getTime: () => core.idempotency.Time;
-	/** Calls back once at a moment of `now`; returns how to cancel it. */
+	/** Calls back once at a time by `now`; returns the cancel function. */
 	readonly callAt: (at: number, callback: () => void) => () => void;
 };
 
 /** Sources of randomness. */
 export type Randomness = {
-	/** An id that no other process makes. */
+	/** Returns a globally unique id. */
 	readonly createId: () => string;
-	/** A number from 0 to 1. */
+	/** Returns a number in [0, 1). */
 	readonly draw: () => number;
 };
--- a/packages/daemon/src/idempotency/request-deduplicator.test.ts
+++ b/packages/daemon/src/idempotency/request-deduplicator.test.ts
@@ -22,8 +22,8 @@
 	answer: {status: 201, headers: [['a', 'b']], body: Buffer.from(body)},
 });
 
-/** Two entries over one store, and an executor that counts. */
-const createWorld = (group = defaultGroupSettings) => {
+/** Entries over one store, and an executor that counts its runs. */
+const createFixture = (group = defaultGroupSettings) => {
 	const clock = standIn.createVirtualClock();
 	const tables = platform.createMemoryTableService();
 	const objects = platform.createMemoryObjectStore();
@@ -70,7 +70,7 @@
 		},
 		...changes,
 	});
-	/** Runs the clock until a reply is there. */
+	/** Advances the clock past the deadline and returns the reply. */
 	const wait = async <Value>(promise: Promise<Value>): Promise<Value> => {
 		await clock.runUntil(clock.getNow() + 2 * deadlineMs);
 		return promise;
@@ -98,7 +98,7 @@
 	readonly faults: readonly Fault[];
 	readonly result: RunResult;
 	readonly first: string;
-	/** After the first reply, on another entry. */
+	/** Reply to a repeat on another entry, sent after the first reply. */
 	readonly second: string;
 	readonly runs: number;
 };
@@ -125,7 +125,7 @@
 		runs: 1,
 	},
 	{
-		name: 'a declared refusal gives the key back',
+		name: 'a declared refusal releases the key',
 		faults: [],
 		result: refused,
 		first: 'upstream-refused not-run',
@@ -133,7 +133,7 @@
 		runs: 2,
 	},
 	{
-		name: 'a refusal whose release has no reply gives the key back',
+		name: 'a refusal whose release has no reply releases the key',
 		faults: ['none', 'none', 'reply-lost'],
 		result: refused,
 		first: 'upstream-refused not-run',
@@ -181,7 +181,7 @@
 		runs: 1,
 	},
 	{
-		name: 'the started write stays in doubt, and is given back later',
+		name: 'the started write stays unknown and is released later',
 		faults: ['none', 'reply-lost', ...down, ...down, ...down],
 		result: answer('x'),
 		first: 'store-unknown unknown',
@@ -200,28 +200,31 @@
 
 for (const row of table) {
 	tap.t.test(row.name, async (t) => {
-		const world = createWorld();
+		const fixture = createFixture();
 		const [one, two] = ['entry-1', 'entry-2'].map((name) =>
-			world.createEntry(name),
+			fixture.createEntry(name),
 		);
-		world.control.script(row.faults);
-		const first = one?.handle(world.createRequest(row.result));
-		t.equal(first && describe(await world.wait(first)), row.first);
-		const second = two?.handle(world.createRequest(row.result));
-		t.equal(second && describe(await world.wait(second)), row.second);
-		t.equal(world.getRuns(), row.runs);
+		fixture.control.script(row.faults);
+		const first = one?.handle(fixture.createRequest(row.result));
+		t.equal(first && describe(await fixture.wait(first)), row.first);
+		const second = two?.handle(fixture.createRequest(row.result));
+		t.equal(second && describe(await fixture.wait(second)), row.second);
+		t.equal(fixture.getRuns(), row.runs);
 		t.equal(one?.getOpenCount(), 0);
 		t.equal(two?.getOpenCount(), 0);
 	});
 }
 
-tap.t.test('requests at once on two entries run once', async (t) => {
-	const world = createWorld();
-	const entries = [world.createEntry('entry-1'), world.createEntry('entry-2')];
-	const replies = await world.wait(
+tap.t.test('concurrent requests on two entries run once', async (t) => {
+	const fixture = createFixture();
+	const entries = [
+		fixture.createEntry('entry-1'),
+		fixture.createEntry('entry-2'),
+	];
+	const replies = await fixture.wait(
 		Promise.all(
 			[...entries, ...entries].map(async (each) =>
-				each.handle(world.createRequest(answer('x'))),
+				each.handle(fixture.createRequest(answer('x'))),
 			),
 		),
 	);
@@ -231,77 +234,85 @@
 		'x again',
 		'x again',
 	]);
-	t.equal(world.getRuns(), 1);
+	t.equal(fixture.getRuns(), 1);
 });
 
 tap.t.test('another body under the key is refused', async (t) => {
-	const world = createWorld();
-	const entry = world.createEntry('entry-1');
-	await world.wait(entry.handle(world.createRequest(answer('x'))));
-	const other = world.createRequest(answer('x'), {bodyHash: 'other'});
-	const reply = await world.wait(entry.handle(other));
+	const fixture = createFixture();
+	const entry = fixture.createEntry('entry-1');
+	await fixture.wait(entry.handle(fixture.createRequest(answer('x'))));
+	const other = fixture.createRequest(answer('x'), {bodyHash: 'other'});
+	const reply = await fixture.wait(entry.handle(other));
 	t.equal(describe(reply), 'key-reused not-run');
-	const customer = world.createRequest(answer('x'), {customer: 'other'});
-	t.equal(describe(await world.wait(entry.handle(customer))), 'x');
+	const customer = fixture.createRequest(answer('x'), {customer: 'other'});
+	t.equal(describe(await fixture.wait(entry.handle(customer))), 'x');
 });
 
-tap.t.test('a slow store is given up in bounded time', async (t) => {
-	const world = createWorld();
-	const entry = world.createEntry('entry-1');
-	world.control.set({requestLostShare: 1});
-	const startedAt = world.clock.getNow();
-	let repliedAt = Number.NaN;
-	const send = async () => {
-		const reply = await entry.handle(world.createRequest(answer('x')));
-		repliedAt = world.clock.getNow();
-		return reply;
-	};
+tap.t.test(
+	'a request fails in bounded time if the store does not answer',
+	async (t) => {
+		const fixture = createFixture();
+		const entry = fixture.createEntry('entry-1');
+		fixture.control.set({requestLostShare: 1});
+		const startedAt = fixture.clock.getNow();
+		let repliedAt = Number.NaN;
+		const send = async () => {
+			const reply = await entry.handle(fixture.createRequest(answer('x')));
+			repliedAt = fixture.clock.getNow();
+			return reply;
+		};
 
-	t.equal(describe(await world.wait(send())), 'key-unread unknown');
-	t.ok(repliedAt - startedAt <= core.idempotency.defaultSettings.storeWithinMs);
-	t.equal(world.getRuns(), 0);
-});
+		t.equal(describe(await fixture.wait(send())), 'key-unread unknown');
+		t.ok(
+			repliedAt - startedAt <= core.idempotency.defaultSettings.storeWithinMs,
+		);
+		t.equal(fixture.getRuns(), 0);
+	},
+);
 
-tap.t.test('nothing is sent for a caller that has gone', async (t) => {
-	const world = createWorld();
-	const entry = world.createEntry('entry-1');
-	const leaving = createCancellation();
-	world.control.set({delayMs: 50});
-	const reply = entry.handle(
-		world.createRequest(answer('x'), {cancellation: leaving}),
-	);
-	await world.clock.runUntil(60);
-	leaving.cancel();
-	t.equal(describe(await world.wait(reply)), 'cancelled unknown');
-	t.equal(world.getRuns(), 0);
-	const again = entry.handle(world.createRequest(answer('x')));
-	t.equal(describe(await world.wait(again)), 'x', 'the key was given back');
-});
+tap.t.test(
+	'nothing is dispatched for a caller that has disconnected',
+	async (t) => {
+		const fixture = createFixture();
+		const entry = fixture.createEntry('entry-1');
+		const cancellation = createCancellation();
+		fixture.control.set({delayMs: 50});
+		const reply = entry.handle(
+			fixture.createRequest(answer('x'), {cancellation}),
+		);
+		await fixture.clock.runUntil(60);
+		cancellation.cancel();
+		t.equal(describe(await fixture.wait(reply)), 'cancelled unknown');
+		t.equal(fixture.getRuns(), 0);
+		const again = entry.handle(fixture.createRequest(answer('x')));
+		t.equal(describe(await fixture.wait(again)), 'x', 'the key was released');
+	},
+);
 
 tap.t.test(
-	'what was sent is recorded though its caller has gone',
+	'the answer is recorded after its caller has disconnected',
 	async (t) => {
-		const world = createWorld();
-		const entry = world.createEntry('entry-1');
-		const leaving = createCancellation();
+		const fixture = createFixture();
+		const entry = fixture.createEntry('entry-1');
+		const cancellation = createCancellation();
 		const reply = entry.handle(
-			world.createRequest(answer('x'), {cancellation: leaving}),
+			fixture.createRequest(answer('x'), {cancellation}),
 		);
-		await world.clock.runUntil(60);
-		t.equal(world.getRuns(), 1);
-		leaving.cancel();
-		t.equal(describe(await world.wait(reply)), 'cancelled unknown');
-		const again = entry.handle(world.createRequest(answer('x')));
-		t.equal(describe(await world.wait(again)), 'x again');
-		t.equal(world.getRuns(), 1);
+		await fixture.clock.runUntil(60);
+		t.equal(fixture.getRuns(), 1);
+		cancellation.cancel();
+		t.equal(describe(await fixture.wait(reply)), 'cancelled unknown');
+		const again = entry.handle(fixture.createRequest(answer('x')));
+		t.equal(describe(await fixture.wait(again)), 'x again');
+		t.equal(fixture.getRuns(), 1);
 	},
 );
 
 tap.t.test('an entry stops when its attempts have ended', async (t) => {
-	const world = createWorld();
-	const entry = world.createEntry('entry-1');
-	const reply = entry.handle(world.createRequest(answer('x')));
-	await world.clock.runUntil(50);
+	const fixture = createFixture();
+	const entry = fixture.createEntry('entry-1');
+	const reply = entry.handle(fixture.createRequest(answer('x')));
+	await fixture.clock.runUntil(50);
 	let isStopped = false;
 	const stop = async () => {
 		await entry.stop();
@@ -309,40 +320,45 @@
 	};
 
 	const stopped = stop();
-	const late = entry.handle(world.createRequest(answer('x'), {key: 'late'}));
+	const late = entry.handle(fixture.createRequest(answer('x'), {key: 'late'}));
 	t.equal(describe(await late), 'key-unread unknown');
 	t.equal(isStopped, false);
-	t.equal(describe(await world.wait(reply)), 'x');
+	t.equal(describe(await fixture.wait(reply)), 'x');
 	await stopped;
 	t.equal(entry.getOpenCount(), 0);
 });
 
-tap.t.test('writes share commits, and a conflict fails one key', async (t) => {
-	const world = createWorld();
-	const [one, two] = [
-		world.createEntry('entry-1'),
-		world.createEntry('entry-2'),
-	];
-	const send = async (entry: typeof one, key: string) =>
-		describe(await entry.handle(world.createRequest(answer('x'), {key})));
-	const replies = await world.wait(
-		Promise.all([
-			...['1', '2', '3'].map(async (key) => send(one, key)),
-			...['3', '4', '5'].map(async (key) => send(two, key)),
-		]),
-	);
-	t.same(replies, ['x', 'x', 'x', 'x again', 'x', 'x']);
-	t.equal(world.getRuns(), 5);
-	t.equal(one.getCommitCount(), 2, 'started, finished');
-	t.equal(two.getCommitCount(), 3, 'started, the rest of it, finished');
-});
+tap.t.test(
+	'writes share commits, and a conflict affects one key',
+	async (t) => {
+		const fixture = createFixture();
+		const [one, two] = [
+			fixture.createEntry('entry-1'),
+			fixture.createEntry('entry-2'),
+		];
+		const send = async (entry: typeof one, key: string) =>
+			describe(await entry.handle(fixture.createRequest(answer('x'), {key})));
+		const replies = await fixture.wait(
+			Promise.all([
+				...['1', '2', '3'].map(async (key) => send(one, key)),
+				...['3', '4', '5'].map(async (key) => send(two, key)),
+			]),
+		);
+		t.same(replies, ['x', 'x', 'x', 'x again', 'x', 'x']);
+		t.equal(fixture.getRuns(), 5);
+		t.equal(one.getCommitCount(), 2, 'started, finished');
+		t.equal(two.getCommitCount(), 3, 'started, the rest of it, finished');
+	},
+);
 
-tap.t.test('one key with two bodies in one window', async (t) => {
-	const world = createWorld();
-	const entry = world.createEntry('entry-1');
+tap.t.test('concurrent requests with one key and two bodies', async (t) => {
+	const fixture = createFixture();
+	const entry = fixture.createEntry('entry-1');
 	const send = async (bodyHash: string) =>
-		describe(await entry.handle(world.createRequest(answer('x'), {bodyHash})));
-	const replies = await world.wait(Promise.all([send('h'), send('other')]));
+		describe(
+			await entry.handle(fixture.createRequest(answer('x'), {bodyHash})),
+		);
+	const replies = await fixture.wait(Promise.all([send('h'), send('other')]));
 	t.same(replies, ['x', 'key-reused not-run']);
-	t.equal(world.getRuns(), 1);
+	t.equal(fixture.getRuns(), 1);
 });
--- a/packages/daemon/src/idempotency/request-deduplicator.ts
+++ b/packages/daemon/src/idempotency/request-deduplicator.ts
@@ -1,7 +1,7 @@
 /**
- * At-most-once requests of one entry. Requests with the same key and
- * fingerprint share one attempt on this entry; the row in the table service
- * decides between entries.
+ * At-most-once execution of requests on one entry. Requests with the same key
+ * and fingerprint share one attempt on this entry; the row in the table service
+ * arbitrates between entries.
  */
 import {createHash} from 'node:crypto';
 import * as core from '@gullstand/core';
@@ -19,7 +19,7 @@
 
 type Reply = core.idempotency.Reply;
 
-/** What a keeper is made of. */
+/** Options of the request deduplicator. */
 export type RequestDeduplicatorOptions = {
 	readonly tables: TableService;
 	readonly objects: ObjectStore;
@@ -27,7 +27,7 @@
 	readonly randomness: Randomness;
 	readonly settings: core.idempotency.Settings;
 	readonly groupSettings: GroupSettings;
-	/** Attempts that are open at once, at most. */
+	/** Maximum number of open attempts. */
 	readonly maxAttempts: number;
 	readonly entry: string;
 	readonly incarnation: string;
@@ -36,26 +36,26 @@
 /** One request that may run at most once. */
 export type AtMostOnceRequest = core.idempotency.FingerprintParts & {
 	readonly customer: string;
-	/** As checked by `core.idempotency.parseKey`. */
+	/** Validated by `core.idempotency.parseKey`. */
 	readonly key: string;
-	/** When the caller is answered, by the clock's `now`. */
+	/** Time by which the caller is answered, by the clock's `now`. */
 	readonly deadline: number;
 	readonly dispatch: Dispatch;
-	/** Happens if the caller goes away. */
+	/** Fires if the caller disconnects. */
 	readonly cancellation?: Cancellation;
 };
 
-/** At-most-once requests of one entry. */
+/** Runs requests at most once. */
 export type RequestDeduplicator = {
 	readonly handle: (req: AtMostOnceRequest) => Promise<Reply>;
-	/** Takes no new requests; ends when all attempts have ended. */
+	/** Refuses new requests; resolves when all attempts have ended. */
 	readonly stop: () => Promise<void>;
 	readonly getOpenCount: () => number;
 	readonly getCommitCount: () => number;
 };
 
-/** An attempt that requests on this entry share. */
-type Shared = {
+/** An attempt that several requests on this entry share. */
+type SharedAttempt = {
 	readonly reply: Promise<Reply>;
 	runner: AttemptRunner | undefined;
 	waiters: number;
@@ -66,7 +66,7 @@
 		.update(core.idempotency.formatFingerprint(req))
 		.digest('base64url');
 
-const createError = (error: core.errors.ErrorKind): Reply => ({
+const createErrorReply = (error: core.errors.ErrorKind): Reply => ({
 	kind: 'error',
 	error,
 	outcome: core.errors.getErrorAnswer(error).outcome,
@@ -75,7 +75,6 @@
 const isStillRunning = (reply: Reply): boolean =>
 	reply.kind === 'error' && reply.error === 'still-running';
 
-/** Makes the keeper of one entry. */
 export const createRequestDeduplicator = (
 	options: RequestDeduplicatorOptions,
 ): RequestDeduplicator => {
@@ -88,18 +87,18 @@
 		settings: groupSettings,
 	});
 	const ports: AttemptRunnerPorts = {tables, objects, writer, clock};
-	const shared = new Map<string, Shared>();
+	const sharedAttempts = new Map<string, SharedAttempt>();
 	const stops: Array<() => void> = [];
 	let openCount = 0;
 	let isStopping = false;
 
-	const drop = (name: string, attempt: Shared) => {
-		if (shared.get(name) === attempt) {
-			shared.delete(name);
+	const removeShared = (name: string, attempt: SharedAttempt) => {
+		if (sharedAttempts.get(name) === attempt) {
+			sharedAttempts.delete(name);
 		}
 	};
 
-	const noteEnd = () => {
+	const recordEnd = () => {
 		openCount--;
 		if (isStopping && openCount === 0) {
 			for (const stop of stops) {
@@ -110,14 +109,14 @@
 
 	const start = (req: AtMostOnceRequest, name: string, fingerprint: string) => {
 		const deferred = createDeferred<Reply>();
-		const attempt: Shared = {
+		const attempt: SharedAttempt = {
 			reply: deferred.promise,
 			runner: undefined,
 			waiters: 0,
 		};
 		const operationId = randomness.createId();
 		openCount++;
-		shared.set(name, attempt);
+		sharedAttempts.set(name, attempt);
 		attempt.runner = runAttempt({
 			ports,
 			settings,
@@ -133,23 +132,23 @@
 			onReply(reply) {
 				deferred.resolve(reply);
 				if (reply.kind === 'error') {
-					drop(name, attempt);
+					removeShared(name, attempt);
 				}
 			},
 			onEnd() {
-				drop(name, attempt);
-				noteEnd();
+				removeShared(name, attempt);
+				recordEnd();
 			},
 		});
 		return attempt;
 	};
 
 	/**
-	 * Waits for a shared attempt no longer than this request may. The attempt
-	 * itself keeps the deadline of the request that started it.
+	 * Waits for a shared attempt until this request's own deadline. The attempt
+	 * keeps the deadline of the request that started it.
 	 */
 	const join = async (
-		attempt: Shared,
+		attempt: SharedAttempt,
 		name: string,
 		req: AtMostOnceRequest,
 		isOwn: boolean,
@@ -158,20 +157,20 @@
 		const cancel = isOwn
 			? () => undefined
 			: clock.callAt(req.deadline, () => {
-					resolve(createError('still-running'));
+					resolve(createErrorReply('still-running'));
 				});
 		const removeListener = req.cancellation?.onCancel(() => {
-			resolve(createError('cancelled'));
+			resolve(createErrorReply('cancelled'));
 		});
 		attempt.waiters++;
 		const reply = await Promise.race([attempt.reply, promise]);
 		cancel();
 		removeListener?.();
 		attempt.waiters--;
-		const isGone = req.cancellation?.isCancelled() ?? false;
-		const isLeft = isGone && attempt.waiters === 0;
-		if (isLeft && attempt.runner?.reportCallerGone() === false) {
-			drop(name, attempt);
+		const isCallerGone = req.cancellation?.isCancelled() ?? false;
+		const isAbandoned = isCallerGone && attempt.waiters === 0;
+		if (isAbandoned && attempt.runner?.reportCallerGone() === false) {
+			removeShared(name, attempt);
 		}
 
 		return reply;
@@ -182,10 +181,10 @@
 		const rowKey = core.idempotency.formatRowKey(req.customer, req.key);
 		const name = `${rowKey} ${fingerprint}`;
 		for (;;) {
-			const known = shared.get(name);
-			const isFull = isStopping || openCount >= options.maxAttempts;
-			if (known === undefined && isFull) {
-				return createError('key-unread');
+			const known = sharedAttempts.get(name);
+			const isSaturated = isStopping || openCount >= options.maxAttempts;
+			if (known === undefined && isSaturated) {
+				return createErrorReply('key-unread');
 			}
 
 			const isOwn = known === undefined;
--- a/packages/daemon/src/idempotency/sweeper.test.ts
+++ b/packages/daemon/src/idempotency/sweeper.test.ts
@@ -62,7 +62,7 @@
 	{name: 'not understood', value: {expiresAt}, removed: false},
 ];
 
-const createWorld = (pageRows: number) => {
+const createFixture = (pageRows: number) => {
 	const clock = standIn.createVirtualClock();
 	const tables = platform.createMemoryTableService();
 	const objects = platform.createMemoryObjectStore();
@@ -100,18 +100,18 @@
 
 for (const pageRows of [1, 3, 500]) {
 	tap.t.test(`pages of ${pageRows}`, async (t) => {
-		const world = createWorld(pageRows);
+		const fixture = createFixture(pageRows);
 		for (const row of rows) {
-			await world.put(row.name, row.value);
-			await (row.object && world.objects.put(row.object, new Uint8Array(1)));
+			await fixture.put(row.name, row.value);
+			await (row.object && fixture.objects.put(row.object, new Uint8Array(1)));
 		}
 
-		const sweeper = world.create();
+		const sweeper = fixture.create();
 		await sweeper.start(t.fail);
-		await world.clock.runUntil(200_000);
+		await fixture.clock.runUntil(200_000);
 		await sweeper.stop(0);
 		t.same(
-			await world.listKeys(),
+			await fixture.listKeys(),
 			rows
 				.filter(({removed}) => !removed)
 				.map(({name}) => name)
@@ -119,32 +119,32 @@
 		);
 		t.equal(sweeper.getRemovedCount(), 5);
 		for (const {object: name} of rows) {
-			const result = name ? await world.objects.get(name) : undefined;
+			const result = name ? await fixture.objects.get(name) : undefined;
 			t.notOk(result?.ok && result.value, name ?? 'no object');
 		}
 	});
 }
 
-tap.t.test('a key that is taken anew meanwhile stays', async (t) => {
-	const world = createWorld(500);
+tap.t.test('a key that is claimed again meanwhile stays', async (t) => {
+	const fixture = createFixture(500);
 	for (const key of ['a', 'b', 'c']) {
-		await world.put(key, {...base, state: 'unknown'});
+		await fixture.put(key, {...base, state: 'unknown'});
 	}
 
-	let isTaken = false;
-	const sweeper = world.create({
-		...world.tables,
+	let isClaimed = false;
+	const sweeper = fixture.create({
+		...fixture.tables,
 		async commit(writes, operationId) {
-			if (!isTaken) {
-				isTaken = true;
-				await world.put('b', {...base, state: 'started', expiresAt: 1e9});
+			if (!isClaimed) {
+				isClaimed = true;
+				await fixture.put('b', {...base, state: 'started', expiresAt: 1e9});
 			}
 
-			return world.tables.commit(writes, operationId);
+			return fixture.tables.commit(writes, operationId);
 		},
 	});
 	await sweeper.start(t.fail);
-	await world.clock.runUntil(8000);
+	await fixture.clock.runUntil(8000);
 	await sweeper.stop(0);
-	t.same(await world.listKeys(), ['b']);
+	t.same(await fixture.listKeys(), ['b']);
 });
--- a/packages/daemon/src/idempotency/sweeper.ts
+++ b/packages/daemon/src/idempotency/sweeper.ts
@@ -1,6 +1,7 @@
 /**
- * Removes rows of keys whose retention has passed, page by page. Every entry
- * does so at its own pace; removals are conditional, so that two do no harm.
+ * Removes idempotency rows after their retention, page by page. Each entry
+ * sweeps independently; removals are conditional, so that concurrent sweeps are
+ * safe.
  */
 import * as core from '@gullstand/core';
 import type {ObjectStore, Row, TableService} from '@gullstand/ports';
@@ -10,7 +11,7 @@
 
 type ExpiredRow = core.idempotency.ExpiredRow;
 
-/** What a sweeper is made of. */
+/** Dependencies of the sweeper. */
 export type SweeperDeps = {
 	readonly tables: TableService;
 	readonly objects: ObjectStore;
@@ -20,13 +21,13 @@
 	readonly settings: core.idempotency.SweepSettings;
 };
 
-/** A sweeper as a part of the daemon. */
+/** The sweeper. */
 export type Sweeper = Part & {
-	/** Rows removed so far. */
+	/** Number of rows removed. */
 	readonly getRemovedCount: () => number;
 };
 
-/** Rows removed in one transaction. */
+/** Maximum number of rows removed in one transaction. */
 const maxRemovals = 50;
 
 const toPage = (rows: readonly Row[]) =>
@@ -35,7 +36,7 @@
 		return stored === undefined ? [] : [[row.key, stored] as const];
 	});
 
-/** Makes a sweeper; it reads its first page after a pause. */
+/** Creates a sweeper; it reads its first page after a delay. */
 export const createSweeper = (deps: SweeperDeps): Sweeper => {
 	const {tables, objects, clock, randomness, clockSkewMs, settings} = deps;
 	let after: string | undefined;
@@ -73,7 +74,7 @@
 		return result.ok;
 	};
 
-	/** The object goes first: a row without one can be removed later. */
+	/** Removes objects before rows, as a row without one can be removed later. */
 	const removeAll = async (expired: readonly ExpiredRow[]) => {
 		for (let from = 0; from < expired.length; from += maxRemovals) {
 			const group = expired.slice(from, from + maxRemovals);
@@ -84,7 +85,7 @@
 		}
 	};
 
-	/** Looks through one page; returns the pause before the next. */
+	/** Sweeps one page; returns the delay before the next, in milliseconds. */
 	const sweepPage = async (): Promise<number> => {
 		const {pageRows: limit} = settings;
 		const result = await tables.range({
--- a/packages/daemon/src/idempotency/system-clock.ts
+++ b/packages/daemon/src/idempotency/system-clock.ts
@@ -1,11 +1,11 @@
-/** The process's own clocks and randomness. */
+/** Production clock and randomness. */
 import {randomUUID} from 'node:crypto';
 import type {Clock, Randomness} from './ports.js';
 
-/** Longest timer that Node takes, in milliseconds. */
+/** Maximum timer delay in Node, in milliseconds. */
 const maxTimerMs = 2_147_483_647;
 
-/** Clock and timers of this process, over its monotonic time. */
+/** Creates a clock over the monotonic time of this process. */
 export const createSystemClock = (now: () => number): Clock => ({
 	getTime: () => ({now: now(), date: Date.now()}),
 	callAt(at, callback) {
@@ -17,7 +17,7 @@
 	},
 });
 
-/** Randomness of this process. */
+/** Random numbers and ids of this process. */
 export const systemRandomness: Randomness = {
 	createId: () => randomUUID(),
 	draw: () => Math.random(),
--- a/packages/daemon/src/limits/credit-channel.ts
+++ b/packages/daemon/src/limits/credit-channel.ts
@@ -4,22 +4,22 @@
 import type {PeerChannel} from '../peers/peer-channel.js';
 import type {PeerSchema} from '../peers/peer-methods.js';
 
-/** A listed entry as credits know it. */
+/** A registered entry that takes part in credits. */
 export type CreditPeer = {
-	/** Entry and incarnation, as `getMember` writes them. */
+	/** Entry and incarnation, as formatted by `formatMember`. */
 	readonly member: string;
 	/** Address and port of its peer channel. */
 	readonly address: string;
 };
 
-/** What became of messages; only `refused` tells that nobody listens. */
+/** Outcome of a send; only `refused` proves that no process listens. */
 export type CreditDelivery = {
 	readonly kind: 'delivered' | 'lost' | 'refused';
-	/** What the peer had to say at once. */
+	/** Messages in the peer's answer. */
 	readonly messages: readonly CreditMessage[];
 };
 
-/** Port by which credits reach other entries; messages may be lost. */
+/** Sends credit messages to other entries; messages may be lost. */
 export type CreditChannel = {
 	readonly send: (
 		peer: CreditPeer,
@@ -36,7 +36,7 @@
 	) => void;
 };
 
-/** Name of one life of an entry; another life has another name. */
+/** Returns the member name of an incarnation of an entry. */
 export const formatMember = (entry: string, incarnation: string): string =>
 	`${entry}/${incarnation}`;
 
@@ -77,7 +77,7 @@
 	urgentMs: z.number(),
 });
 
-/** What the method `credits` receives. */
+/** Schema of the parameters of the method `credits`. */
 export const creditsSchema: PeerSchema<'credits'> = z.strictObject({
 	address: z.string(),
 	isLeaving: z.boolean(),
@@ -89,10 +89,10 @@
 	),
 });
 
-/** Later messages make up for one that takes longer. */
+/** Later messages replace one that times out. */
 const timeoutMs = 500;
 
-/** Carries credits over the peer channel; call before the channel starts. */
+/** Creates a credit channel; call before the peer channel starts. */
 export const createCreditChannel = (
 	peers: Pick<PeerChannel, 'addMethod' | 'call' | 'getAddress'>,
 ): CreditChannel => ({
--- a/packages/daemon/src/limits/credit-limits.test.ts
+++ b/packages/daemon/src/limits/credit-limits.test.ts
@@ -57,7 +57,7 @@
 	cancellation: createCancellation(),
 });
 
-/** An executor that answers after a while and counts what is in flight. */
+/** An executor that answers after a delay and counts requests in flight. */
 const startExecutor = async (t: tap.Test) => {
 	const counts = {inFlight: 0, most: 0, answered: 0, connections: 0};
 	const server = createServer((req, res) => {
@@ -103,11 +103,11 @@
 	address: string,
 	{peers, link}: {peers: CreditPeer[]; link: Link},
 ) => {
-	const life = {entry, incarnation: '1'};
+	const identity = {entry, incarnation: '1'};
 	const self = formatMember(entry, '1');
 	const channel = createPeerChannel({
 		settings: {address: '127.0.0.1', port: 0, keyHex: 'ab'.repeat(32)},
-		self: life,
+		self: identity,
 		now,
 		wallNow: () => Date.now(),
 		logger: {warn: () => undefined as never},
@@ -188,8 +188,8 @@
 
 const answerWithinMs = 20_000;
 
-/** Sends all at once; the kinds of the results. */
-const ask = async ({handle}: Entry, count: number) => {
+/** Sends calls concurrently; returns the kinds of the results. */
+const sendCalls = async ({handle}: Entry, count: number) => {
 	const results = await Promise.all(
 		Array.from({length: count}, async () =>
 			handle(getEmptyCall(now() + answerWithinMs)),
@@ -200,10 +200,12 @@
 	);
 };
 
-tap.t.test('three entries never exceed an executor', async (t) => {
+tap.t.test('three entries never exceed the slots of an executor', async (t) => {
 	const {entries, counts} = await startFleet(t, ['e1', 'e2', 'e3']);
 	const kinds = await Promise.all(
-		entries.map(async (entry, index) => ask(entry, index === 0 ? 120 : 40)),
+		entries.map(async (entry, index) =>
+			sendCalls(entry, index === 0 ? 120 : 40),
+		),
 	);
 	t.same(
 		kinds,
@@ -214,43 +216,50 @@
 	t.ok(counts.connections <= 64);
 });
 
-tap.t.test('one entry that is asked alone has every slot', async (t) => {
+tap.t.test('a single active entry gets every slot', async (t) => {
 	const {entries, counts} = await startFleet(t, ['e1', 'e2', 'e3']);
 	for (const entry of entries) {
 		counts.most = 0;
-		t.same(await ask(entry, 40), new Set(['answer']));
+		t.same(await sendCalls(entry, 40), new Set(['answer']));
 		t.equal(counts.most, slots);
 	}
 });
 
-tap.t.test('an entry that ends gives its slots to the others', async (t) => {
+tap.t.test('the slots of a stopped entry pass to the others', async (t) => {
 	const {entries, counts} = await startFleet(t, ['e1', 'e2', 'e3']);
-	const lost = entries.find(
+	const stopped = entries.find(
 		({limits}) => limits.getGate('quotes').getLimits().home,
 	);
-	const left = entries.filter((each) => each !== lost);
+	const remaining = entries.filter((each) => each !== stopped);
 	for (const entry of entries) {
-		await ask(entry, 5);
+		await sendCalls(entry, 5);
 	}
 
-	await lost?.stop();
+	await stopped?.stop();
 	counts.most = 0;
-	const kinds = await Promise.all(left.map(async (entry) => ask(entry, 40)));
+	const kinds = await Promise.all(
+		remaining.map(async (entry) => sendCalls(entry, 40)),
+	);
 	t.same(
 		kinds,
-		left.map(() => new Set(['answer'])),
+		remaining.map(() => new Set(['answer'])),
 	);
 	t.equal(counts.most, slots);
 });
 
-tap.t.test('entries that hear no peer use their static share', async (t) => {
-	const {entries, counts, link} = await startFleet(t, ['e1', 'e2']);
-	link.isCut = true;
-	const kinds = await Promise.all(entries.map(async (entry) => ask(entry, 20)));
-	t.same(
-		kinds,
-		entries.map(() => new Set(['answer'])),
-	);
-	t.ok(counts.most <= slots, `${counts.most} in flight`);
-	t.ok(counts.most >= 1);
-});
+tap.t.test(
+	'entries without contact to peers use their static share',
+	async (t) => {
+		const {entries, counts, link} = await startFleet(t, ['e1', 'e2']);
+		link.isCut = true;
+		const kinds = await Promise.all(
+			entries.map(async (entry) => sendCalls(entry, 20)),
+		);
+		t.same(
+			kinds,
+			entries.map(() => new Set(['answer'])),
+		);
+		t.ok(counts.most <= slots, `${counts.most} in flight`);
+		t.ok(counts.most >= 1);
+	},
+);
--- a/packages/daemon/src/limits/credit-limits.ts
+++ b/packages/daemon/src/limits/credit-limits.ts
@@ -1,6 +1,6 @@
 /**
- * Limits across entries as a part: one gate a pool, one heartbeat to all
- * peers, and the layer that lets a call through when it has a credit.
+ * Concurrency limits across entries: one gate per pool, one heartbeat to all
+ * peers, and the layer that passes a call when it has a credit.
  * Source: docs/design/limits.md.
  */
 import * as core from '@gullstand/core';
@@ -18,99 +18,105 @@
 import type {CreditChannel, CreditPeer} from './credit-channel.js';
 import * as gates from './pool-gate.js';
 
-/** What the limits need. */
+/** Dependencies of the limits. */
 export type CreditLimitsDeps = {
 	/** Entry and incarnation of this entry. */
 	readonly self: string;
 	readonly channel: CreditChannel;
 	readonly now: () => number;
 	readonly settings: core.CreditSettings;
-	/** Silence of a peer after which another home is turned to. */
+	/** Time without contact after which another credit coordinator is used. */
 	readonly unresponsiveAfterMs: number;
 	/**
-	 * The listed entries without this one; undefined until they are known.
-	 * Until then this entry uses its static share.
+	 * Registered entries except this one; undefined until they are known. Until
+	 * then this entry uses its static share.
 	 */
 	readonly listPeers: () => readonly CreditPeer[] | undefined;
-	/** Slots by executor of every pool that serves. */
+	/** Slots by executor of every serving pool. */
 	readonly getSlots: () => ReadonlyMap<string, ReadonlyMap<string, number>>;
-	/** False while this entry may send nothing; dispatch refuses then. */
+	/** False while this entry may not send requests; dispatch refuses then. */
 	readonly mayRoute: () => boolean;
 	/** Draws a number in [0, 1). */
 	readonly random: () => number;
-	/** Requests that this entry may have on one executor of a pool, at most. */
+	/** Maximum requests from this entry on one executor of a pool. */
 	readonly getOwnLimit: (pool: string) => number;
 };
 
-/** The part, the layer and the taker of slots. */
+/** Concurrency limits of one entry. */
 export type CreditLimits = Part & {
-	/** Stands inside admission and around dispatch. */
+	/** Runs after admission and wraps dispatch. */
 	readonly layer: CallLayer;
 	readonly getTakeSlot: (service: core.Service) => TakeSlot;
 	/**
-	 * Slots of a pool that this entry holds, and as many more as calls may
-	 * wait for, so that the home sees the demand.
+	 * Slots of a pool that this entry holds, plus the calls that may wait, so that
+	 * the credit coordinator sees the demand.
 	 */
 	readonly getOpenSlots: (pool: string, waiting: number) => number;
-	/** Connections to one executor that this entry may have open now. */
+	/** Maximum open connections from this entry to one executor. */
 	readonly getConnectionLimit: (
 		service: core.Service,
 		executor: string,
 	) => number;
-	/** This entry stops: others follow another home. */
+	/** Announces that this entry stops, so that others change coordinator. */
 	readonly announceLeaving: () => void;
 	readonly getGate: (pool: string) => gates.PoolGate;
 };
 
-/** A peer that is not listed counts so long after its last message. */
-const unlistedKeptMs = 10_000;
+/** How long an unlisted peer counts after its last message. */
+const unlistedTtlMs = 10_000;
 
-/** Creates the limits; nothing is sent before the start. */
+/** Creates the limits; sends nothing before the start. */
 export const createCreditLimits = (deps: CreditLimitsDeps): CreditLimits => {
 	const {self, channel, now, settings, unresponsiveAfterMs} = deps;
-	const all = new Map<string, gates.PoolGate>();
-	const heardAt: core.silence.HeardAt = new Map();
-	const heard = new Set<string>();
+	const gatesByPool = new Map<string, gates.PoolGate>();
+	const lastContactAt: core.silence.HeardAt = new Map();
+	const contacted = new Set<string>();
 	const ended = new Set<string>();
 	const leaving = new Set<string>();
-	/** Peers that have sent messages, listed or not yet. */
+	/** Peers that have sent messages, listed or not. */
 	const callers = new Map<string, CreditPeer>();
 
-	/** The listed entries, and those that were heard before they were listed. */
+	/** Listed entries, and others that have sent messages recently. */
 	const listPeers = (): readonly CreditPeer[] => {
 		const listed = deps.listPeers() ?? [];
 		const names = new Set(listed.map((each) => each.member));
-		const sinceMs = now() - unlistedKeptMs;
+		const sinceMs = now() - unlistedTtlMs;
 		const unlisted = [...callers.values()].filter(
 			({member}) =>
-				!names.has(member) && (heardAt.get(member) ?? sinceMs) > sinceMs,
+				!names.has(member) && (lastContactAt.get(member) ?? sinceMs) > sinceMs,
 		);
 		return [...listed, ...unlisted];
 	};
 
 	let isLeaving = false;
 	let timer: NodeJS.Timeout | undefined;
-	/** What is being answered now, and to whom. */
+	/** The answer being collected, and its receiver. */
 	let answering: {to: string; messages: CreditMessage[]} | undefined;
 
-	const takeIn = (from: string, messages: readonly CreditMessage[]) => {
-		heardAt.set(from, now());
-		heard.add(from);
+	const receiveMessages = (
+		from: string,
+		messages: readonly CreditMessage[],
+	) => {
+		lastContactAt.set(from, now());
+		contacted.add(from);
 		for (const message of messages) {
 			const {pool, borrower} =
 				message.kind === 'report' ? message.report : message.grant;
-			// A report speaks for its sender only.
+			// Ignores a report that names another borrower than its sender.
 			if (message.kind === 'grant' || borrower === from) {
-				all.get(pool)?.receive(message);
+				gatesByPool.get(pool)?.receive(message);
 			}
 		}
 	};
 
-	const post = async (peer: CreditPeer, messages: readonly CreditMessage[]) => {
+	const sendToPeer = async (
+		peer: CreditPeer,
+		messages: readonly CreditMessage[],
+	) => {
 		const delivery = await channel.send(peer, messages, isLeaving);
 		if (delivery.kind === 'delivered') {
-			takeIn(peer.member, delivery.messages);
-		} else if (delivery.kind === 'refused' && heard.has(peer.member)) {
+			receiveMessages(peer.member, delivery.messages);
+		} else if (delivery.kind === 'refused' && contacted.has(peer.member)) {
 			ended.add(peer.member);
 			updateAll();
 		}
@@ -123,13 +129,13 @@
 			if (answering?.to === to) {
 				answering.messages.push(message);
 			} else if (peer) {
-				void post(peer, [message]);
+				void sendToPeer(peer, [message]);
 			}
 		}
 	};
 
 	const getGate = (pool: string): gates.PoolGate => {
-		const known = all.get(pool);
+		const known = gatesByPool.get(pool);
 		if (known) {
 			return known;
 		}
@@ -142,11 +148,11 @@
 			send,
 			getOwnLimit: () => deps.getOwnLimit(pool),
 		});
-		all.set(pool, gate);
+		gatesByPool.set(pool, gate);
 		return gate;
 	};
 
-	let membersForm = '';
+	let lastMembersJson = '';
 	const updateAll = () => {
 		if (!deps.listPeers()) {
 			return;
@@ -155,25 +161,25 @@
 		const peers = listPeers().filter((each) => !ended.has(each.member));
 		const names = peers.map((each) => each.member);
 		const silent = core.silence.getSilentMembers(
-			heardAt,
+			lastContactAt,
 			names,
 			now(),
 			unresponsiveAfterMs,
 		);
 		const slots = deps.getSlots();
 		const listed = [self, ...names].toSorted();
-		const form = JSON.stringify([
+		const membersJson = JSON.stringify([
 			listed,
 			[...silent],
 			[...leaving],
 			[...slots].map(([pool, counts]) => [pool, [...counts]]),
 		]);
-		if (form === membersForm) {
+		if (membersJson === lastMembersJson) {
 			return;
 		}
 
-		membersForm = form;
-		for (const pool of new Set([...slots.keys(), ...all.keys()])) {
+		lastMembersJson = membersJson;
+		for (const pool of new Set([...slots.keys(), ...gatesByPool.keys()])) {
 			getGate(pool).update({
 				listed,
 				silent,
@@ -192,7 +198,7 @@
 				{peer, messages: [] as CreditMessage[]},
 			]),
 		);
-		for (const gate of all.values()) {
+		for (const gate of gatesByPool.values()) {
 			for (const {to, message} of gate.tick()) {
 				batches.get(to)?.messages.push(message);
 			}
@@ -200,7 +206,7 @@
 
 		for (const [member, {peer, messages}] of batches) {
 			if (!ended.has(member)) {
-				void post(peer, messages);
+				void sendToPeer(peer, messages);
 			}
 		}
 	};
@@ -212,39 +218,39 @@
 		}
 
 		answering = {to: from.member, messages: []};
-		takeIn(from.member, messages);
+		receiveMessages(from.member, messages);
 		const answer = answering.messages;
 		answering = undefined;
 		return answer;
 	});
 
-	/** Waits at the gate until the call passes, is late or is cancelled. */
-	const enter = async (
+	/** Waits at the gate until the call passes, expires or is cancelled. */
+	const waitAtGate = async (
 		gate: gates.PoolGate,
 		call: Call,
 		next: CallHandler,
 	): Promise<CallResult> =>
 		new Promise((resolve) => {
-			const held: {
+			const resources: {
 				timer?: NodeJS.Timeout;
 				remove?: () => void;
 				stopListening?: () => void;
 			} = {};
 			let hasPassed = false;
-			const settle = (result: CallResult | Promise<CallResult>) => {
-				clearTimeout(held.timer);
-				held.stopListening?.();
-				held.remove?.();
+			const complete = (result: CallResult | Promise<CallResult>) => {
+				clearTimeout(resources.timer);
+				resources.stopListening?.();
+				resources.remove?.();
 				resolve(result);
 			};
 
-			held.remove = gate.enqueue({
+			resources.remove = gate.enqueue({
 				deadline: call.deadline,
 				admit() {
 					hasPassed = true;
-					const cutAt = now() + settings.longestAttemptMs;
-					const deadline = Math.min(call.deadline, cutAt);
-					settle(next({...call, deadline}));
+					const attemptEndsAt = now() + settings.longestAttemptMs;
+					const deadline = Math.min(call.deadline, attemptEndsAt);
+					complete(next({...call, deadline}));
 				},
 			});
 			if (hasPassed) {
@@ -252,12 +258,12 @@
 			}
 
 			const leftMs = Math.max(0, call.deadline - now());
-			held.timer = setTimeout(() => {
+			resources.timer = setTimeout(() => {
 				const {longestAttemptMs} = settings;
-				settle(createError('deadline-in-queue', 0, longestAttemptMs));
+				complete(createError('deadline-in-queue', 0, longestAttemptMs));
 			}, leftMs);
-			held.stopListening = call.cancellation.onCancel(() => {
-				settle(createError('cancelled'));
+			resources.stopListening = call.cancellation.onCancel(() => {
+				complete(createError('cancelled'));
 			});
 		});
 
@@ -266,7 +272,7 @@
 		updateAll();
 		const isOpen = deps.listPeers() && deps.mayRoute();
 		if (!isOpen || !deps.getSlots().get(call.service.pool)?.size) {
-			// Dispatch keeps to the static share, or knows why nothing may go.
+			// Dispatch applies the static share or refuses the call.
 			return next(call);
 		}
 
@@ -274,7 +280,7 @@
 			return createError('cancelled');
 		}
 
-		return enter(gate, call, next);
+		return waitAtGate(gate, call, next);
 	};
 
 	return {
@@ -286,7 +292,7 @@
 		},
 		async stop() {
 			clearInterval(timer);
-			for (const gate of all.values()) {
+			for (const gate of gatesByPool.values()) {
 				gate.stop();
 			}
 		},
--- a/packages/daemon/src/limits/fleet-limits.ts
+++ b/packages/daemon/src/limits/fleet-limits.ts
@@ -5,31 +5,30 @@
 import {createCreditChannel, formatMember} from './credit-channel.js';
 import {createCreditLimits, type CreditLimits} from './credit-limits.js';
 
-/** What the limits need of a daemon. */
+/** Dependencies of the limits. */
 export type FleetLimitsDeps = {
 	readonly agreement: Pick<Agreement, 'self' | 'peers' | 'member' | 'follower'>;
 	readonly now: () => number;
-	/** No request runs longer; the same on every entry. */
+	/** Upper bound of a request's run time; the same on every entry. */
 	readonly longestRequestMs: number;
-	/** Entries that share the connections of an executor. */
+	/** Number of entries that share the connections of an executor. */
 	readonly entries: number;
 };
 
 /**
- * Each pool has its heartbeat. At half a second nine idle entries spent 3.1%
- * of a core and 18 KB/s each on them (bench idle); reports under load do not
- * wait for it.
+ * Each pool sends its own heartbeat, so a long period keeps the cost of idle
+ * entries low. Reports under load do not wait for it.
  */
 const heartbeatMs = 2000;
 
 const leaseMs = 8000;
 
-const silentAfterMs = 5000;
+const unresponsiveAfterMs = 5000;
 
-/** One connection to each executor is kept for probes. */
+/** Connections to each executor that are reserved for probes. */
 const probeConnections = 1;
 
-/** Slots by executor of each pool; the least of the services that share it. */
+/** Slots by executor of each pool: the minimum over services that share it. */
 const listSlots = (view: core.View) => {
 	const pools = new Map<string, Map<string, number>>();
 	for (const {pool, slotsPerExecutor} of view.services.values()) {
@@ -43,7 +42,7 @@
 	return pools;
 };
 
-/** Requests that one entry's connections to an executor can carry. */
+/** Maximum requests on an executor that this entry's connections allow. */
 const getOwnLimit = (view: core.View, pool: string, entries: number) => {
 	let limit = Infinity;
 	for (const service of view.services.values()) {
@@ -71,7 +70,7 @@
 			leaseMs,
 			longestAttemptMs: deps.longestRequestMs,
 		},
-		unresponsiveAfterMs: silentAfterMs,
+		unresponsiveAfterMs,
 		mayRoute: member.mayRoute,
 		random: Math.random,
 		listPeers() {
--- a/packages/daemon/src/limits/pool-gate.ts
+++ b/packages/daemon/src/limits/pool-gate.ts
@@ -1,63 +1,63 @@
 /**
- * The gate of one pool on one entry: calls that wait for a slot, in order of
- * their deadlines, and the credits that let them pass.
+ * The gate of one pool on one entry: queues calls that wait for a slot in order
+ * of deadline, and admits them as credits allow.
  */
 import * as core from '@gullstand/core';
 import type {CreditEnvelope, CreditMessage, PoolMembers} from '@gullstand/core';
 import type {Slot, TakeSlot} from '../upstream/types.js';
 
-/** A call that waits; `pass` must take its slot before it returns. */
+/** A waiting call; `admit` must acquire its slot before it returns. */
 export type Waiter = {
 	readonly deadline: number;
 	readonly admit: () => void;
 };
 
-/** What a gate needs. */
+/** Dependencies of a gate. */
 export type PoolGateDeps = {
 	readonly pool: string;
 	readonly self: string;
 	readonly settings: core.CreditSettings;
 	readonly now: () => number;
-	/** Sends without waiting; messages may be lost. */
+	/** Sends without waiting for delivery; messages may be lost. */
 	readonly send: (envelopes: readonly CreditEnvelope[]) => void;
-	/** Requests that this entry may have on one executor, at most. */
+	/** Maximum requests from this entry on one executor. */
 	readonly getOwnLimit: () => number;
 };
 
 /** The gate of one pool. */
 export type PoolGate = {
 	readonly takeSlot: TakeSlot;
-	/** Lets the call pass now or later; returns its removal from the queue. */
+	/** Admits the call now or later; the returned function removes it. */
 	readonly enqueue: (waiter: Waiter) => () => void;
 	readonly update: (members: PoolMembers) => void;
 	readonly receive: (message: CreditMessage) => void;
-	/** Called once a heartbeat; what is to be sent is returned. */
+	/** Called once per heartbeat; returns the messages to send. */
 	readonly tick: () => readonly CreditEnvelope[];
-	/** Sends no more reports of its own accord. */
+	/** Stops scheduling reports. */
 	readonly stop: () => void;
 	readonly countWaiting: () => number;
 	readonly getLimits: () => core.PoolLimits;
 };
 
-/** Reports within this time are sent as one. */
-const reportGapMs = 1;
+/** Reports within this time are merged into one. */
+const reportDelayMs = 1;
 
-/** A slot whose attempt was given up is used again after this. */
+/** Time until the slot of an abandoned attempt is reused. */
 const abandonedSlotMs = 50;
 
-/** More rounds than a home on the entry itself ever needs. */
+/** Upper bound of rounds with a credit coordinator on the same entry. */
 const maxRounds = 4;
 
-/** Creates the gate; it has no slots before its first `update`. */
+/** Creates a gate; it has no slots before its first `update`. */
 export const createPoolGate = (deps: PoolGateDeps): PoolGate => {
 	const {pool, self, settings, now, send} = deps;
 	const limits = core.poolLimits.createPoolLimits(pool, self, settings, now());
 	const {borrower} = limits;
 	const waiting: Waiter[] = [];
-	let reported = 0;
-	let turnDeadline: number | undefined;
+	let reportedWaiting = 0;
+	let admittedDeadline: number | undefined;
 	let timer: NodeJS.Timeout | undefined;
-	let isServing = false;
+	let isProcessing = false;
 	let isStopped = false;
 
 	const getDeadlines = () => waiting.map(({deadline}) => deadline);
@@ -75,67 +75,67 @@
 		return false;
 	};
 
-	const letPass = () => {
+	const admitWaiting = () => {
 		while (waiting[0] && hasUsable()) {
 			const waiter = waiting.shift()!;
-			turnDeadline = waiter.deadline;
+			admittedDeadline = waiter.deadline;
 			waiter.admit();
-			turnDeadline = undefined;
+			admittedDeadline = undefined;
 		}
 	};
 
-	/** Keeps the home from granting what this entry has no connections for. */
-	const avoidFull = () => {
+	/** Excludes executors to which this entry has no free connections. */
+	const avoidSaturated = () => {
 		const limit = deps.getOwnLimit();
-		const full = [...borrower.members.slots.keys()].filter(
+		const saturated = [...borrower.members.slots.keys()].filter(
 			(executor) =>
 				core.creditBorrower.getInFlight(borrower, executor) >= limit,
 		);
-		if (full.join('\n') !== borrower.avoid.join('\n')) {
-			core.creditSlots.updateAvoid(borrower, full);
+		if (saturated.join('\n') !== borrower.avoid.join('\n')) {
+			core.creditSlots.updateAvoid(borrower, saturated);
 		}
 	};
 
-	/** Lets pass what can, gives back what is spare, reports. */
-	const serve = () => {
-		if (isServing) {
+	/** Admits waiting calls, returns spare credits and reports demand. */
+	const processQueue = () => {
+		if (isProcessing) {
 			return;
 		}
 
-		isServing = true;
-		const isHome = borrower.home === self;
+		isProcessing = true;
+		const isCoordinator = borrower.home === self;
 		for (let round = 0; round < maxRounds; round++) {
-			letPass();
-			avoidFull();
+			admitWaiting();
+			avoidSaturated();
 			core.creditSlots.releaseSpares(borrower, waiting.length, now());
-			borrower.dirty ||= waiting.length > reported;
-			reported = waiting.length;
-			if (!isHome || !borrower.dirty) {
+			borrower.dirty ||= waiting.length > reportedWaiting;
+			reportedWaiting = waiting.length;
+			if (!isCoordinator || !borrower.dirty) {
 				break;
 			}
 
 			send(core.poolLimits.flushReport(limits, getDeadlines(), now()));
 		}
 
-		isServing = false;
-		// Without a home there is nobody to tell; its coming calls `update`.
-		const mayReport = !isHome && borrower.home !== undefined;
+		isProcessing = false;
+		// Without a coordinator there is no receiver; a new one calls `update`.
+		const mayReport = !isCoordinator && borrower.home !== undefined;
 		if (mayReport && borrower.dirty && !isStopped) {
-			timer ??= setTimeout(flush, reportGapMs);
+			timer ??= setTimeout(flush, reportDelayMs);
 		}
 	};
 
 	const flush = () => {
 		timer = undefined;
 		send(core.poolLimits.flushReport(limits, getDeadlines(), now()));
-		serve();
+		processQueue();
 	};
 
 	const createSlot = (executor: string): Slot => {
 		let isHeld = true;
 		const end = () => {
 			core.creditSlots.finishSlot(borrower, executor);
-			serve();
+			processQueue();
 		};
 
 		return {
@@ -161,7 +161,7 @@
 			const executor = core.creditSlots.acquireSlot(
 				borrower,
 				now(),
-				turnDeadline ?? now(),
+				admittedDeadline ?? now(),
 				(id) =>
 					core.creditBorrower.getInFlight(borrower, id) < deps.getOwnLimit()
 						? (weights.get(id) ?? 0)
@@ -174,7 +174,7 @@
 				({deadline}) => deadline > waiter.deadline,
 			);
 			waiting.splice(found === -1 ? waiting.length : found, 0, waiter);
-			serve();
+			processQueue();
 			return () => {
 				const index = waiting.indexOf(waiter);
 				if (index !== -1) {
@@ -184,15 +184,15 @@
 		},
 		update(members) {
 			core.poolLimits.updatePool(limits, members, now());
-			serve();
+			processQueue();
 		},
 		receive(message) {
 			send(core.poolLimits.receiveMessage(limits, message, now()));
-			serve();
+			processQueue();
 		},
 		tick() {
 			const envelopes = core.poolLimits.tickPool(limits, now());
-			serve();
+			processQueue();
 			return [
 				...envelopes,
 				...core.poolLimits.flushReport(limits, getDeadlines(), now()),
--- a/packages/daemon/src/membership/acknowledge.ts
+++ b/packages/daemon/src/membership/acknowledge.ts
@@ -1,4 +1,4 @@
-/** Makes this entry's acknowledgement and its registration row. */
+/** Builds this entry's acknowledgement and its registration row. */
 import * as core from '@gullstand/core';
 import type {acknowledgement, registration} from '@gullstand/core';
 import type {MemberDeps, MemberState} from './member-state.js';
@@ -15,14 +15,15 @@
 };
 
 /**
- * Executors may still run what the earlier life sent, and it may have
- * sponsored entries that nobody else knows of (spec/sponsor.pml).
+ * How long executors may still run requests of the previous incarnation, which
+ * may also have sponsored entries that nobody else knows of
+ * (spec/sponsor.pml).
  */
-const getInheritMs = ({settings}: MemberDeps): number =>
+const getInheritedRequestsMs = ({settings}: MemberDeps): number =>
 	settings.isolationMs + settings.stallMarginMs + settings.longestRequestMs;
 
-/** Drops sponsored entries that have stopped by themselves by now. */
-const dropSilent = (deps: MemberDeps, state: MemberState) => {
+/** Removes sponsored entries whose confirmation has expired. */
+const removeExpiredSponsored = (deps: MemberDeps, state: MemberState) => {
 	for (const [entry, {askedAt}] of state.sponsored) {
 		if (deps.now() - askedAt > deps.settings.forgetAfterMs) {
 			state.sponsored.delete(entry);
@@ -30,12 +31,12 @@
 	}
 };
 
-/** Acknowledges what is in force now. */
+/** Applies the current view to routing and acknowledges it. */
 export const createAcknowledgement = (
 	deps: MemberDeps,
 	state: MemberState,
 ): acknowledgement.Acknowledgement => {
-	dropSilent(deps, state);
+	removeExpiredSponsored(deps, state);
 	const {view} = deps.getFollowed();
 	deps.route(view);
 	const upMs = deps.now() - state.startedAt;
@@ -49,7 +50,7 @@
 				routedRevision: view.revision,
 				inFlight: countInFlight(deps),
 				mayHaveInheritedRequests:
-					state.hasReplaced && upMs < getInheritMs(deps),
+					state.hasReplaced && upMs < getInheritedRequestsMs(deps),
 			},
 			sponsored: [...state.sponsored.values()].map(({ack}) => ack),
 		},
@@ -58,7 +59,7 @@
 	return ack;
 };
 
-/** A set in doubt is written again until its outcome is known. */
+/** A quorum whose write has an unknown outcome is written again. */
 const chooseQuorum = (
 	deps: MemberDeps,
 	state: MemberState,
@@ -67,7 +68,7 @@
 		...new Set([deps.self.entry, ...state.members.registrations.keys()]),
 	];
 
-/** Makes the row of this entry. */
+/** Builds this entry's registration row. */
 export const createRegistration = (
 	deps: MemberDeps,
 	state: MemberState,
--- a/packages/daemon/src/membership/forget-runner.ts
+++ b/packages/daemon/src/membership/forget-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Removes neighbours that are certainly over, as a part. It reads all rows
- * and the list only while a neighbour is silent.
+ * Removes the rows of monitored peers that have certainly terminated. Reads all
+ * rows and the instance list only while a monitored peer is unresponsive.
  */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
@@ -19,14 +19,14 @@
 	type MembershipRows,
 } from './membership-rows.js';
 
-/** What the runner needs. */
+/** Dependencies of the runner. */
 export type ForgetRunnerDeps = {
 	readonly self: acknowledgement.EntryIncarnation;
 	readonly table: TableService;
 	readonly list: InstanceList;
 	readonly mayControl: () => boolean;
 	readonly getMembers: () => MembershipRows;
-	/** How long the heartbeat of a watched neighbour has stayed away. */
+	/** Time since the last heartbeat of a monitored peer, in milliseconds. */
 	readonly getUnresponsiveMs: (entry: string) => number;
 	readonly settings: membershipStatus.MembershipSettings;
 	readonly leaseMs: number;
@@ -37,28 +37,31 @@
 
 type State = {
 	observations: observation.Observations;
-	/** When each silent entry was first not on the list. */
+	/** When each unresponsive entry was first missing from the list. */
 	readonly unlistedSince: Map<string, number>;
 };
 
+/** Reads further apart than this many periods restart the observation. */
 const maxGapPeriods = 5;
 
-const listSilent = (deps: ForgetRunnerDeps): readonly string[] => {
+const listUnresponsive = (deps: ForgetRunnerDeps): readonly string[] => {
 	const entries = [...deps.getMembers().registrations.keys()];
 	return core.monitoredPeers
 		.listMonitoredPeers(deps.self.entry, entries)
 		.filter((entry) => deps.getUnresponsiveMs(entry) >= deps.leaseMs);
 };
 
-const observeList = async (
+const recordUnlisted = async (
 	deps: ForgetRunnerDeps,
 	state: State,
-	silent: readonly string[],
+	unresponsive: readonly string[],
 ) => {
 	const listed = await deps.list.list();
-	const shown = new Set(listed.ok ? listed.value.map(({id}) => id) : silent);
-	for (const entry of silent) {
-		if (shown.has(entry)) {
+	const listedIds = new Set(
+		listed.ok ? listed.value.map(({id}) => id) : unresponsive,
+	);
+	for (const entry of unresponsive) {
+		if (listedIds.has(entry)) {
 			state.unlistedSince.delete(entry);
 		} else if (!state.unlistedSince.has(entry)) {
 			state.unlistedSince.set(entry, deps.now());
@@ -66,7 +69,7 @@
 	}
 };
 
-const forgetSilent = async (
+const forgetUnresponsive = async (
 	deps: ForgetRunnerDeps,
 	state: State,
 	{registrations}: MembershipRows,
@@ -78,8 +81,8 @@
 			key,
 			registrations.get(key)?.version ?? 0,
 		);
-	const silent = registrations.get(entry);
-	if (!silent) {
+	const unresponsive = registrations.get(entry);
+	if (!unresponsive) {
 		return;
 	}
 
@@ -91,15 +94,15 @@
 	const result = core.forgetEntry.forgetEntry(
 		{
 			entry,
-			version: silent.version,
+			version: unresponsive.version,
 			unchangedMs: getUnchangedMs(entry),
 			unlistedMs: since === undefined ? 0 : deps.now() - since,
 			unheardBy: core.forgetEntry.countEntriesWithoutContact(
-				silent.value,
+				unresponsive.value,
 				rows,
 				deps.settings,
 			),
-			quorum: silent.value.quorum.length,
+			quorum: unresponsive.value.quorum.length,
 		},
 		deps.settings,
 		deps.self.entry,
@@ -111,13 +114,13 @@
 };
 
 const runOnce = async (deps: ForgetRunnerDeps, state: State) => {
-	const silent = deps.mayControl() ? listSilent(deps) : [];
-	if (silent.length === 0) {
+	const unresponsive = deps.mayControl() ? listUnresponsive(deps) : [];
+	if (unresponsive.length === 0) {
 		state.unlistedSince.clear();
 		return;
 	}
 
-	await observeList(deps, state, silent);
+	await recordUnlisted(deps, state, unresponsive);
 	const rows = await readMembership(deps.table);
 	if (!rows.ok) {
 		return;
@@ -130,12 +133,11 @@
 		maxGapPeriods * deps.pollMs,
 		deps.now(),
 	);
-	for (const entry of silent) {
-		await forgetSilent(deps, state, rows.value, entry);
+	for (const entry of unresponsive) {
+		await forgetUnresponsive(deps, state, rows.value, entry);
 	}
 };
 
-/** Creates the runner. */
 export const createForgetRunner = (deps: ForgetRunnerDeps): Part => {
 	const state: State = {
 		observations: core.observation.emptyObservations,
--- a/packages/daemon/src/membership/in-flight.ts
+++ b/packages/daemon/src/membership/in-flight.ts
@@ -1,35 +1,34 @@
 /**
- * Counts this entry's requests by instance, from the pick to the end of the
- * work, and lets an isolated entry pick nothing. A request whose connection
- * was cut counts on for the longest request: the executor may still run it.
+ * Counts this entry's in-flight requests by instance and keeps an isolated
+ * entry from selecting an executor. A request whose connection was cut stays
+ * counted for the longest request time: the executor may still run it.
  */
 import type {Slot, TakeSlot} from '../upstream/types.js';
 
-/** What the count needs. */
+/** Dependencies of the counter. */
 export type InFlightDeps = {
-	/** Asked at each pick, in the turn in which the request is sent. */
+	/** Called at each selection, in the same turn as the send. */
 	readonly mayRoute: () => boolean;
 	readonly longestRequestMs: number;
 	readonly now: () => number;
 };
 
-/** The count. */
+/** In-flight counts by instance. */
 export type InFlight = {
 	readonly wrap: (takeSlot: TakeSlot) => TakeSlot;
 	readonly count: (instance: string) => number;
 };
 
-/** Creates a count at zero. */
 export const createInFlight = (deps: InFlightDeps): InFlight => {
-	const running = new Map<string, number>();
-	/** Times at which cut requests have surely ended, by instance. */
-	const cut = new Map<string, number>();
+	const runningCounts = new Map<string, number>();
+	/** When requests cut off at an instance have certainly ended. */
+	const cutUntil = new Map<string, number>();
 
 	const add = (instance: string, change: number) => {
-		running.set(instance, (running.get(instance) ?? 0) + change);
+		runningCounts.set(instance, (runningCounts.get(instance) ?? 0) + change);
 	};
 
-	const hold = (slot: Slot): Slot => {
+	const countSlot = (slot: Slot): Slot => {
 		let isHeld = true;
 		add(slot.executor, 1);
 		return {
@@ -42,7 +41,7 @@
 				isHeld = false;
 				add(slot.executor, -1);
 				if (mayStillRun) {
-					cut.set(slot.executor, deps.now() + deps.longestRequestMs);
+					cutUntil.set(slot.executor, deps.now() + deps.longestRequestMs);
 				}
 
 				slot.release(mayStillRun);
@@ -57,15 +56,15 @@
 			}
 
 			const slot = takeSlot(candidates);
-			return slot && hold(slot);
+			return slot && countSlot(slot);
 		},
 		count(instance) {
-			const isCut = (cut.get(instance) ?? 0) > deps.now();
+			const isCut = (cutUntil.get(instance) ?? 0) > deps.now();
 			if (!isCut) {
-				cut.delete(instance);
+				cutUntil.delete(instance);
 			}
 
-			return (running.get(instance) ?? 0) + (isCut ? 1 : 0);
+			return (runningCounts.get(instance) ?? 0) + (isCut ? 1 : 0);
 		},
 	};
 };
--- a/packages/daemon/src/membership/member-methods.ts
+++ b/packages/daemon/src/membership/member-methods.ts
@@ -1,4 +1,4 @@
-/** What entries say to one another about acknowledgement and standing. */
+/** Peer methods for acknowledgements, liveness and sponsorship. */
 import * as core from '@gullstand/core';
 import type {acknowledgement, viewChange} from '@gullstand/core';
 import {z} from 'zod';
@@ -7,6 +7,7 @@
 import type {MemberDeps, MemberState} from './member-state.js';
 import {acknowledgementSchema} from './membership-rows.js';
 
+/** How long a peer that offered a change receives acknowledgements. */
 const awaitMs = 30_000;
 
 const deltaSchema = z.looseObject({
@@ -21,16 +22,19 @@
 const getConfirmedAgeMs = (deps: MemberDeps, state: MemberState): number =>
 	Math.min(deps.now() - state.status.confirmedAt, deps.settings.forgetAfterMs);
 
-/** Keeps the newest acknowledgement of the newest life that spoke. */
+/**
+ * Records an acknowledgement, unless a newer one of the same incarnation is
+ * known.
+ */
 export const recordAcknowledgement = (
 	state: MemberState,
 	ack: acknowledgement.Acknowledgement,
 ): void => {
 	const known = state.received.get(ack.entry);
-	const isKnownLife = known?.incarnation === ack.incarnation;
+	const isKnownIncarnation = known?.incarnation === ack.incarnation;
 	state.received.set(
 		ack.entry,
-		isKnownLife
+		isKnownIncarnation
 			? core.acknowledgement.chooseNewerAcknowledgement(known, ack)
 			: ack,
 	);
@@ -50,7 +54,7 @@
 	const isKnown =
 		known !== undefined &&
 		core.acknowledgement.isSameIncarnation(known.ack, ack);
-	// Others may act on what this entry has acknowledged already.
+	// Others may already act on the revision that this entry acknowledged.
 	if (!mayControl || (!isKnown && ack.inForce < state.highestInForce)) {
 		return false;
 	}
@@ -59,7 +63,7 @@
 	return true;
 };
 
-/** Adds the methods of membership to the peer channel. */
+/** Registers membership methods on the peer channel. */
 export const addMemberMethods = (
 	deps: MemberDeps,
 	state: MemberState,
@@ -106,7 +110,7 @@
 	}));
 };
 
-const tell = async (
+const sendToPeer = async (
 	deps: MemberDeps,
 	state: MemberState,
 	address: string,
@@ -119,12 +123,12 @@
 		deps.callTimeoutMs,
 	);
 	if (!answer.ok) {
-		// Sent again with the next look at the in-flight work.
+		// Makes the next periodic check send it again.
 		state.lastSent = '';
 	}
 };
 
-/** Tells those who wait for it what is in force, if that has changed. */
+/** Sends the acknowledgement to waiting peers if it has changed. */
 export const sendAcknowledgement = (
 	deps: MemberDeps,
 	state: MemberState,
@@ -141,7 +145,7 @@
 		if (until < deps.now()) {
 			state.awaitedBy.delete(address);
 		} else {
-			void tell(deps, state, address, ack);
+			void sendToPeer(deps, state, address, ack);
 		}
 	}
 };
--- a/packages/daemon/src/membership/member-state.ts
+++ b/packages/daemon/src/membership/member-state.ts
@@ -1,4 +1,4 @@
-/** What one entry knows of itself and of its peers. */
+/** State of this entry's membership and what it knows of its peers. */
 import type {
 	acknowledgement,
 	followedView,
@@ -11,82 +11,83 @@
 import type {PeerChannel} from '../peers/peer-channel.js';
 import type {MembershipRows} from './membership-rows.js';
 
-/** What membership needs from the rest of a daemon. */
+/** Dependencies of membership. */
 export type MemberDeps = {
 	readonly self: acknowledgement.EntryIncarnation;
 	readonly availabilityZone: string;
 	readonly table: TableService;
 	readonly list: InstanceList;
-	/** Listed addresses of entries are those of their peer channels. */
+	/** Peer channel; the list holds the peer channel address of each entry. */
 	readonly peers: Pick<PeerChannel, 'addMethod' | 'call' | 'getAddress'>;
 	readonly getFollowed: () => followedView.FollowedView;
 	readonly poll: () => Promise<void>;
 	readonly offerDeltas: (deltas: readonly viewChange.ViewDelta[]) => void;
-	/** Puts a view in force: every pick from now on is made by it. */
+	/** Applies a view: every later executor selection uses it. */
 	readonly route: (view: View) => void;
-	/** Requests from this entry to one instance, from the pick to the end. */
+	/** Counts requests from this entry that are in flight at an instance. */
 	readonly getInFlight: (instance: string) => number;
-	/** Puts the start marker and reads the snapshot; false if it failed. */
+	/** Writes the start marker and reads the snapshot; false if it failed. */
 	readonly confirmSnapshot: () => Promise<boolean>;
 	readonly settings: membershipStatus.MembershipSettings;
 	readonly heartbeatMs: number;
 	readonly listPollMs: number;
-	/** How often in-flight work is looked at for a new acknowledgement. */
+	/** Interval at which in-flight work is checked for a new acknowledgement. */
 	readonly acknowledgeMs: number;
 	readonly callTimeoutMs: number;
 	readonly now: () => number;
 	readonly logger: Pick<Logger, 'info' | 'warn' | 'error'>;
 };
 
-/** A write of the own row. */
+/** A write of this entry's row whose outcome is unknown. */
 export type PendingWrite = {
 	readonly askedAt: number;
 	readonly quorum: readonly string[];
 };
 
-/** State of one life; changed in place by the parts of this folder. */
+/** State of one incarnation; mutated by the modules of this folder. */
 export type MemberState = {
 	readonly startedAt: number;
 	status: membershipStatus.MembershipStatus;
 	isRegistered: boolean;
-	/** The quorum that the own committed row names. */
+	/** Quorum named by this entry's committed row. */
 	quorum: readonly string[];
-	/** A quorum whose write has had no reply yet. */
+	/** Quorum of a write whose outcome is unknown. */
 	pendingQuorum: readonly string[] | undefined;
-	/** Writes of the own row whose outcome is unknown. */
+	/** Writes of this entry's row whose outcome is unknown, by operation id. */
 	readonly pendingWrites: Map<string, PendingWrite>;
-	/** Version of the own row; 0 before it is written. */
+	/** Version of this entry's row; 0 before it is written. */
 	rowVersion: number;
 	sequence: number;
-	/** True if this life took the place of an earlier one. */
+	/** True if this incarnation replaced an earlier one. */
 	hasReplaced: boolean;
-	/** Newest acknowledgement that others may have seen. */
+	/** Newest revision that this entry may have acknowledged to others. */
 	highestInForce: number;
-	/** Acknowledgements heard from peers, by entry. */
+	/** Acknowledgements received from peers, by entry. */
 	readonly received: Map<string, acknowledgement.Acknowledgement>;
-	/** Entries that this one speaks for, and when they last asked. */
+	/** Entries that this one sponsors, and when they last asked. */
 	readonly sponsored: Map<
 		string,
 		{ack: acknowledgement.Acknowledgement; askedAt: number}
 	>;
-	/** Address of the entry that speaks for this one. */
+	/** Address of the entry that sponsors this one. */
 	sponsorAddress: string | undefined;
-	/** Peers that wait for this entry's acknowledgements, and until when. */
+	/** Peers that wait for this entry's acknowledgements, with their deadlines. */
 	readonly awaitedBy: Map<string, number>;
-	/** The registered entries, as read when the set last changed. */
+	/** Registered entries, read when the set last changed. */
 	members: MembershipRows;
+	/** The last acknowledgement sent, for change detection. */
 	lastSent: string;
-	/** A later life of this entry, which ends this one. */
+	/** A later incarnation of this entry, which ends this one. */
 	replacedBy: string | undefined;
-	/** Incarnation by which the platform's list knows this life. */
+	/** Incarnation under which the platform's list shows this process. */
 	listedIncarnation: string | undefined;
-	/** When the newest heartbeat that committed was begun. */
+	/** Start time of the newest committed heartbeat. */
 	renewedAt: number;
-	/** When each peer last asked to be confirmed. */
+	/** When each peer last pinged this entry. */
 	readonly confirmedPeers: Map<string, number>;
 };
 
-/** Creates the state of a new life. */
+/** Creates the state of a new incarnation. */
 export const createMemberState = (now: number): MemberState => ({
 	startedAt: now,
 	status: {mode: 'registered', confirmedAt: Number.NEGATIVE_INFINITY},
@@ -110,7 +111,7 @@
 	confirmedPeers: new Map(),
 });
 
-/** A view by which nothing can be routed, at the same revision. */
+/** The view at the same revision, with no instances to route to. */
 export const withoutInstances = (view: View): View => ({
 	...view,
 	instances: new Map(),
--- a/packages/daemon/src/membership/member.ts
+++ b/packages/daemon/src/membership/member.ts
@@ -1,7 +1,7 @@
 /**
- * Membership of this entry as a part: registers before it serves, sends one
- * heartbeat for all its pools and shards, acknowledges what is in force, and
- * stops routing by itself when it cannot be confirmed.
+ * Membership of this entry: registers before it serves, sends one heartbeat for
+ * all its pools and shards, acknowledges the view that it routes by, and stops
+ * routing when its membership cannot be confirmed.
  */
 import * as core from '@gullstand/core';
 import type {
@@ -34,20 +34,20 @@
 
 /** Membership of this entry. */
 export type Member = Part & {
-	/** True if requests may be dispatched now; asked at each pick. */
+	/** True if requests may be dispatched now; called at each selection. */
 	readonly mayRoute: () => boolean;
 	/** True if this entry may hold shards and commit changes. */
 	readonly mayControl: () => boolean;
-	/** The registered entries, read anew when one has joined or left. */
+	/** Registered entries, reloaded when one has joined or left. */
 	readonly getMembers: () => MembershipRows;
 	readonly getStatus: () => membershipStatus.MembershipStatus;
-	/** Acknowledgements that peers have sent here. */
+	/** Acknowledgements received from peers. */
 	readonly getReceivedAcknowledgements: () => pendingAcknowledgements.ReceivedAcknowledgements;
-	/** Puts a new view in force and acknowledges it. */
+	/** Applies a new view to routing and acknowledges it. */
 	readonly acknowledgeView: () => void;
-	/** Hands a committed change to every peer and asks to be told. */
+	/** Sends a committed change to every peer and asks for acknowledgements. */
 	readonly announce: (delta: viewChange.ViewDelta) => void;
-	/** The registered entries that have not met a requirement yet. */
+	/** Lists acknowledgements that a requirement still waits for. */
 	readonly readPendingAcknowledgements: (
 		requirement: pendingAcknowledgements.Requirement,
 	) => Promise<
@@ -65,16 +65,16 @@
 		setTimeout(resolve, ms);
 	});
 
-const registerOrStand = async (deps: MemberDeps, state: MemberState) => {
+const registerOrContinue = async (deps: MemberDeps, state: MemberState) => {
 	const outcome = await register(deps, state);
 	if (outcome === 'unavailable') {
 		await continueWithoutTable(deps, state);
 	}
 };
 
-const beat = async (deps: MemberDeps, state: MemberState) => {
+const sendHeartbeat = async (deps: MemberDeps, state: MemberState) => {
 	if (!state.isRegistered) {
-		await registerOrStand(deps, state);
+		await registerOrContinue(deps, state);
 		return;
 	}
 
@@ -85,7 +85,7 @@
 	}
 };
 
-/** Reads all registrations, but only when the set of them has changed. */
+/** Reloads all registrations if the set of them has changed. */
 const refreshMembers = async (deps: MemberDeps, state: MemberState) => {
 	const version = await readMembershipVersion(deps.table);
 	if (!version.ok || version.value === state.members.version) {
@@ -106,23 +106,24 @@
 	}
 };
 
-/** Waits, but does not keep a process alive that has nothing else to do. */
-const delayUnlessLast = async (ms: number) =>
+/** Waits without keeping the process alive. */
+const delayUnref = async (ms: number) =>
 	new Promise<void>((resolve) => {
 		setTimeout(resolve, ms).unref();
 	});
 
-const offerAgainMs = 500;
+const offerRetryMs = 500;
 
-const offerForMs = 30_000;
+/** Peers that cannot be reached for this long poll the change instead. */
+const offerTimeoutMs = 30_000;
 
-/** Offers a change to one peer until it has taken it; polls do the rest. */
-const offer = async (
+/** Offers a change to one peer, with retries until it answers. */
+const offerToPeer = async (
 	deps: MemberDeps,
 	address: string,
 	params: PeerMethods['offerDelta']['params'],
 ) => {
-	const until = deps.now() + offerForMs;
+	const giveUpAt = deps.now() + offerTimeoutMs;
 	for (;;) {
 		const answer = await deps.peers.call(
 			address,
@@ -130,11 +131,11 @@
 			params,
 			deps.callTimeoutMs,
 		);
-		if (answer.ok || deps.now() + offerAgainMs > until) {
+		if (answer.ok || deps.now() + offerRetryMs > giveUpAt) {
 			return;
 		}
 
-		await delayUnlessLast(offerAgainMs);
+		await delayUnref(offerRetryMs);
 	}
 };
 
@@ -147,12 +148,12 @@
 	const awaitedBy = deps.peers.getAddress();
 	for (const [entry, {value}] of state.members.registrations) {
 		if (entry !== deps.self.entry) {
-			void offer(deps, value.address, {delta, awaitedBy});
+			void offerToPeer(deps, value.address, {delta, awaitedBy});
 		}
 	}
 };
 
-const readLagging = async (
+const readPending = async (
 	deps: MemberDeps,
 	state: MemberState,
 	requirement: pendingAcknowledgements.Requirement,
@@ -171,7 +172,7 @@
 		: rows;
 };
 
-/** Creates the membership of this life. */
+/** Creates the membership of this incarnation. */
 export const createMember = (deps: MemberDeps): Member => {
 	const state = createMemberState(deps.now());
 	const acknowledge = () => {
@@ -183,7 +184,11 @@
 		core.membershipStatus.mayRoute(state.status, deps.settings, deps.now());
 
 	const tickers = [
-		createTicker(async () => beat(deps, state), deps.heartbeatMs, Math.random),
+		createTicker(
+			async () => sendHeartbeat(deps, state),
+			deps.heartbeatMs,
+			Math.random,
+		),
 		createTicker(
 			async () => {
 				await confirmByList(deps, state);
@@ -210,7 +215,7 @@
 		name: 'membership',
 		async start(reportFailure) {
 			while (!mayRoute()) {
-				await registerOrStand(deps, state);
+				await registerOrContinue(deps, state);
 				await (mayRoute() ? undefined : delay(registerRetryMs));
 			}
 
@@ -232,6 +237,6 @@
 			announce(deps, state, delta);
 		},
 		readPendingAcknowledgements: async (requirement) =>
-			readLagging(deps, state, requirement),
+			readPending(deps, state, requirement),
 	};
 };
--- a/packages/daemon/src/membership/membership-rows.ts
+++ b/packages/daemon/src/membership/membership-rows.ts
@@ -10,7 +10,7 @@
 	readonly version: number;
 };
 
-/** A registration and the operation that wrote it. */
+/** A registration and the id of the operation that wrote it. */
 export type OwnRegistration = ReadRegistration & {
 	readonly operationId: string;
 };
@@ -22,7 +22,7 @@
 	readonly registrations: ReadonlyMap<string, ReadRegistration>;
 };
 
-/** Checks an acknowledgement, from a row or a peer. */
+/** Schema of an acknowledgement, from a row or a peer. */
 export const acknowledgementSchema = z.object({
 	entry: z.string().min(1),
 	incarnation: z.string().min(1),
@@ -42,7 +42,7 @@
 
 const pageSize = 500;
 
-/** Writes of the core as the port takes them. */
+/** Converts writes of the core to those of the table service. */
 export const toWrites = (
 	writes: ReadonlyArray<StoreWrite<unknown>>,
 ): readonly Write[] => writes as readonly Write[];
--- a/packages/daemon/src/membership/outage-confirmation.ts
+++ b/packages/daemon/src/membership/outage-confirmation.ts
@@ -1,11 +1,11 @@
-/** How an entry stands while it cannot register or renew. */
+/** Confirms membership while an entry cannot register or renew its row. */
 import * as core from '@gullstand/core';
 import type {membershipStatus} from '@gullstand/core';
 import {createAcknowledgement} from './acknowledge.js';
 import type {MemberDeps, MemberState} from './member-state.js';
 import {recordConfirmation} from './register.js';
 
-/** Addresses of other entries, from the platform's list. */
+/** Lists peer addresses of other entries from the platform's list. */
 export const listPeerAddresses = async (
 	deps: Pick<MemberDeps, 'list' | 'self'>,
 ): Promise<readonly string[]> => {
@@ -27,7 +27,7 @@
 	}
 };
 
-const askSponsor = async (
+const requestSponsorship = async (
 	deps: MemberDeps,
 	state: MemberState,
 	address: string,
@@ -51,7 +51,7 @@
 	return true;
 };
 
-/** The sponsor that it has first; the list may be down as well. */
+/** Known sponsor first, as the list may be unavailable as well. */
 const listSponsors = async (
 	deps: MemberDeps,
 	{sponsorAddress}: MemberState,
@@ -64,8 +64,8 @@
 };
 
 /**
- * Looks for a sponsor among the listed peers; with none in reach, stands on
- * the snapshot. Does nothing until there is a view.
+ * Looks for a sponsor among the listed peers; if none is reachable, confirms
+ * membership by the snapshot. Does nothing until there is a view.
  */
 export const continueWithoutTable = async (
 	deps: MemberDeps,
@@ -76,7 +76,7 @@
 	}
 
 	for (const address of await listSponsors(deps, state)) {
-		if (await askSponsor(deps, state, address)) {
+		if (await requestSponsorship(deps, state, address)) {
 			return;
 		}
 	}
@@ -89,8 +89,8 @@
 };
 
 /**
- * Confirms a registered entry by the list, if it shows this life. Which life
- * the list means is learnt while heartbeats commit.
+ * Confirms a registered entry if the platform's list shows this incarnation.
+ * The list's name for this incarnation is recorded while heartbeats commit.
  */
 export const confirmByList = async (
 	deps: MemberDeps,
@@ -102,17 +102,18 @@
 		return;
 	}
 
-	const shown = listed.value.find(({id}) => id === deps.self.entry);
+	const ownListing = listed.value.find(({id}) => id === deps.self.entry);
 	if (askedAt - state.renewedAt < deps.settings.isolationMs / 2) {
-		state.listedIncarnation = shown?.incarnation;
-	} else if (shown && shown.incarnation === state.listedIncarnation) {
+		state.listedIncarnation = ownListing?.incarnation;
+	} else if (ownListing && ownListing.incarnation === state.listedIncarnation) {
 		recordConfirmation(deps, state, 'list', askedAt);
 	}
 };
 
 /**
- * Confirms by more than half of the entries that the own row names, and of
- * those that a row in doubt names (spec/forget.pml, `same_quorum`).
+ * Confirms by a majority of the quorum in this entry's row and, if a write has
+ * an unknown outcome, of that write's quorum as well (spec/forget.pml,
+ * `same_quorum`).
  */
 export const confirmByMajority = async (
 	deps: MemberDeps,
@@ -123,7 +124,7 @@
 	const others = [...registrations].filter(
 		([entry]) => entry !== deps.self.entry,
 	);
-	const heard = new Set([deps.self.entry]);
+	const reached = new Set([deps.self.entry]);
 	await Promise.all(
 		others.map(async ([entry, {value}]) => {
 			const answer = await deps.peers.call(
@@ -133,13 +134,13 @@
 				deps.callTimeoutMs,
 			);
 			if (answer.ok) {
-				heard.add(entry);
+				reached.add(entry);
 			}
 		}),
 	);
 	const quorums = [state.quorum, state.pendingQuorum ?? state.quorum];
 	const isMajority = (quorum: readonly string[]) =>
-		quorum.filter((entry) => heard.has(entry)).length * 2 > quorum.length;
+		quorum.filter((entry) => reached.has(entry)).length * 2 > quorum.length;
 	if (quorums.every((quorum) => isMajority(quorum))) {
 		recordConfirmation(deps, state, 'majority', askedAt);
 	}
--- a/packages/daemon/src/membership/register.test.ts
+++ b/packages/daemon/src/membership/register.test.ts
@@ -10,7 +10,7 @@
 import {deregister, register, renew} from './register.js';
 
 type Faults = {
-	/** The next commit's reply is lost, after its effect or before. */
+	/** Loses the reply of the next commit, which took effect or did not. */
 	lost: 'effect' | 'no-effect' | undefined;
 };
 
@@ -48,7 +48,7 @@
 	const memory = createMemoryTableService();
 	const faults: Faults = {lost: undefined};
 	const clock = {now: 1000};
-	const held = {count: 0};
+	const inFlight = {count: 0};
 	const deps: MemberDeps = {
 		self: {entry: 'e1', incarnation},
 		availabilityZone: 'z',
@@ -63,7 +63,7 @@
 		poll: async () => undefined,
 		offerDeltas: () => undefined,
 		route: () => undefined,
-		getInFlight: () => held.count,
+		getInFlight: () => inFlight.count,
 		confirmSnapshot: async () => false,
 		settings: core.membershipStatus.membershipDefaults,
 		heartbeatMs: 2000,
@@ -83,10 +83,10 @@
 		return row.ok ? row.value : undefined;
 	};
 
-	return {memory, faults, clock, held, deps, state, readRow};
+	return {memory, faults, clock, inFlight, deps, state, readRow};
 };
 
-tap.t.test('a registration whose reply was lost is found', async (t) => {
+tap.t.test('a registration whose reply was lost is read back', async (t) => {
 	const {faults, deps, state, readRow} = await createFixture();
 	faults.lost = 'no-effect';
 	t.equal(await register(deps, state), 'unavailable');
@@ -97,14 +97,14 @@
 	t.equal(state.rowVersion, row?.version);
 });
 
-tap.t.test('only a heartbeat that was made confirms', async (t) => {
+tap.t.test('only a committed heartbeat confirms', async (t) => {
 	const {faults, clock, deps, state} = await createFixture();
 	await register(deps, state);
 	t.equal(state.status.confirmedAt, 1000);
 	clock.now = 2000;
 	faults.lost = 'no-effect';
 	await renew(deps, state);
-	t.equal(state.status.confirmedAt, 1000, 'the row proves nothing new');
+	t.equal(state.status.confirmedAt, 1000, 'the row confirms nothing new');
 	faults.lost = 'effect';
 	clock.now = 3000;
 	await renew(deps, state);
@@ -115,7 +115,7 @@
 	t.equal(state.pendingWrites.size, 0);
 });
 
-tap.t.test('a forgotten entry stops and registers anew', async (t) => {
+tap.t.test('a forgotten entry stops routing and registers again', async (t) => {
 	const {memory, deps, state} = await createFixture();
 	await register(deps, state);
 	await memory.commit(
@@ -130,7 +130,7 @@
 	t.equal(await register(deps, state), 'registered');
 });
 
-tap.t.test('a later life ends the earlier one for good', async (t) => {
+tap.t.test('a later incarnation ends the earlier one for good', async (t) => {
 	const earlier = await createFixture('a');
 	await register(earlier.deps, earlier.state);
 	const later = await createFixture('b');
@@ -142,14 +142,17 @@
 	await t.rejects(register(earlier.deps, earlier.state), /taken the place/u);
 });
 
-tap.t.test('the row stays while an executor may run its work', async (t) => {
-	const {held, deps, state, readRow} = await createFixture();
-	await register(deps, state);
-	held.count = 1;
-	await deregister(deps, state);
-	t.ok(await readRow());
-	held.count = 0;
-	await register(deps, state);
-	await deregister(deps, state);
-	t.notOk(await readRow());
-});
+tap.t.test(
+	'the row stays while an executor may run its requests',
+	async (t) => {
+		const {inFlight, deps, state, readRow} = await createFixture();
+		await register(deps, state);
+		inFlight.count = 1;
+		await deregister(deps, state);
+		t.ok(await readRow());
+		inFlight.count = 0;
+		await register(deps, state);
+		await deregister(deps, state);
+		t.notOk(await readRow());
+	},
+);
--- a/packages/daemon/src/membership/register.ts
+++ b/packages/daemon/src/membership/register.ts
@@ -1,4 +1,4 @@
-/** Registers this life and renews its row, whatever replies are lost. */
+/** Registers this incarnation and renews its row; tolerates lost replies. */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
 import type {registration, membershipStatus, StoreWrite} from '@gullstand/core';
@@ -7,10 +7,10 @@
 import type {MemberDeps, MemberState} from './member-state.js';
 import {readMembership, readRegistration, toWrites} from './membership-rows.js';
 
-/** What became of an attempt. */
+/** Outcome of a registration attempt. */
 export type RegisterOutcome = 'registered' | 'moved-on' | 'unavailable';
 
-/** Takes in a confirmation that was asked for at a time. */
+/** Records a confirmation, valid from the time it was requested. */
 export const recordConfirmation = (
 	deps: MemberDeps,
 	state: MemberState,
@@ -49,16 +49,16 @@
 };
 
 type OwnRow =
-	/** Written by a pending write of this life. */
+	/** Written by a pending write of this incarnation. */
 	| {readonly kind: 'own'; readonly version: number; readonly id: string}
-	/** Of this life, but it proves nothing. */
+	/** Written by this incarnation, but not by a pending write. */
 	| {readonly kind: 'older'; readonly version: number}
 	| {readonly kind: 'absent' | 'unreadable'}
 	| {readonly kind: 'replaced'; readonly incarnation: string};
 
 /**
- * What the row says after a lost reply. A read may be old: only a row that
- * carries the operation id of a pending write proves anything.
+ * Reads this entry's row after a lost reply. The read may be stale: only a row
+ * with the operation id of a pending write proves that the write committed.
  */
 const readOwnRow = async (
 	deps: MemberDeps,
@@ -88,7 +88,7 @@
 		: {kind: 'older', version};
 };
 
-/** Commits the own row; a write without a reply stays pending. */
+/** Commits this entry's row; a write without a reply stays pending. */
 const commitRow = async (
 	deps: MemberDeps,
 	state: MemberState,
@@ -102,9 +102,9 @@
 	const committed = await deps.table.commit(toWrites(writes), id);
 	const version = committed.ok ? committed.value.versions[0] : undefined;
 	if (version !== undefined) {
-		settle(state, id, version);
+		completeWrite(state, id, version);
 	} else if (!committed.ok && committed.error.kind !== 'timeout') {
-		// Certainly not made.
+		// The write certainly did not commit.
 		state.pendingWrites.delete(id);
 		state.pendingQuorum = [...state.pendingWrites.values()].at(-1)?.quorum;
 	}
@@ -112,8 +112,8 @@
 	return committed;
 };
 
-/** A pending write has been made: it is the newest, others are over. */
-const settle = (state: MemberState, id: string, version: number) => {
+/** Records that a pending write committed, which ends all others. */
+const completeWrite = (state: MemberState, id: string, version: number) => {
 	const write = state.pendingWrites.get(id);
 	state.rowVersion = version;
 	state.quorum = write?.quorum ?? state.quorum;
@@ -123,8 +123,8 @@
 };
 
 /**
- * Registers while the view is the newest; `moved-on` if it was not.
- * @throws If a later life of this entry has registered.
+ * Registers if the view is the newest; `moved-on` if it is not.
+ * @throws If a later incarnation of this entry has registered.
  */
 export const register = async (
 	deps: MemberDeps,
@@ -132,7 +132,7 @@
 ): Promise<RegisterOutcome> => {
 	if (state.replacedBy !== undefined) {
 		throw new VError(
-			'life %s of entry %s has taken the place of this one',
+			'incarnation %s of entry %s has taken the place of this one',
 			state.replacedBy,
 			deps.self.entry,
 		);
@@ -145,8 +145,9 @@
 
 	const {revision} = deps.getFollowed().view;
 	const counterVersion = current.counter?.version;
-	const counted = current.counter?.value as {revision?: number} | undefined;
-	if ((counted?.revision ?? 0) !== revision) {
+	const counterValue = current.counter?.value as
+		{revision?: number} | undefined;
+	if ((counterValue?.revision ?? 0) !== revision) {
 		return 'moved-on';
 	}
 
@@ -163,9 +164,9 @@
 		return 'registered';
 	}
 
-	const own = await readOwnRow(deps, state);
-	if (own.kind === 'own') {
-		settle(state, own.id, own.version);
+	const ownRow = await readOwnRow(deps, state);
+	if (ownRow.kind === 'own') {
+		completeWrite(state, ownRow.id, ownRow.version);
 		setRegistered(deps, state);
 		return 'registered';
 	}
@@ -173,8 +174,8 @@
 	return committed.error.kind === 'conflict' ? 'moved-on' : 'unavailable';
 };
 
-/** The row is gone: nothing may be routed until it is written anew. */
-const lose = (deps: MemberDeps, state: MemberState) => {
+/** Stops routing after the row was removed, until it is written again. */
+const loseRegistration = (deps: MemberDeps, state: MemberState) => {
 	state.isRegistered = false;
 	state.status = core.membershipStatus.changeMode(
 		'registered',
@@ -183,7 +184,7 @@
 	deps.logger.error('registration lost', {...deps.self});
 };
 
-/** One heartbeat: acknowledgement, sign of life and confirmation in one. */
+/** Sends one heartbeat, which renews the row and confirms membership. */
 export const renew = async (
 	deps: MemberDeps,
 	state: MemberState,
@@ -200,37 +201,37 @@
 		return;
 	}
 
-	const own = await readOwnRow(deps, state);
-	switch (own.kind) {
+	const ownRow = await readOwnRow(deps, state);
+	switch (ownRow.kind) {
 		case 'absent': {
-			lose(deps, state);
+			loseRegistration(deps, state);
 			break;
 		}
 
 		case 'replaced': {
-			lose(deps, state);
-			state.replacedBy = own.incarnation;
+			loseRegistration(deps, state);
+			state.replacedBy = ownRow.incarnation;
 			break;
 		}
 
 		case 'own': {
-			settle(state, own.id, own.version);
+			completeWrite(state, ownRow.id, ownRow.version);
 			recordConfirmation(deps, state, 'table', state.renewedAt);
 			break;
 		}
 
 		case 'older': {
-			// The next heartbeat is conditional on it and so proves itself.
-			state.rowVersion = own.version;
+			// The next heartbeat is conditional on this version.
+			state.rowVersion = ownRow.version;
 			break;
 		}
 
 		case 'unreadable':
-		// Nothing is known; the standing lapses if it stays so.
+		// The outcome is unknown; the confirmation expires if it stays so.
 	}
 };
 
-const isLettingGo = (deps: MemberDeps, state: MemberState): boolean => {
+const mayDeregister = (deps: MemberDeps, state: MemberState): boolean => {
 	const {instances} = deps.getFollowed().view;
 	const isHolding = [...instances.keys()].some(
 		(instance) => deps.getInFlight(instance) > 0,
@@ -239,9 +240,9 @@
 };
 
 /**
- * Removes the own row at the end of a graceful stop. It stays, and others
- * forget it in time, if requests were cut off that an executor may still run,
- * or if this entry speaks for others.
+ * Removes this entry's row at the end of a graceful stop. If executors may
+ * still run its requests or it sponsors others, the row stays until peers
+ * forget the entry.
  */
 export const deregister = async (
 	deps: MemberDeps,
@@ -253,8 +254,8 @@
 
 	state.isRegistered = false;
 	const {entry} = deps.self;
-	if (!isLettingGo(deps, state)) {
-		deps.logger.warn('registration left behind', {entry});
+	if (!mayDeregister(deps, state)) {
+		deps.logger.warn('registration kept after stop', {entry});
 		return;
 	}
 
--- a/packages/daemon/src/moves/move-rows.ts
+++ b/packages/daemon/src/moves/move-rows.ts
@@ -1,4 +1,4 @@
-/** Commits steps of moves as changes of the view. */
+/** Reads moves and commits their steps as changes of the view. */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
 import type {
@@ -25,15 +25,15 @@
 		: {kind: 'delete', ...row};
 };
 
-/** Who commits a step, and on what view it was decided. */
+/** Author of a step and the view that it was decided on. */
 export type StepOptions = {
 	readonly author: string;
 	readonly known: followedView.FollowedView;
-	/** Refuses if the view has changed at all since `known`. */
+	/** Refuses the step if any object changed since `known`. */
 	readonly mustBeNewest?: boolean;
 };
 
-/** Commits one step; every condition of it holds in the same transaction. */
+/** Commits one step together with its conditions in one transaction. */
 export const commitStep = async (
 	table: TableService,
 	step: move.MoveCommit,
@@ -69,7 +69,7 @@
 	return core.succeed(row.value && {value, version: row.value.version});
 };
 
-/** Reads every move that is under way. */
+/** Reads all moves in progress. */
 export const readMoves = async (
 	table: TableService,
 ): Promise<Result<ReadonlyArray<move.ReadRow<move.Move>>, StoreError>> => {
--- a/packages/daemon/src/moves/move-runner.ts
+++ b/packages/daemon/src/moves/move-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Carries moves on, as a part, for the shards that this entry holds: waits
- * for every registered entry, ends the drain, puts the instance in its pool.
+ * Advances moves of the shards that this entry holds: waits for every
+ * registered entry, finishes the drain, and adds the instance to its new pool.
  */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
@@ -18,27 +18,28 @@
 import {createTicker} from '../view/ticker.js';
 import {commitStep, readInstance, readMoves} from './move-rows.js';
 
-/** What the move runner needs. */
+/** Dependencies of the move runner. */
 export type MoveRunnerDeps = {
 	readonly table: TableService;
-	/** The lease under which an instance is moved, if it is held here. */
+	/** Returns the lease for moving an instance, if this entry holds it. */
 	readonly getHeldFor: (instance: string) => shardLease.HeldShard | undefined;
 	readonly getReceivedAcknowledgements: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	readonly getFollowed: () => followedView.FollowedView;
-	/** What is known of entries that start in an outage. */
+	/** Reads what is known of entries that start during an outage. */
 	readonly readOutageStart: () => Promise<move.OutageStart>;
-	/** Tells peers of a committed change. */
+	/** Notifies peers of a committed change. */
 	readonly announce: (delta: viewChange.ViewDelta) => void;
 	readonly pollMs: number;
 	readonly logger: Pick<Logger, 'info' | 'warn'>;
 };
 
-/** The move runner and what each move waits for. */
+/** The move runner. */
 export type MoveRunner = Part & {
+	/** Returns the latest step of each move, by instance. */
 	readonly getLastSteps: () => ReadonlyMap<string, move.MoveStep>;
 };
 
-const dropMove = async (
+const deleteMove = async (
 	{table}: MoveRunnerDeps,
 	{value, version}: move.ReadRow<move.Move>,
 ) => {
@@ -55,7 +56,7 @@
 	);
 };
 
-const readMembershipFor = async (
+const readMembershipForMoves = async (
 	deps: MoveRunnerDeps,
 ): Promise<move.MembershipRead | undefined> => {
 	const outageStart = await deps.readOutageStart();
@@ -85,7 +86,7 @@
 
 	const step = core.move.decideMove(row, instance.value, membership, held);
 	if (step.kind === 'superseded') {
-		await dropMove(deps, row);
+		await deleteMove(deps, row);
 	} else if (step.kind === 'commit') {
 		const {author} = row.value;
 		const known = deps.getFollowed();
@@ -99,7 +100,7 @@
 	return step;
 };
 
-/** The view tells whether a read of the move rows can be of use. */
+/** True if the view shows an instance that may be moving. */
 const mayBeMoving = ({getFollowed, getHeldFor}: MoveRunnerDeps): boolean => {
 	for (const {id, state} of getFollowed().view.instances.values()) {
 		if ((state === 'draining' || state === 'away') && getHeldFor(id)) {
@@ -112,16 +113,17 @@
 
 const runOnce = async (
 	deps: MoveRunnerDeps,
-	waits: Map<string, move.MoveStep>,
+	lastSteps: Map<string, move.MoveStep>,
 ) => {
-	waits.clear();
+	lastSteps.clear();
 	const moves = mayBeMoving(deps) ? await readMoves(deps.table) : undefined;
 	if (!moves?.ok) {
 		return;
 	}
 
 	const own = moves.value.filter(({value}) => deps.getHeldFor(value.instance));
-	const membership = own.length > 0 ? await readMembershipFor(deps) : undefined;
+	const membership =
+		own.length > 0 ? await readMembershipForMoves(deps) : undefined;
 	if (!membership) {
 		return;
 	}
@@ -131,16 +133,15 @@
 		const held = deps.getHeldFor(instance);
 		const step = held && (await advance(deps, row, membership, held));
 		if (step) {
-			waits.set(instance, step);
+			lastSteps.set(instance, step);
 		}
 	}
 };
 
-/** Creates the move runner. */
 export const createMoveRunner = (deps: MoveRunnerDeps): MoveRunner => {
-	const waits = new Map<string, move.MoveStep>();
+	const lastSteps = new Map<string, move.MoveStep>();
 	const ticker = createTicker(
-		async () => runOnce(deps, waits),
+		async () => runOnce(deps, lastSteps),
 		deps.pollMs,
 		Math.random,
 	);
@@ -148,6 +149,6 @@
 		name: 'moves',
 		start: ticker.start,
 		stop: ticker.stop,
-		getLastSteps: () => waits,
+		getLastSteps: () => lastSteps,
 	};
 };
--- a/packages/daemon/src/peers/envelope.ts
+++ b/packages/daemon/src/peers/envelope.ts
@@ -1,12 +1,12 @@
 /**
- * Proof that a message on the peer channel comes from another entry: an
- * HMAC-SHA256 (RFC 2104) over sender, receiver, time, nonce and body, with
- * the key of the settings. Answers are sealed with the nonce of their call.
+ * Authentication of peer messages: an HMAC-SHA256 (RFC 2104) over sender,
+ * receiver, time, nonce and body, with the key of the settings. An answer is
+ * signed together with the nonce of its call.
  */
 import {Buffer} from 'node:buffer';
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
 
-/** Headers that carry the proof. */
+/** Headers that carry the signature and what it covers. */
 export const peerHeaders = {
 	entry: 'gullstand-peer',
 	incarnation: 'gullstand-incarnation',
@@ -15,18 +15,18 @@
 	signature: 'gullstand-signature',
 } as const;
 
-/** What a call is sealed with. */
+/** Fields covered by the signature of a call. */
 export type Envelope = {
 	readonly entry: string;
 	readonly incarnation: string;
-	/** Address and port of the receiver, so that it serves no other. */
+	/** Address and port of the receiver, so that no other accepts it. */
 	readonly to: string;
 	/** Wall clock of the sender, in milliseconds. */
 	readonly time: number;
 	readonly nonce: string;
 };
 
-/** Why a message is refused; the sender learns no more than 401. */
+/** Why a message is refused; the sender receives only status 401. */
 export type EnvelopeRefusal =
 	'incomplete' | 'bad-signature' | 'clock-apart' | 'repeated';
 
@@ -41,11 +41,10 @@
 	return hmac.update(body).digest('hex');
 };
 
-/** Makes a nonce. */
 export const createNonce = (): string =>
 	randomBytes(nonceBytes).toString('hex');
 
-/** Seals a call. */
+/** Signs a call. */
 export const signCall = (key: Buffer, call: Envelope, body: string): string =>
 	sign(
 		key,
@@ -60,7 +59,7 @@
 		body,
 	);
 
-/** Seals the answer to the call with that nonce. */
+/** Signs the answer to the call with that nonce. */
 export const signAnswer = (key: Buffer, nonce: string, body: string): string =>
 	sign(key, ['answer', nonce], body);
 
@@ -70,48 +69,48 @@
 	return first.length === second.length && timingSafeEqual(first, second);
 };
 
-/** Remembers nonces for as long as their times are accepted. */
+/** Stores nonces for as long as their times are accepted. */
 export type NonceWindow = {
-	/** False if the nonce was seen before. */
+	/** Adds a nonce; false if it was used before. */
 	readonly add: (nonce: string, time: number, wallNow: number) => boolean;
 };
 
-/** Creates a window; it holds only nonces of authentic messages. */
+/** Creates a window, for nonces of authentic messages only. */
 export const createNonceWindow = (maxApartMs: number): NonceWindow => {
-	const seen = new Map<string, number>();
-	const forget = (wallNow: number) => {
-		for (const [nonce, time] of seen) {
-			// Insertion order is close to the order of times.
+	const usedNonces = new Map<string, number>();
+	const removeExpired = (wallNow: number) => {
+		for (const [nonce, time] of usedNonces) {
+			// Insertion order approximates the order of times.
 			if (wallNow - time <= 2 * maxApartMs) {
 				return;
 			}
 
-			seen.delete(nonce);
+			usedNonces.delete(nonce);
 		}
 	};
 
 	return {
 		add(nonce, time, wallNow) {
-			forget(wallNow);
-			if (seen.has(nonce)) {
+			removeExpired(wallNow);
+			if (usedNonces.has(nonce)) {
 				return false;
 			}
 
-			seen.set(nonce, time);
+			usedNonces.set(nonce, time);
 			return true;
 		},
 	};
 };
 
-/** What the receiver checks a call with. */
+/** Inputs for checking a call. */
 export type EnvelopeCheck = {
 	readonly key: Buffer;
 	readonly nonces: NonceWindow;
-	/** Difference of wall clocks that is accepted, in milliseconds. */
+	/** Maximum accepted difference of wall clocks, in milliseconds. */
 	readonly maxClockSkewMs: number;
 };
 
-/** Judges a call; `undefined` means authentic and new. */
+/** Checks a call; `undefined` if it is authentic and not a replay. */
 export const checkCall = (
 	{key, nonces, maxClockSkewMs}: EnvelopeCheck,
 	call: Envelope & {readonly signature: string},
--- a/packages/daemon/src/peers/peer-channel.test.ts
+++ b/packages/daemon/src/peers/peer-channel.test.ts
@@ -21,10 +21,13 @@
 	});
 
 const startPair = async (t: tap.Test, caller: PeerChannel) => {
-	const heard: Array<[number, string]> = [];
+	const received: Array<[number, string]> = [];
 	const callee = createChannel('e2');
 	callee.addMethod('ping', z.object({entry: z.string()}), ({entry}, from) => {
-		heard.push([heard.length, `${entry} ${from.entry} ${from.incarnation}`]);
+		received.push([
+			received.length,
+			`${entry} ${from.entry} ${from.incarnation}`,
+		]);
 		return {incarnation: 'e2-1', revision: 7, confirmedAgeMs: 0};
 	});
 	await callee.start(() => undefined);
@@ -33,31 +36,31 @@
 		await caller.stop(0);
 		await callee.stop(0);
 	});
-	return {callee, heard};
+	return {callee, received};
 };
 
 tap.t.test('an entry calls another', async (t) => {
 	const caller = createChannel('e1');
-	const {callee, heard} = await startPair(t, caller);
+	const {callee, received} = await startPair(t, caller);
 	const address = callee.getAddress();
 	const answer = await caller.call(address, 'ping', {entry: 'e1'}, 2000);
 	t.match(answer, {ok: true, value: {revision: 7}});
-	t.same(heard, [[0, 'e1 e1 e1-1']]);
+	t.same(received, [[0, 'e1 e1 e1-1']]);
 });
 
-const strangers = [
+const unauthenticated = [
 	['another key', createChannel('e1', 'cd'.repeat(32))],
 	['a clock too far ahead', createChannel('e1', keyHex, 60_000)],
 	['a clock too far behind', createChannel('e1', keyHex, -60_000)],
 ] as const;
 
-for (const [name, caller] of strangers) {
+for (const [name, caller] of unauthenticated) {
 	tap.t.test(`a message has no effect: ${name}`, async (t) => {
-		const {callee, heard} = await startPair(t, caller);
+		const {callee, received} = await startPair(t, caller);
 		const address = callee.getAddress();
 		const answer = await caller.call(address, 'ping', {entry: 'e1'}, 2000);
 		t.match(answer, {ok: false, error: {kind: 'refused'}});
-		t.same(heard, []);
+		t.same(received, []);
 		t.equal(callee.countRefused(), 1);
 	});
 }
@@ -80,8 +83,8 @@
 	params: {entry: 'e1'},
 });
 
-tap.t.test('a captured message is of no use', async (t) => {
-	const {callee, heard} = await startPair(t, createChannel('e1'));
+tap.t.test('a captured message cannot be replayed', async (t) => {
+	const {callee, received} = await startPair(t, createChannel('e1'));
 	const address = callee.getAddress();
 	const post = async (headers: Record<string, string>, body: string) => {
 		const url = `http://${address}/peer`;
@@ -96,13 +99,13 @@
 	t.equal(await post(signed('127.0.0.1:1', ping, 'n2'), ping), 401, 'other');
 	const changed = ping.replace('"e1"', '"e9"');
 	t.equal(await post(signed(address, ping, 'n3'), changed), 401, 'changed');
-	t.equal(await post({}, ping), 401, 'no proof');
-	t.equal(heard.length, 1);
+	t.equal(await post({}, ping), 401, 'no signature');
+	t.equal(received.length, 1);
 });
 
 tap.t.test('malformed parameters do not reach the method', async (t) => {
 	const caller = createChannel('e1');
-	const {callee, heard} = await startPair(t, caller);
+	const {callee, received} = await startPair(t, caller);
 	const answer = await caller.call(
 		callee.getAddress(),
 		'ping',
@@ -110,19 +113,19 @@
 		2000,
 	);
 	t.match(answer, {ok: false, error: {kind: 'method-failed'}});
-	t.same(heard, []);
+	t.same(received, []);
 });
 
-tap.t.test('an answer that no peer gave is refused', async (t) => {
+tap.t.test('an answer without a valid signature is refused', async (t) => {
 	const caller = createChannel('e1');
 	const {callee} = await startPair(t, caller);
-	const stranger = createServer((_req, res) => {
+	const unsignedServer = createServer((_req, res) => {
 		res.end('{"jsonrpc":"2.0","id":1,"result":{"revision":99}}');
 	});
-	stranger.listen(0, '127.0.0.1');
-	await once(stranger, 'listening');
-	t.teardown(() => stranger.close());
-	const {port} = stranger.address() as AddressInfo;
+	unsignedServer.listen(0, '127.0.0.1');
+	await once(unsignedServer, 'listening');
+	t.teardown(() => unsignedServer.close());
+	const {port} = unsignedServer.address() as AddressInfo;
 	const wrong = await caller.call(
 		`127.0.0.1:${port}`,
 		'ping',
@@ -131,11 +134,11 @@
 	);
 	t.match(wrong, {ok: false, error: {kind: 'not-authentic'}});
 	await callee.stop(0);
-	const gone = await caller.call(
+	const unreachable = await caller.call(
 		callee.getAddress(),
 		'ping',
 		{entry: 'e1'},
 		500,
 	);
-	t.match(gone, {ok: false, error: {kind: /unreachable|timeout/}});
+	t.match(unreachable, {ok: false, error: {kind: /unreachable|timeout/}});
 });
--- a/packages/daemon/src/peers/peer-channel.ts
+++ b/packages/daemon/src/peers/peer-channel.ts
@@ -1,4 +1,4 @@
-/** The peer channel as a part: one listener, one client, typed methods. */
+/** The peer channel: one listener, one client and typed methods. */
 import {Buffer} from 'node:buffer';
 import * as core from '@gullstand/core';
 import {createListener} from '../http/listener.js';
@@ -15,12 +15,12 @@
 	readonly keyHex: string;
 };
 
-/** What the peer channel needs. */
+/** Dependencies of the peer channel. */
 export type PeerChannelDeps = {
 	readonly settings: PeerSettings;
 	readonly self: PeerIdentity;
 	readonly now: () => number;
-	/** Wall clock, in milliseconds; peers' clocks may be 30 s apart. */
+	/** Wall clock, in milliseconds; those of peers may differ by 30 s. */
 	readonly wallNow: () => number;
 	readonly logger: Pick<Logger, 'warn'>;
 };
@@ -29,9 +29,9 @@
 export type PeerChannel = Part &
 	Pick<PeerServer, 'addMethod'> &
 	Pick<PeerClient, 'call'> & {
-		/** Address and port by which peers reach this entry. */
+		/** Address and port at which peers reach this entry. */
 		readonly getAddress: () => string;
-		/** Messages refused since the start. */
+		/** Number of refused messages since the start. */
 		readonly countRefused: () => number;
 	};
 
@@ -48,7 +48,7 @@
 
 const connectTimeoutMs = 500;
 
-/** Creates the peer channel; methods may be added before its start. */
+/** Creates the peer channel; add its methods before the start. */
 export const createPeerChannel = (deps: PeerChannelDeps): PeerChannel => {
 	const {settings, self, now, wallNow, logger} = deps;
 	const key = Buffer.from(settings.keyHex, 'hex');
--- a/packages/daemon/src/peers/peer-client.ts
+++ b/packages/daemon/src/peers/peer-client.ts
@@ -22,7 +22,7 @@
 } from './peer-methods.js';
 import {peerPath} from './peer-server.js';
 
-/** What a peer client needs. */
+/** Dependencies of a peer client. */
 export type PeerClientDeps = {
 	readonly key: Buffer;
 	readonly self: PeerIdentity;
@@ -41,14 +41,10 @@
 	readonly close: () => Promise<void>;
 };
 
-/** Connections are left idle no longer than a middlebox would keep them. */
+/** Shorter than the idle timeout of common middleboxes. */
 const idleConnectionMs = 10_000;
 
-/**
- * A round of the fleet asks one owner about up to 60 machines at once. Of 60
- * calls with 400 ms each, answered after 20 ms, 34 timed out over two
- * connections and none over eight.
- */
+/** Enough that concurrent calls to one shard owner do not queue until timeout. */
 const connectionsPerPeer = 8;
 
 const classifyFailure = (err: unknown): PeerError => {
@@ -73,7 +69,6 @@
 	}
 };
 
-/** Creates a peer client. */
 export const createPeerClient = (deps: PeerClientDeps): PeerClient => {
 	const pools = new Map<string, Pool>();
 
@@ -94,7 +89,7 @@
 		return created;
 	};
 
-	const seal = (address: string, body: string) => {
+	const createSignedHeaders = (address: string, body: string) => {
 		const {entry, incarnation} = deps.self;
 		const nonce = createNonce();
 		const time = deps.wallNow();
@@ -111,7 +106,7 @@
 	};
 
 	const post = async (address: string, body: string, timeoutMs: number) => {
-		const {nonce, headers} = seal(address, body);
+		const {nonce, headers} = createSignedHeaders(address, body);
 		const res = await getPool(address).request({
 			path: peerPath,
 			method: 'POST',
@@ -139,13 +134,13 @@
 				}
 
 				const signature = String(res.headers[peerHeaders.signature] ?? '');
-				const wanted = signAnswer(deps.key, nonce, text);
+				const expectedSignature = signAnswer(deps.key, nonce, text);
 				const response = parseResponse(text);
-				return response && isSameSignature(wanted, signature)
+				return response && isSameSignature(expectedSignature, signature)
 					? readAnswer<PeerMethods[Method]['result']>(response)
 					: fail({
 							kind: 'not-authentic',
-							message: 'the answer is not a peer’s',
+							message: 'the signature of the answer is not valid',
 						} as const);
 			} catch (err) {
 				return fail(classifyFailure(err));
--- a/packages/daemon/src/peers/peer-methods.ts
+++ b/packages/daemon/src/peers/peer-methods.ts
@@ -1,20 +1,20 @@
 /**
- * Methods of the peer channel. A part adds its methods here by a line in
- * `PeerMethods` and a schema for what it receives.
+ * Methods of the peer channel. A new method needs an entry in `PeerMethods` and
+ * a schema of its parameters.
  */
 import type {acknowledgement, CreditMessage, viewChange} from '@gullstand/core';
 import type {z} from 'zod';
 import type {JobPeerMethods} from '../jobs/peer-methods.js';
 
-/** One life of an entry and where it is reached. */
+/** An entry and its incarnation. */
 export type PeerIdentity = {
 	readonly entry: string;
 	readonly incarnation: string;
 };
 
-/** What each method takes and answers. */
+/** Parameters and result of each method. */
 export type PeerMethods = {
-	/** Liveness; answers the age of the own confirmation, in milliseconds. */
+	/** Liveness; returns the age of the peer's confirmation, in milliseconds. */
 	readonly ping: {
 		readonly params: {readonly entry: string};
 		readonly result: {
@@ -23,7 +23,7 @@
 			readonly confirmedAgeMs: number;
 		};
 	};
-	/** A committed change; `awaitedBy` is told when it is in force. */
+	/** A committed change; `awaitedBy` receives acknowledgements of it. */
 	readonly offerDelta: {
 		readonly params: {
 			readonly delta: viewChange.ViewDelta;
@@ -31,7 +31,7 @@
 		};
 		readonly result: {readonly revision: number};
 	};
-	/** An acknowledgement, ahead of its row in the table service. */
+	/** An acknowledgement, sent before its row in the table service. */
 	readonly acknowledge: {
 		readonly params: acknowledgement.Acknowledgement;
 		readonly result: Record<string, never>;
@@ -41,11 +41,11 @@
 		readonly params: Record<string, never>;
 		readonly result: PeerView;
 	};
-	/** Reports and grants of slot credits; answers those for the caller. */
+	/** Reports and grants of slot credits; returns those for the caller. */
 	readonly credits: {
 		readonly params: {
 			readonly messages: readonly CreditMessage[];
-			/** Where the caller's peer channel is reached. */
+			/** Address and port of the caller's peer channel. */
 			readonly address: string;
 			/** The caller is about to stop. */
 			readonly isLeaving: boolean;
@@ -72,13 +72,13 @@
 /** Name of a method. */
 export type PeerMethod = keyof PeerMethods;
 
-/** A method's handler; `from` is proved. */
+/** Handler of a method; `from` is authenticated. */
 export type PeerHandler<Method extends PeerMethod> = (
 	params: PeerMethods[Method]['params'],
 	from: PeerIdentity,
 ) => PeerMethods[Method]['result'] | Promise<PeerMethods[Method]['result']>;
 
-/** Checks what a method receives. */
+/** Schema of a method's parameters. */
 export type PeerSchema<Method extends PeerMethod> = z.ZodType<
 	PeerMethods[Method]['params']
 >;
--- a/packages/daemon/src/peers/peer-server.ts
+++ b/packages/daemon/src/peers/peer-server.ts
@@ -1,4 +1,4 @@
-/** Answers JSON-RPC 2.0 calls of other entries, and of nobody else. */
+/** Answers authenticated JSON-RPC 2.0 calls of other entries. */
 import {Buffer} from 'node:buffer';
 import type {HttpBindings} from '@hono/node-server';
 import {Hono} from 'hono';
@@ -20,10 +20,10 @@
 	PeerSchema,
 } from './peer-methods.js';
 
-/** What a peer server needs. */
+/** Dependencies of a peer server. */
 export type PeerServerDeps = {
 	readonly key: Buffer;
-	/** Address and port that others send to. */
+	/** Address and port that peers send to. */
 	readonly getAddress: () => string;
 	readonly wallNow: () => number;
 	readonly maxBodyBytes: number;
@@ -31,7 +31,7 @@
 	readonly onRefused: (reason: EnvelopeRefusal) => void;
 };
 
-/** A peer server: a handler of HTTP requests and the methods behind it. */
+/** A peer server: an HTTP handler and its methods. */
 export type PeerServer = {
 	readonly app: Hono<{Bindings: HttpBindings}>;
 	readonly addMethod: <Method extends PeerMethod>(
@@ -41,17 +41,16 @@
 	) => void;
 };
 
-const maxBodiesHeld = 32;
+const maxBufferedBodies = 32;
 
-/** Path of the peer channel. */
+/** URL path of the peer channel. */
 export const peerPath = '/peer';
 
-/** Creates a peer server. */
 export const createPeerServer = (deps: PeerServerDeps): PeerServer => {
 	const {key, maxClockSkewMs} = deps;
 	const rpc = new JSONRPCServer<PeerIdentity>({errorListener: () => undefined});
 	const nonces = createNonceWindow(maxClockSkewMs);
-	const bodyBudget = createByteBudget(deps.maxBodyBytes * maxBodiesHeld);
+	const bodyBudget = createByteBudget(deps.maxBodyBytes * maxBufferedBodies);
 	const app = new Hono<{Bindings: HttpBindings}>();
 
 	app.post(peerPath, async (c) => {
--- a/packages/daemon/src/shards/lease-runner.ts
+++ b/packages/daemon/src/shards/lease-runner.ts
@@ -1,7 +1,7 @@
 /**
- * Holds the control shards that fall to this entry, as a part. The entry's
- * heartbeat renews all of them; a shard row is written only when it changes
- * hands.
+ * Holds the control shards that are assigned to this entry. The entry's
+ * heartbeat renews all leases; a shard row is written only when its holder
+ * changes.
  */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
@@ -17,7 +17,7 @@
 import type {Part} from '../supervisor/supervisor.js';
 import {createTicker} from '../view/ticker.js';
 
-/** What the lease runner needs. */
+/** Dependencies of the lease runner. */
 export type LeaseRunnerDeps = {
 	readonly self: acknowledgement.EntryIncarnation;
 	readonly table: TableService;
@@ -25,7 +25,7 @@
 	readonly getMembers: () => MembershipRows;
 	/** Names of all shards. */
 	readonly listShards: () => readonly string[];
-	/** Silence after which a holder's shards are taken over. */
+	/** Time without a heartbeat after which a holder's shards are taken over. */
 	readonly leaseMs: number;
 	readonly pollMs: number;
 	readonly now: () => number;
@@ -34,10 +34,10 @@
 
 /** The leases of this entry. */
 export type LeaseRunner = Part & {
-	/** The lease of a shard, if this entry holds it as far as it knows. */
+	/** Returns the lease of a shard if this entry is known to hold it. */
 	readonly getHeld: (shard: string) => shardLease.HeldShard | undefined;
 	readonly listHeld: () => readonly shardLease.HeldShard[];
-	/** How long the heartbeat of a watched neighbour has stayed away. */
+	/** Time since the last heartbeat of a monitored peer, in milliseconds. */
 	readonly getUnresponsiveMs: (entry: string) => number;
 };
 
@@ -49,8 +49,8 @@
 /** Reads further apart than this many periods restart the observation. */
 const maxGapPeriods = 5;
 
-/** Reads the rows of the neighbours and notes which have changed. */
-const observeNeighbours = async (deps: LeaseRunnerDeps, state: State) => {
+/** Reads the rows of monitored peers and records which have changed. */
+const observePeers = async (deps: LeaseRunnerDeps, state: State) => {
 	const entries = [...deps.getMembers().registrations.keys()];
 	const versions = new Map<string, number>();
 	for (const entry of core.monitoredPeers.listMonitoredPeers(
@@ -75,7 +75,7 @@
 	);
 };
 
-const getSilentMs = ({observations}: State, entry: string): number => {
+const getUnresponsiveMs = ({observations}: State, entry: string): number => {
 	const version = observations.rows.get(entry)?.version ?? 0;
 	return core.observation.getUnchangedMs(observations, entry, version);
 };
@@ -111,14 +111,14 @@
 		leaseMs: deps.leaseMs,
 		evidence: {
 			registeredIncarnation: row?.value.acknowledged.incarnation,
-			unresponsiveMs: getSilentMs(state, holder),
+			unresponsiveMs: getUnresponsiveMs(state, holder),
 		},
 	});
 	if (result.ok) {
 		await commit(deps, result.value);
 	}
 
-	// Also after a lost reply: the row tells who holds the shard.
+	// Read back even after a lost reply: the row names the holder.
 	const after = await readLease(deps, shard);
 	const own = core.shardLease.adoptShard(after?.lease, deps.self);
 	if (own) {
@@ -139,7 +139,7 @@
 	deps.logger.info('shard released', {shard, token});
 };
 
-const keep = async (
+const checkLease = async (
 	deps: LeaseRunnerDeps,
 	state: State,
 	held: shardLease.HeldShard,
@@ -158,20 +158,20 @@
 	assigned: ReadonlyMap<string, string>,
 ) => {
 	const held = state.held.get(shard);
-	// A silent neighbour's shards are looked after until it is forgotten.
-	const isSilent =
-		getSilentMs(state, assigned.get(shard) ?? '') >= deps.leaseMs;
-	const duty = core.shardAssignment.getShardAction(
+	// Takes over the shards of an unresponsive peer until it is forgotten.
+	const isUnresponsive =
+		getUnresponsiveMs(state, assigned.get(shard) ?? '') >= deps.leaseMs;
+	const action = core.shardAssignment.getShardAction(
 		shard,
 		deps.self.entry,
 		held !== undefined,
-		isSilent ? new Map([[shard, deps.self.entry]]) : assigned,
+		isUnresponsive ? new Map([[shard, deps.self.entry]]) : assigned,
 	);
-	if (duty === 'acquire') {
+	if (action === 'acquire') {
 		await acquire(deps, state, shard);
 	} else if (held) {
-		await (duty === 'keep'
-			? keep(deps, state, held)
+		await (action === 'keep'
+			? checkLease(deps, state, held)
 			: release(deps, state, held));
 	}
 };
@@ -181,7 +181,7 @@
 		return;
 	}
 
-	await observeNeighbours(deps, state);
+	await observePeers(deps, state);
 	const entries = [...deps.getMembers().registrations.keys()];
 	const shards = deps.listShards();
 	const assigned = core.shardAssignment.assignShards(shards, entries);
@@ -190,7 +190,6 @@
 	}
 };
 
-/** Creates the lease runner. */
 export const createLeaseRunner = (deps: LeaseRunnerDeps): LeaseRunner => {
 	const state: State = {
 		held: new Map(),
@@ -215,6 +214,6 @@
 		},
 		getHeld: (shard) => (deps.mayControl() ? state.held.get(shard) : undefined),
 		listHeld: () => (deps.mayControl() ? [...state.held.values()] : []),
-		getUnresponsiveMs: (entry) => getSilentMs(state, entry),
+		getUnresponsiveMs: (entry) => getUnresponsiveMs(state, entry),
 	};
 };
--- a/packages/daemon/src/view/commit-change.ts
+++ b/packages/daemon/src/view/commit-change.ts
@@ -1,6 +1,6 @@
 /**
- * Commits a change of the view: the objects' rows, the counter and the change
- * log in one transaction, with read-back when a reply is lost.
+ * Commits a change of the view: object rows, revision counter and change log in
+ * one transaction, with read-back when a reply is lost.
  */
 import * as core from '@gullstand/core';
 import type {followedView, Result, viewChange} from '@gullstand/core';
@@ -33,25 +33,25 @@
 	readonly when: Precondition;
 };
 
-/** What else a change needs. */
+/** Options of a change. */
 export type ChangeOptions = {
-	/** Who asked for it; kept in the history. */
+	/** Who requested the change; stored in the change log. */
 	readonly author?: string;
-	/** Rows outside the view that commit with it, and further conditions. */
+	/** Writes and conditions outside the view, in the same transaction. */
 	readonly extraWrites?: readonly Write[];
 	/**
-	 * The view that the change was decided on. A store that is behind it is
-	 * refused: a change there would be lost or would split the history.
+	 * The view that the change was decided on. A store that is behind this view
+	 * is refused: a change there would be lost or would fork the history.
 	 */
 	readonly known?: followedView.FollowedView;
-	/** Refuses if anything changed since `known`, whatever the object. */
+	/** Refuses the change if any object changed since `known`. */
 	readonly mustBeNewest?: boolean;
 	readonly env?: client.Environment;
-	/** How long an unknown outcome is sought, in milliseconds. */
+	/** Time limit for resolving an unknown outcome, in milliseconds. */
 	readonly maxMs?: number;
 };
 
-/** A committed change. No versions if it was only found by reading back. */
+/** A committed change; `versions` is empty if it was found by read-back. */
 export type CommittedChange = Committed & {
 	readonly revision: number;
 	readonly delta: viewChange.ViewDelta;
@@ -59,7 +59,7 @@
 
 const defaultMaxMs = 10_000;
 
-const maxRaces = 100;
+const maxRevisionRaces = 100;
 
 const toWrite = ({table, key, value, when}: ViewChange): Write =>
 	value === undefined
@@ -183,7 +183,7 @@
 	error.kind === 'conflict' &&
 	(error.table === counterRow.table || error.table === changeTable);
 
-/** What one attempt at one revision needs. */
+/** Inputs of an attempt to commit a change. */
 type Attempt = {
 	readonly table: TableService;
 	readonly changes: readonly ViewChange[];
@@ -222,9 +222,9 @@
 };
 
 /**
- * Commits a change and moves the revision on. A race for the revision with a
- * change of other objects is tried again; a conflict on an object is the
- * caller's. `timeout` means that the outcome stayed unknown.
+ * Commits a change and increments the revision. Retries after a race for the
+ * revision with a change of other objects; returns a conflict on an object to
+ * the caller. `timeout` means that the outcome stayed unknown.
  */
 export const commitChange = async (
 	table: TableService,
@@ -236,7 +236,11 @@
 	const deadline = env.now() + (options.maxMs ?? defaultMaxMs);
 	const attempt = {table, changes, operationId, options, env, deadline};
 	let last: StoreError = {kind: 'unavailable'};
-	for (let races = 0; races < maxRaces && env.now() < deadline; races += 1) {
+	for (
+		let races = 0;
+		races < maxRevisionRaces && env.now() < deadline;
+		races += 1
+	) {
 		const counter = await readCounter(table);
 		if (!counter.ok) {
 			return core.fail({kind: 'unavailable'});
--- a/packages/daemon/src/view/environment.ts
+++ b/packages/daemon/src/view/environment.ts
@@ -1,4 +1,4 @@
-/** Time and chance of a real process. */
+/** Clock, timers and random numbers for production use. */
 import {performance} from 'node:perf_hooks';
 import * as timers from 'node:timers/promises';
 import type {client} from '@gullstand/ports';
--- a/packages/daemon/src/view/list-serving.ts
+++ b/packages/daemon/src/view/list-serving.ts
@@ -1,7 +1,7 @@
-/** Which executors of a pool a view lets serve. */
+/** Lists serving executors. */
 import type {Instance, View} from '@gullstand/core';
 
-/** Executors of a pool that may get new work. */
+/** Executors of a pool that may receive new requests. */
 export const listServing = (view: View, pool: string): Instance[] =>
 	[...view.instances.values()].filter(
 		(each) =>
--- a/packages/daemon/src/view/snapshot-store.ts
+++ b/packages/daemon/src/view/snapshot-store.ts
@@ -1,6 +1,6 @@
 /**
- * The view's snapshot in the object store: read by entries that start while
- * the table service is down, written by the holder of one control shard.
+ * The view's snapshot in the object store: read by entries that start while the
+ * table service is unavailable, written by the holder of one control shard.
  */
 import * as core from '@gullstand/core';
 import type {followedView, Result} from '@gullstand/core';
@@ -13,14 +13,17 @@
 	type SnapshotFault,
 } from './view-image.js';
 
-/** Objects in turn, so that a paused holder overwrites no newer one. */
-const snapshotNames = 4;
+/**
+ * Snapshots alternate between this many objects, so that a paused holder does
+ * not overwrite a newer one.
+ */
+const snapshotObjectCount = 4;
 
 /** Name of the object that the holder of a fencing token writes. */
 export const getSnapshotName = (token: number): string =>
-	`view/snapshot-${token % snapshotNames}`;
+	`view/snapshot-${token % snapshotObjectCount}`;
 
-/** Why there is no snapshot to start from. */
+/** Why no snapshot could be read. */
 export type SnapshotFailure =
 	| {readonly kind: ObjectError['kind'] | 'absent'}
 	| {readonly kind: 'refused'; readonly fault: SnapshotFault};
@@ -55,7 +58,7 @@
 ): Promise<Result<followedView.FollowedView, SnapshotFailure>> => {
 	let newest: followedView.FollowedView | undefined;
 	let refusal: SnapshotFailure = {kind: 'absent'};
-	for (let token = 0; token < snapshotNames; token += 1) {
+	for (let token = 0; token < snapshotObjectCount; token += 1) {
 		const read = await readOne(objects, fleet, token);
 		if (read.ok) {
 			const isNewer = read.value.view.revision > (newest?.view.revision ?? -1);
@@ -70,30 +73,30 @@
 	return newest ? core.succeed(newest) : core.fail(refusal);
 };
 
-/** What the writer needs. */
+/** Dependencies of the snapshot writer. */
 export type SnapshotWriterDeps = {
 	readonly objects: ObjectStore;
 	readonly fleet: string;
 	readonly getFollowed: () => followedView.FollowedView;
-	/** Fencing token of the shard that writes, if this daemon holds it. */
+	/** Fencing token of the shard that writes snapshots, if held here. */
 	readonly getToken: () => number | undefined;
 	readonly env: client.Environment;
-	/** Shortest time between two writes, in milliseconds. */
+	/** Minimum time between two writes, in milliseconds. */
 	readonly minWriteMs: number;
-	/** Time between two reads of what is stored, in milliseconds. */
+	/** Time between two reads of the stored snapshot, in milliseconds. */
 	readonly checkMs: number;
 };
 
-/** A writer and the revision that it knows to be stored. */
+/** Writes snapshots and keeps the stored revision. */
 export type SnapshotWriter = Part & {
 	readonly getStoredRevision: () => number;
-	/** Writes if needed, without waiting for its turn. */
+	/** Writes immediately if the stored snapshot is older than the view. */
 	readonly write: () => Promise<void>;
 };
 
 type WriterState = {storedRevision: number; checkedAt: number};
 
-/** Reads what is stored from time to time, and puts it again if it is gone. */
+/** Rereads the stored snapshot at intervals, so that a lost one is rewritten. */
 const checkStored = async (
 	{objects, fleet, env, checkMs}: SnapshotWriterDeps,
 	state: WriterState,
@@ -112,7 +115,6 @@
 	}
 };
 
-/** Creates the writer. */
 export const createSnapshotWriter = (
 	deps: SnapshotWriterDeps,
 ): SnapshotWriter => {
--- a/packages/daemon/src/view/tables.ts
+++ b/packages/daemon/src/view/tables.ts
@@ -1,6 +1,6 @@
 /**
- * How the view lies in the table service: one row an object, one counter row
- * that every change moves on, and one row a change, which is never altered.
+ * Layout of the view in the table service: one row per object, one counter row
+ * that every change increments, and one immutable row per change.
  * Source: docs/design/platform-port.md.
  */
 import * as core from '@gullstand/core';
@@ -14,7 +14,7 @@
 } from '@gullstand/core';
 import type {JsonValue, Row, StoreError, TableService} from '@gullstand/ports';
 
-/** Tables that the view is read from. */
+/** Tables of the view's objects. */
 export const viewTables = {
 	contract: 'contract',
 	service: 'service',
@@ -24,16 +24,16 @@
 /** Name of a table of the view. */
 export type ViewTable = keyof typeof viewTables;
 
-/** The row that every change moves on. */
+/** The row that every change increments. */
 export const counterRow = {
 	table: core.agreementTables.counter,
 	key: core.singleRowKey,
 } as const;
 
-/** Table of the change log, one row a revision. */
+/** Table of the change log, one row per revision. */
 export const changeTable = 'change';
 
-/** What the counter row holds. */
+/** Value of the counter row. */
 export type Counter = {
 	/** Revision of the newest committed change; 0 before the first. */
 	readonly revision: number;
@@ -48,7 +48,7 @@
 
 const revisionDigits = 12;
 
-/** Key of a change; keys sort as revisions do. */
+/** Key of a change; keys sort in the order of revisions. */
 export const getChangeKey = (revision: number): string =>
 	String(revision).padStart(revisionDigits, '0');
 
@@ -103,7 +103,7 @@
 	return counter.ok ? core.succeed(counter.value.revision) : counter;
 };
 
-/** Reads changes above a revision, oldest first, at most a page. */
+/** Reads changes after a revision, oldest first, at most one page. */
 export const readChanges = async (
 	table: TableService,
 	after: number,
@@ -155,16 +155,16 @@
 	});
 };
 
-const maxReads = 5;
+const maxReadAttempts = 5;
 
 /**
- * Reads a view whose revision did not move while it was read. Fails as
- * `unavailable` if it moved each time.
+ * Reads a consistent view, one whose revision did not change during the read.
+ * Fails as `unavailable` if it changed in each attempt.
  */
 export const readView = async (
 	table: TableService,
 ): Promise<Result<followedView.FollowedView, StoreError>> => {
-	for (let reads = 0; reads < maxReads; reads += 1) {
+	for (let attempts = 0; attempts < maxReadAttempts; attempts += 1) {
 		const before = await readCounter(table);
 		if (!before.ok) {
 			return before;
@@ -184,5 +184,5 @@
 	return core.fail({kind: 'unavailable'});
 };
 
-/** A value as the table service takes it. */
+/** Casts a value to the JSON type of the table service. */
 export const toJson = (value: unknown): JsonValue => value as JsonValue;
--- a/packages/daemon/src/view/ticker.ts
+++ b/packages/daemon/src/view/ticker.ts
@@ -1,18 +1,18 @@
-/** Runs an action again and again, with jitter, one run at a time. */
+/** Runs an action periodically with jitter; runs never overlap. */
 import type {ReportFailure} from '../supervisor/supervisor.js';
 
-/** A ticker. */
+/** A periodic action. */
 export type Ticker = {
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
-	/** Waits for a run that is under way. */
+	/** Cancels the next run and waits for the current one. */
 	readonly stop: () => Promise<void>;
 };
 
-const jitterShare = 0.25;
+const jitterFraction = 0.25;
 
-/** Time to the next run: the period, up to a quarter less or more. */
+/** Time until the next run, in milliseconds: the period ± 25%. */
 export const getJitteredMs = (periodMs: number, random: number): number =>
-	periodMs * (1 + jitterShare * (2 * random - 1));
+	periodMs * (1 + jitterFraction * (2 * random - 1));
 
 /** Creates a ticker; an action that throws is reported and not run again. */
 export const createTicker = (
--- a/packages/daemon/src/view/view-follower.ts
+++ b/packages/daemon/src/view/view-follower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the view: polls one counter row, pulls what is new from the change
- * log, and takes what peers offer. Revisions only grow, whatever the store
- * answers.
+ * Follows the view: polls the counter row, reads new changes from the change
+ * log, and accepts those that peers offer. The revision never decreases, even
+ * if the store returns an older state.
  */
 import * as core from '@gullstand/core';
 import type {followedView, View, viewChange} from '@gullstand/core';
@@ -11,45 +11,46 @@
 import {readChanges, readCounter, readView} from './tables.js';
 import {createTicker} from './ticker.js';
 
-/** Where the first view came from. */
+/** Source of the first view. */
 export type ViewOrigin = 'none' | 'table' | 'peer' | 'snapshot';
 
-/** How the follower stands to the store. */
+/** State of the follower in relation to the store. */
 export type FollowCondition =
 	| {readonly kind: 'following'}
 	/** The last poll failed; the view may be old. */
 	| {readonly kind: 'store-unavailable'}
-	/** The store answers with an older state; nothing of it is used. */
+	/** The store returns an older state, which is ignored. */
 	| {readonly kind: 'store-behind'; readonly lost: number}
-	/** The store holds another history; an operator must look. */
+	/** The store holds a different history; an operator must intervene. */
 	| {readonly kind: 'refused'; readonly refusal: followedView.ViewRefusal};
 
-/** Other places to start from while the table service is down, in order. */
+/** A fallback for the first view while the table service is unavailable. */
 export type StartSource = {
 	readonly origin: 'peer' | 'snapshot';
-	/** Undefined if there is nothing to start from. */
+	/** Undefined if the source has no view. */
 	readonly read: () => Promise<followedView.FollowedView | undefined>;
 };
 
-/** What may be set. */
+/** Options of the follower. */
 export type FollowerOptions = {
+	/** Tried in order. */
 	readonly startSources?: readonly StartSource[];
 	readonly env?: client.Environment;
-	/** Told of each change of the view, in order. */
+	/** Called for each change of the view, in order. */
 	readonly onChange?: (followed: followedView.FollowedView) => void;
-	/** Told of deltas that the store has shown, to pass on to peers. */
+	/** Called with deltas read from the store, to pass on to peers. */
 	readonly onDeltas?: (deltas: readonly viewChange.ViewDelta[]) => void;
 };
 
-/** A follower and the view that it holds. */
+/** A follower and its current view. */
 export type ViewFollower = Part & {
 	readonly getView: () => View;
 	readonly getFollowed: () => followedView.FollowedView;
 	readonly getOrigin: () => ViewOrigin;
 	readonly getCondition: () => FollowCondition;
-	/** Polls at once; what was committed before the call is then seen. */
+	/** Polls immediately; sees every change committed before the call. */
 	readonly poll: () => Promise<void>;
-	/** Takes committed deltas from a peer; polls if some are missing. */
+	/** Accepts committed deltas from a peer; polls if some are missing. */
 	readonly offerDeltas: (deltas: readonly viewChange.ViewDelta[]) => void;
 };
 
@@ -57,7 +58,7 @@
 	readonly table: TableService;
 	readonly options: FollowerOptions;
 	followed: followedView.FollowedView;
-	/** Highest revision that a peer has shown. */
+	/** Highest revision offered by a peer. */
 	highest: number;
 	origin: ViewOrigin;
 	condition: FollowCondition;
@@ -82,7 +83,7 @@
 	return result;
 };
 
-/** Takes over a whole view, from wherever, if it is newer. */
+/** Adopts a whole view if it is newer. */
 const adopt = (
 	state: State,
 	snapshot: followedView.FollowedView,
@@ -102,7 +103,7 @@
 			: {kind: 'refused', refusal: adopted.error};
 };
 
-const pullView = async (state: State): Promise<void> => {
+const loadView = async (state: State): Promise<void> => {
 	const read = await readView(state.table);
 	if (read.ok) {
 		adopt(state, read.value, 'table');
@@ -112,10 +113,10 @@
 	state.condition = {kind: 'store-unavailable'};
 };
 
-/** Deltas that are pulled one by one; further behind, the rows are read. */
-const maxPulledDeltas = 1000;
+/** A follower that is further behind reads the object rows instead. */
+const maxLoadedDeltas = 1000;
 
-const pullDeltas = async (state: State, to: number): Promise<void> => {
+const loadDeltas = async (state: State, to: number): Promise<void> => {
 	while (state.followed.view.revision < to) {
 		const before = state.followed.view.revision;
 		const read = await readChanges(state.table, before);
@@ -127,7 +128,7 @@
 		const {applied, refusal} = applyDeltas(state, read.value);
 		state.options.onDeltas?.(applied);
 		if (refusal?.kind === 'gap') {
-			await pullView(state);
+			await loadView(state);
 			return;
 		}
 
@@ -136,7 +137,7 @@
 			return;
 		}
 
-		// An older read of the log; the next poll tries again.
+		// The read was stale; the next poll retries.
 		if (state.followed.view.revision === before) {
 			return;
 		}
@@ -157,12 +158,12 @@
 
 	const {revision, deltaId} = counter.value;
 	const applied = state.followed.view.revision;
-	const verdict = core.readCheck.checkReadRevision(
+	const check = core.readCheck.checkReadRevision(
 		applied,
 		state.highest,
 		revision,
 	);
-	switch (verdict.kind) {
+	switch (check.kind) {
 		case 'unchanged': {
 			state.condition = isDiverged(state, deltaId)
 				? {kind: 'refused', refusal: {kind: 'diverged', revision}}
@@ -171,20 +172,20 @@
 		}
 
 		case 'regressed': {
-			state.condition = {kind: 'store-behind', lost: verdict.lost};
+			state.condition = {kind: 'store-behind', lost: check.lost};
 			return;
 		}
 
 		case 'newer': {
-			const isFar = verdict.to - verdict.from > maxPulledDeltas;
+			const isFar = check.to - check.from > maxLoadedDeltas;
 			await (applied === 0 || isFar
-				? pullView(state)
-				: pullDeltas(state, verdict.to));
+				? loadView(state)
+				: loadDeltas(state, check.to));
 		}
 	}
 };
 
-const startElsewhere = async (state: State): Promise<void> => {
+const startFromFallback = async (state: State): Promise<void> => {
 	for (const {origin, read} of state.options.startSources ?? []) {
 		const found = await read();
 		if (found) {
@@ -195,7 +196,7 @@
 	}
 };
 
-/** One run at a time; a call during a run waits for one more run. */
+/** Serializes runs; a call during a run waits for one further run. */
 const createSerial = (action: () => Promise<void>): (() => Promise<void>) => {
 	let current: Promise<void> | undefined;
 	let next: Promise<void> | undefined;
@@ -203,7 +204,7 @@
 		try {
 			await current;
 		} catch {
-			// Its own caller was told.
+			// The error was returned to that run's caller.
 		}
 
 		next = undefined;
@@ -237,7 +238,7 @@
 		await poll();
 		const isWithoutStore = state.condition.kind === 'store-unavailable';
 		if (isWithoutStore && state.followed.view.revision === 0) {
-			await startElsewhere(state);
+			await startFromFallback(state);
 		}
 	};
 
@@ -251,8 +252,8 @@
 		poll,
 		offerDeltas(deltas) {
 			const {refusal} = applyDeltas(state, deltas);
-			const shown = deltas.map(({revision}) => revision);
-			state.highest = Math.max(state.highest, ...shown);
+			const revisions = deltas.map(({revision}) => revision);
+			state.highest = Math.max(state.highest, ...revisions);
 			if (refusal?.kind === 'gap') {
 				void poll();
 			}
--- a/packages/daemon/src/view/view-image.ts
+++ b/packages/daemon/src/view/view-image.ts
@@ -1,6 +1,6 @@
 /**
- * A view as bytes: what the object store keeps for entries that start while
- * the table service is down, and what peers hand one another.
+ * Serialization of a view: as a snapshot in the object store, for entries that
+ * start while the table service is unavailable, and as JSON between peers.
  */
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
@@ -11,17 +11,17 @@
 export type ViewImage = {
 	readonly revision: number;
 	readonly deltaId: string;
-	/** Puts that make the view out of an empty one. */
+	/** Changes that build the view from an empty one. */
 	readonly changes: readonly viewChange.ViewChange[];
 };
 
 /** Why a snapshot is refused. */
 export type SnapshotFault =
-	/** Cut short, damaged, or no snapshot at all. */
+	/** Truncated, corrupt, or not a snapshot. */
 	| 'torn'
-	/** Of another fleet. */
+	/** A snapshot of another fleet. */
 	| 'foreign'
-	/** In a form that this release does not know. */
+	/** A format that this release does not support. */
 	| 'unknown-format';
 
 type Header = {
@@ -35,7 +35,7 @@
 
 const newline = 0x0a;
 
-/** Makes the JSON form of a view. */
+/** Converts a view to its JSON form. */
 export const createImage = ({
 	view,
 	deltaId,
@@ -45,7 +45,7 @@
 	changes: core.viewDiff.diffViews(core.emptyView, view),
 });
 
-/** Makes the view of a JSON form. */
+/** Rebuilds a view from its JSON form. */
 export const restoreView = (image: ViewImage): followedView.FollowedView => {
 	let view = core.emptyView;
 	for (const change of image.changes) {
@@ -64,7 +64,7 @@
 		.update(body)
 		.digest('hex');
 
-/** Writes a snapshot: one line of JSON with the checksum, then the image. */
+/** Encodes a snapshot: a JSON header line with a checksum, then the image. */
 export const encodeSnapshot = (
 	followed: followedView.FollowedView,
 	fleet: string,
@@ -78,19 +78,19 @@
 const parseHeader = (line: Uint8Array): Header | undefined => {
 	try {
 		const parsed = JSON.parse(Buffer.from(line).toString()) as Partial<Header>;
-		const {format: found, fleet, bytes, sha256} = parsed;
-		return found === undefined ||
+		const {format: parsedFormat, fleet, bytes, sha256} = parsed;
+		return parsedFormat === undefined ||
 			fleet === undefined ||
 			bytes === undefined ||
 			sha256 === undefined
 			? undefined
-			: {format: found, fleet, bytes, sha256};
+			: {format: parsedFormat, fleet, bytes, sha256};
 	} catch {
 		return undefined;
 	}
 };
 
-/** Reads a snapshot; one that is not whole and of this fleet is refused. */
+/** Decodes a snapshot; refuses one that is corrupt or of another fleet. */
 export const decodeSnapshot = (
 	bytes: Uint8Array,
 	fleet: string,
@@ -106,9 +106,9 @@
 	}
 
 	const body = bytes.subarray(end + 1);
-	const isWhole =
+	const isIntact =
 		body.length === header.bytes && getSha256(header, body) === header.sha256;
-	if (!isWhole) {
+	if (!isIntact) {
 		return core.fail('torn');
 	}
 
--- a/packages/daemon/src/view/view.test.ts
+++ b/packages/daemon/src/view/view.test.ts
@@ -82,11 +82,11 @@
 const scripts: Array<[string, platform.faults.FaultKind[]]> = [
 	['the reply', ['none', 'reply-lost']],
 	['the request', ['none', 'request-lost']],
-	['replies again and again', ['none', 'reply-lost', 'request-lost', 'none']],
+	['several replies in a row', ['none', 'reply-lost', 'request-lost', 'none']],
 ];
 
 for (const [name, script] of scripts) {
-	tap.t.test(`a change is made once when ${name} is lost`, async (t) => {
+	tap.t.test(`a change commits once when ${name} is lost`, async (t) => {
 		const {faults, follow, put} = createFixture();
 		await put('a');
 		faults.script(script);
@@ -97,7 +97,7 @@
 	});
 }
 
-tap.t.test('racing changes are all kept', async (t) => {
+tap.t.test('racing changes all commit', async (t) => {
 	const {follow, put} = createFixture();
 	const names = Array.from({length: 30}, (_, index) => `s${index}`);
 	const results = await Promise.all(names.map(async (name) => put(name)));
@@ -108,7 +108,7 @@
 	t.equal(follower.getView().services.size, 30);
 });
 
-tap.t.test('an older read after a newer one changes nothing', async (t) => {
+tap.t.test('a stale read after a newer one changes nothing', async (t) => {
 	const {store, follow, put} = createFixture();
 	await put('a');
 	const backup = store.dump();
@@ -121,7 +121,7 @@
 	t.match(follower.getCondition(), {kind: 'store-behind', lost: 1});
 	const known = follower.getFollowed();
 	t.match(await put('c', {known}), {error: {kind: 'unavailable'}});
-	// One that does not know makes another history, which is refused.
+	// A writer that does not know the newer view forks the history.
 	await put('d');
 	await follower.poll();
 	t.match(follower.getCondition(), {refusal: {kind: 'diverged'}});
@@ -131,7 +131,7 @@
 	t.same([...follower.getView().services.keys()], ['a', 'b']);
 });
 
-tap.t.test('peers bring changes in any order', async (t) => {
+tap.t.test('changes from peers apply in any order', async (t) => {
 	const {table, faults, follow, put} = createFixture();
 	await put('a');
 	const follower = follow();
@@ -151,7 +151,7 @@
 	t.same(follower.getCondition(), {kind: 'following'});
 });
 
-tap.t.test('starts without the store, then goes on with it', async (t) => {
+tap.t.test('starts without the store, then follows it', async (t) => {
 	const {faults, objects, follow, put} = createFixture();
 	await put('a');
 	const first = follow();
@@ -197,21 +197,21 @@
 	view: {...core.emptyView, revision: 7},
 	deltaId: 'd7',
 };
-const whole = encodeSnapshot(followed, 'f');
-const damaged = Uint8Array.from(whole);
-damaged[whole.length - 3] = 0;
+const intact = encodeSnapshot(followed, 'f');
+const damaged = Uint8Array.from(intact);
+damaged[intact.length - 3] = 0;
 const renamed = Buffer.from(
-	Buffer.from(whole).toString().replace('"fleet":"f"', '"fleet":"g"'),
+	Buffer.from(intact).toString().replace('"fleet":"f"', '"fleet":"g"'),
 );
 
 const snapshots: Array<[string, Uint8Array, object]> = [
-	['whole', whole, {ok: true, value: followed}],
-	['cut short', whole.subarray(0, -1), {error: {fault: 'torn'}}],
-	['empty', whole.subarray(0, 0), {error: {fault: 'torn'}}],
+	['intact', intact, {ok: true, value: followed}],
+	['truncated', intact.subarray(0, -1), {error: {fault: 'torn'}}],
+	['empty', intact.subarray(0, 0), {error: {fault: 'torn'}}],
 	['damaged', damaged, {error: {fault: 'torn'}}],
 	[
-		'joined with another',
-		Buffer.concat([whole, whole]),
+		'concatenated with another',
+		Buffer.concat([intact, intact]),
 		{error: {fault: 'torn'}},
 	],
 	[
@@ -236,7 +236,7 @@
 	});
 }
 
-tap.t.test('a paused holder puts no older snapshot over a newer', async (t) => {
+tap.t.test('a paused holder does not overwrite a newer snapshot', async (t) => {
 	const {env, objects, follow, put} = createFixture();
 	await put('a');
 	const old = follow();
@@ -270,5 +270,5 @@
 	await objects.put(getSnapshotName(8), late);
 	await env.wait(60_000);
 	await writer.write();
-	t.equal(await readRevision(), 2, 'what is gone is put again');
+	t.equal(await readRevision(), 2, 'a lost snapshot is rewritten');
 });
--- a/packages/daemon/src/waves/drain-check.ts
+++ b/packages/daemon/src/waves/drain-check.ts
@@ -1,6 +1,7 @@
 /**
- * Whether every entry has let go of an instance: it routes by the revision
- * that made it drain, and has no request in flight on it. No clock decides.
+ * Checks whether an instance is drained: every entry routes by the revision
+ * that made it drain, and has no request in flight on it. No timeout is
+ * involved.
  * Source: docs/design/agreement.md.
  */
 import * as core from '@gullstand/core';
@@ -8,18 +9,18 @@
 import type {TableService, Write} from '@gullstand/ports';
 import {readRegistrations} from '../operator/objects/in-force.js';
 
-/** What the check looks at. */
+/** Dependencies of the check. */
 export type DrainCheckDeps = {
 	readonly table: TableService;
 	readonly getView: () => View;
-	/** Requests in flight from this entry to an instance. */
+	/** Counts requests in flight from this entry to an instance. */
 	readonly getInFlight: (instance: string) => number;
 	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
-	/** What is known of entries that start from the object store's snapshot. */
+	/** Reads what is known of entries that start from the snapshot. */
 	readonly readOutageStart?: () => Promise<move.OutageStart>;
 };
 
-/** The registered entries as read, and what must still hold at a commit. */
+/** Drain status by the entries as read, and the conditions of a commit. */
 export type DrainCheck = {
 	readonly isDrained: (instance: string, drainRevision: number) => boolean;
 	readonly listPendingAcknowledgements: (
@@ -35,7 +36,7 @@
 export const readDrainCheck = async (
 	deps: DrainCheckDeps,
 ): Promise<DrainCheck | undefined> => {
-	// Read before the entries: one that registers later is among them.
+	// Read before the entries, so that one that registers meanwhile is listed.
 	const outageStart =
 		(await deps.readOutageStart?.()) ?? core.move.noOutageStart;
 	const row = await deps.table.get(membership, core.singleRowKey);
@@ -49,7 +50,7 @@
 	}
 
 	const registrations = entries.value.map((each) => each.registration);
-	const getLagging = (instance: string, revision: number) =>
+	const listPending = (instance: string, revision: number) =>
 		core.pendingAcknowledgements.listPendingAcknowledgements(
 			registrations,
 			deps.getHeard(),
@@ -58,16 +59,16 @@
 				instance,
 			},
 		);
-	const isStartSafe = (revision: number) =>
+	const isOutageStartSafe = (revision: number) =>
 		outageStart.snapshotRevision >= revision &&
 		outageStart.markerUnchangedMs >= outageStart.markerWaitMs;
 	return {
-		listPendingAcknowledgements: getLagging,
+		listPendingAcknowledgements: listPending,
 		isDrained: (instance, revision) =>
-			isStartSafe(revision) &&
+			isOutageStartSafe(revision) &&
 			deps.getView().revision >= revision &&
 			deps.getInFlight(instance) === 0 &&
-			getLagging(instance, revision).length === 0,
+			listPending(instance, revision).length === 0,
 		guards: [
 			row.value
 				? core.checkVersion(membership, core.singleRowKey, row.value.version)
