--- a/packages/daemon/src/waves/ledger-cache.ts
+++ b/packages/daemon/src/waves/ledger-cache.ts
@@ -1,7 +1,8 @@
 /**
- * The ledgers as this entry last read or wrote them. They follow the view
- * (terms, members) and the instance list (loss, recovery); a write that meets
- * another's is dropped, and the ledgers are read anew.
+ * Caches the ledgers as this entry last read or wrote them. Updates them after
+ * changes of the view (terms, members) and the instance list (lost and
+ * recovered capacity). A write that conflicts with another entry's is dropped,
+ * and the ledgers are reloaded.
  */
 import {randomUUID} from 'node:crypto';
 import {
@@ -17,26 +18,26 @@
 /** The instance list by id. */
 export type ListedInstances = ReadonlyMap<string, ListedInstance>;
 
-/** Ledgers that are kept in step. */
+/** Cached ledgers. */
 export type LedgerCache = {
 	readonly getLedgers: () => budget.Ledgers;
 	readonly values: waves.Lookup<budget.Ledger>;
-	/** Notes a ledger that was committed; version undefined: read anew. */
+	/** Stores a committed ledger; reloads all if its version is undefined. */
 	readonly update: (ledger: budget.Ledger, version: number | undefined) => void;
 	/**
-	 * True if the ledgers of the services already say what this view and list
-	 * say. The view may have moved on since the last `follow`.
+	 * True if the ledgers of the services agree with this view and list. The view
+	 * may have changed since the last `synchronize`.
 	 */
 	readonly isUpToDate: (
 		services: readonly string[],
 		view: View,
 		listed: ListedInstances,
 	) => boolean;
-	/** The next `follow` reads the rows anew. */
+	/** Makes the next `synchronize` reload the rows. */
 	readonly invalidate: () => void;
 	/**
-	 * Brings the ledgers in step; false if some could not be written or read,
-	 * and nothing may be taken away on them.
+	 * Updates the ledgers; false if some could not be read or written, so that no
+	 * instance may be withdrawn.
 	 */
 	readonly synchronize: (
 		view: View,
@@ -45,7 +46,7 @@
 	) => Promise<boolean>;
 };
 
-/** Wave id of an absence that no wave has asked for, such as a move. */
+/** Wave id of an absence that no wave requested, such as a move. */
 const noWave = '';
 
 /** Names of the services of each pool. */
@@ -60,7 +61,7 @@
 	return byPool;
 };
 
-/** What the ledger should say of an instance, given what it says. */
+/** Returns the ledger entry that an instance should have now. */
 const getEntry = (
 	instance: Instance,
 	known: budget.LedgerEntry | undefined,
@@ -84,7 +85,7 @@
 	return known?.kind === 'lost' ? known : {kind: 'lost', since: now};
 };
 
-const isSameEntry = (
+const isEqualEntry = (
 	one: budget.LedgerEntry | undefined,
 	other: budget.LedgerEntry,
 ) =>
@@ -92,11 +93,11 @@
 	(one.kind !== 'away' ||
 		(other.kind === 'away' && one.operationId === other.operationId));
 
-const isSame = (one: budget.Ledger, other: budget.Ledger): boolean => {
+const isEqualLedger = (one: budget.Ledger, other: budget.Ledger): boolean => {
 	const ids = Object.keys(other.entries);
 	return (
 		ids.length === Object.keys(one.entries).length &&
-		ids.every((id) => isSameEntry(one.entries[id], other.entries[id]!)) &&
+		ids.every((id) => isEqualEntry(one.entries[id], other.entries[id]!)) &&
 		JSON.stringify(one.terms) === JSON.stringify(other.terms)
 	);
 };
@@ -115,14 +116,14 @@
 	const terms = budget.combineTerms(view.contracts.values(), service);
 	const entries: Record<string, budget.LedgerEntry> = {};
 	for (const instance of members.filter(({kind}) => kind === 'executor')) {
-		const before = known?.entries[instance.id];
-		entries[instance.id] = getEntry(instance, before, listed, now);
+		const knownEntry = known?.entries[instance.id];
+		entries[instance.id] = getEntry(instance, knownEntry, listed, now);
 	}
 
 	return {service, terms, entries};
 };
 
-/** Ledgers as they would be without any history, to judge a plan by. */
+/** Builds ledgers from the view and list alone, to evaluate a plan. */
 export const createViewLedgers = (
 	view: View,
 	listed: ListedInstances,
@@ -138,7 +139,7 @@
 	);
 };
 
-/** Creates a book; it reads nothing before the first `follow`. */
+/** Creates a cache; it reads nothing before the first `synchronize`. */
 export const createLedgerCache = (table: TableService): LedgerCache => {
 	let ledgers = new Map<string, budget.Versioned<budget.Ledger>>();
 	let isFresh = false;
@@ -168,7 +169,7 @@
 
 	const write = async (expected: budget.Ledger): Promise<boolean> => {
 		const known = ledgers.get(expected.service);
-		if (known && isSame(known.value, expected)) {
+		if (known && isEqualLedger(known.value, expected)) {
 			return true;
 		}
 
@@ -196,7 +197,7 @@
 				const facts = {view, listed, now: 0};
 				return (
 					known !== undefined &&
-					isSame(known, createExpected(name, members, known, facts))
+					isEqualLedger(known, createExpected(name, members, known, facts))
 				);
 			});
 		},
--- a/packages/daemon/src/waves/probe.ts
+++ b/packages/daemon/src/waves/probe.ts
@@ -1,16 +1,16 @@
-/** Probes of instances that come back: each must pass some in a row. */
+/** Probes returning instances, which must pass several probes in a row. */
 import {connect} from 'node:net';
 import type {Instance} from '@gullstand/core';
 import type {Workers} from '@gullstand/ports';
 
-/** Passes in a row, by instance. */
+/** Counts of consecutive passed probes, by instance. */
 export type Probes = {
 	readonly getPassed: (instance: string) => number;
-	/** Probes each once; one that is not among them begins anew. */
+	/** Probes each instance once; resets the counts of all others. */
 	readonly run: (instances: readonly Instance[]) => Promise<void>;
 };
 
-/** True if the instance answers. */
+/** Resolves to true if the instance answers. */
 export type Probe = (instance: Instance) => Promise<boolean>;
 
 const timeoutMs = 1000;
@@ -21,24 +21,24 @@
 	const port = Number(address.slice(separator + 1));
 	return new Promise((resolve) => {
 		const socket = connect({host, port, timeout: timeoutMs});
-		const end = (isUp: boolean) => {
+		const finish = (isUp: boolean) => {
 			socket.destroy();
 			resolve(isUp);
 		};
 
 		socket.once('connect', () => {
-			end(true);
+			finish(true);
 		});
 		socket.once('timeout', () => {
-			end(false);
+			finish(false);
 		});
 		socket.once('error', () => {
-			end(false);
+			finish(false);
 		});
 	});
 };
 
-/** An executor must accept a connection, a worker must report. */
+/** Probes an executor by a TCP connection, a worker by a report. */
 export const createProbe =
 	(workers: Workers): Probe =>
 	async ({id, kind, address}) => {
@@ -50,7 +50,6 @@
 		return report.ok;
 	};
 
-/** Creates the counts. */
 export const createProbes = (probe: Probe): Probes => {
 	let passed = new Map<string, number>();
 	return {
--- a/packages/daemon/src/waves/wave-actions.ts
+++ b/packages/daemon/src/waves/wave-actions.ts
@@ -1,8 +1,8 @@
 /**
- * Carries out the actions that the core decides. Each is one transaction of
- * all rows that it touches, conditional on what was read: a daemon that is
- * killed between two, or was paused, leaves nothing half done. Nothing is
- * announced (no drain, no restart) before its commit is certain.
+ * Carries out the actions that the core decides. Each is one transaction over
+ * all rows that it changes, conditional on the versions read, so that a daemon
+ * that is killed or paused leaves no action half done. No drain or restart
+ * takes effect before its commit is certain.
  */
 import {randomUUID} from 'node:crypto';
 import {budget, waves} from '@gullstand/core';
@@ -18,7 +18,7 @@
 	type Put,
 } from './wave-commit.js';
 
-const putPhases = (
+const createPhasesWrite = (
 	{loaded}: ActionContext,
 	ids: readonly string[],
 	getPhase: (id: string) => waves.MemberPhase,
@@ -28,7 +28,7 @@
 	return waves.createPhasesPut(loaded.rows.get(domain)!, phases);
 };
 
-const notePhases = (
+const updatePhases = (
 	{loaded}: ActionContext,
 	ids: readonly string[],
 	getPhase: (id: string) => waves.MemberPhase,
@@ -40,27 +40,27 @@
 
 const changePhase = async (
 	deps: ActionDeps,
-	command: ActionContext,
+	context: ActionContext,
 	ids: readonly string[],
 	phase: waves.MemberPhase,
 ): Promise<boolean> => {
-	const put = putPhases(command, ids, () => phase);
-	const isDone = await commitRows(deps, command, [put]);
-	if (isDone) {
-		notePhases(command, ids, () => phase);
+	const put = createPhasesWrite(context, ids, () => phase);
+	const isCommitted = await commitRows(deps, context, [put]);
+	if (isCommitted) {
+		updatePhases(context, ids, () => phase);
 	}
 
-	return isDone;
+	return isCommitted;
 };
 
 /**
- * Books a rack in its ledgers and makes it drain. It commits only if nothing
- * has changed since the view by which the ledgers were found in step, so that
- * no contract is judged by older terms.
+ * Withdraws the instances of a rack in the ledgers and makes them drain.
+ * Commits only if nothing has changed since the view that the ledgers agree
+ * with, so that outdated contract terms are never applied.
  */
-const take = async (
+const withdraw = async (
 	deps: ActionDeps,
-	command: ActionContext,
+	context: ActionContext,
 	ids: readonly string[],
 ): Promise<boolean> => {
 	const instances = await readInstances(deps, ids);
@@ -68,7 +68,7 @@
 		return false;
 	}
 
-	const {loaded, listed, facts} = command;
+	const {loaded, listed, facts} = context;
 	const since = deps.now();
 	const operationId = randomUUID();
 	const followed = deps.getFollowed();
@@ -105,49 +105,53 @@
 		isLost: false,
 	});
 	const puts: readonly Put[] = change.value.writes;
-	const isDone = await commitInstances(deps, command, {
+	const isCommitted = await commitInstances(deps, context, {
 		id: operationId,
 		instances: puts.filter((put) => isInstancePut(put)),
 		also: [
 			...puts.filter((put) => !isInstancePut(put)),
-			putPhases(command, ids, getPhase),
+			createPhasesWrite(context, ids, getPhase),
 		],
 		newest: followed,
 	});
-	if (isDone) {
-		notePhases(command, ids, getPhase);
+	if (isCommitted) {
+		updatePhases(context, ids, getPhase);
 	}
 
-	return isDone;
+	return isCommitted;
 };
 
-/** Commits one transition of one instance, and nothing else. */
-const transition = async (
+/** Commits one state transition of one instance. */
+const commitTransition = async (
 	deps: ActionDeps,
-	command: ActionContext,
+	context: ActionContext,
 	id: string,
 	name: 'finishDrain' | 'startReturn',
 ): Promise<boolean> => {
 	const instance = await readInstance(deps, id);
 	const put = instance && budget.createTransitionPut(instance, name);
 	return put
-		? commitInstances(deps, command, {
+		? commitInstances(deps, context, {
 				id: randomUUID(),
 				instances: [put],
 				also: [],
-				guards: name === 'finishDrain' ? command.drainGuards : [],
+				guards: name === 'finishDrain' ? context.drainGuards : [],
 			})
 		: false;
 };
 
-const stop = async (deps: ActionDeps, command: ActionContext, id: string) => {
-	if (!(await transition(deps, command, id, 'finishDrain'))) {
+const stopInstance = async (
+	deps: ActionDeps,
+	context: ActionContext,
+	id: string,
+) => {
+	if (!(await commitTransition(deps, context, id, 'finishDrain'))) {
 		return false;
 	}
 
-	// A reply that is lost is seen by the instance's new life in the list; the
-	// runner asks again if it does not come.
-	const {phase} = command.loaded.progress.members.get(id)!;
+	// If the reply is lost, the list shows the instance's new incarnation; the
+	// runner retries the restart if it does not appear.
+	const {phase} = context.loaded.progress.members.get(id)!;
 	if (phase.kind === 'taken') {
 		await deps.workers.reboot(id, phase.incarnation);
 	}
@@ -155,9 +159,9 @@
 	return true;
 };
 
-const giveBack = async (
+const returnInstance = async (
 	deps: ActionDeps,
-	command: ActionContext,
+	context: ActionContext,
 	id: string,
 ): Promise<boolean> => {
 	const instance = await readInstance(deps, id);
@@ -165,7 +169,7 @@
 		return false;
 	}
 
-	const {loaded, facts} = command;
+	const {loaded, facts} = context;
 	const operationId = randomUUID();
 	const change = budget.returnInstance({
 		operationId,
@@ -181,28 +185,28 @@
 
 	const phase = {kind: 'done', at: deps.now()} as const;
 	const puts: readonly Put[] = change.value.writes;
-	const isDone = await commitInstances(deps, command, {
+	const isCommitted = await commitInstances(deps, context, {
 		id: operationId,
 		instances: puts.filter((put) => isInstancePut(put)),
 		also: [
 			...puts.filter((put) => !isInstancePut(put)),
-			putPhases(command, [id], () => phase),
+			createPhasesWrite(context, [id], () => phase),
 		],
 	});
-	if (isDone) {
-		notePhases(command, [id], () => phase);
+	if (isCommitted) {
+		updatePhases(context, [id], () => phase);
 	}
 
-	return isDone;
+	return isCommitted;
 };
 
-/** From now on the instance counts as lost, not as taken. */
-const giveUp = async (
+/** Counts the instance as lost instead of withdrawn. */
+const markLost = async (
 	deps: ActionDeps,
-	command: ActionContext,
+	context: ActionContext,
 	id: string,
 ): Promise<boolean> => {
-	const {phase, pool} = command.loaded.progress.members.get(id)!;
+	const {phase, pool} = context.loaded.progress.members.get(id)!;
 	if (phase.kind !== 'taken') {
 		return false;
 	}
@@ -213,87 +217,87 @@
 		.map((service) => deps.ledgerCache.getLedgers().get(service))
 		.map((ledger) => ledger && budget.convertAwayToLost(ledger, id, deps.now()))
 		.filter((put) => put !== undefined);
-	const row = putPhases(command, [id], () => lost);
-	const isDone = await commitRows(deps, command, [...ledgers, row]);
-	if (isDone) {
-		notePhases(command, [id], () => lost);
+	const row = createPhasesWrite(context, [id], () => lost);
+	const isCommitted = await commitRows(deps, context, [...ledgers, row]);
+	if (isCommitted) {
+		updatePhases(context, [id], () => lost);
 	}
 
-	return isDone;
+	return isCommitted;
 };
 
-const finish = async (
+const finishWave = async (
 	deps: ActionDeps,
-	command: ActionContext,
+	context: ActionContext,
 ): Promise<boolean> => {
-	const {header} = command.loaded;
+	const {header} = context.loaded;
 	const next = waves.applyWaveCommand(header.value, 'finish', deps.now());
 	return next.ok
-		? commitRows(deps, command, [
+		? commitRows(deps, context, [
 				waves.createWavePut(next.value, header.version),
 			])
 		: false;
 };
 
-const move = async (
+const moveJob = async (
 	deps: ActionDeps,
 	{loaded: {progress}}: ActionContext,
 	{job, from, to}: Extract<waves.WaveAction, {kind: 'move'}>,
 ): Promise<boolean> => {
 	const {id, cores, memoryMb} = job;
 	waves.updateJobMove(progress, id, {from, to: to ?? '', cores, memoryMb});
-	const isDone = await deps.jobs.move(job, from, to);
+	const isMoved = await deps.jobs.move(job, from, to);
 	waves.updateJobMove(progress, id, undefined);
-	return isDone;
+	return isMoved;
 };
 
-/** Carries out one action; false if the rows must be read anew. */
+/** Carries out one action; false if the rows must be reloaded. */
 export const runAction = async (
 	deps: ActionDeps,
-	command: ActionContext,
+	context: ActionContext,
 	action: waves.WaveAction,
 ): Promise<boolean> => {
 	switch (action.kind) {
 		case 'evacuate': {
 			const phase = {kind: 'evacuating', since: deps.now()} as const;
-			return changePhase(deps, command, action.instances, phase);
+			return changePhase(deps, context, action.instances, phase);
 		}
 
 		case 'release': {
-			return changePhase(deps, command, action.instances, {kind: 'pending'});
+			return changePhase(deps, context, action.instances, {kind: 'pending'});
 		}
 
 		case 'skip': {
 			const {reason, instances} = action;
-			return changePhase(deps, command, instances, {kind: 'skipped', reason});
+			return changePhase(deps, context, instances, {kind: 'skipped', reason});
 		}
 
 		case 'move': {
-			return move(deps, command, action);
+			return moveJob(deps, context, action);
 		}
 
 		case 'take': {
-			return take(deps, command, action.instances);
+			return withdraw(deps, context, action.instances);
 		}
 
 		case 'stop': {
-			return stop(deps, command, action.instance);
+			return stopInstance(deps, context, action.instance);
 		}
 
 		case 'return': {
-			return transition(deps, command, action.instance, 'startReturn');
+			return commitTransition(deps, context, action.instance, 'startReturn');
 		}
 
 		case 'give-back': {
-			return giveBack(deps, command, action.instance);
+			return returnInstance(deps, context, action.instance);
 		}
 
 		case 'give-up': {
-			return giveUp(deps, command, action.instance);
+			return markLost(deps, context, action.instance);
 		}
 
 		case 'finish': {
-			return finish(deps, command);
+			return finishWave(deps, context);
 		}
 	}
 };
--- a/packages/daemon/src/waves/wave-commit.ts
+++ b/packages/daemon/src/waves/wave-commit.ts
@@ -1,6 +1,6 @@
 /**
- * Commits of a wave: all rows that an action touches in one transaction,
- * conditional on what was read, and what was committed noted at once.
+ * Commits all rows that an action changes in one transaction, conditional on
+ * the versions read, and updates the loaded rows after the commit.
  */
 import {randomUUID} from 'node:crypto';
 import {
@@ -17,7 +17,7 @@
 import type {WaveJobs} from './wave-facts.js';
 import type {LoadedWave} from './wave-rows.js';
 
-/** What actions are carried out with. */
+/** Dependencies of actions. */
 export type ActionDeps = {
 	readonly table: TableService;
 	readonly workers: Workers;
@@ -25,29 +25,29 @@
 	readonly ledgerCache: LedgerCache;
 	readonly getFollowed: () => followedView.FollowedView;
 	readonly onCommitted: (delta: viewChange.ViewDelta) => Promise<void>;
-	/** Conditions under which this entry may act, such as its shard's lease. */
+	/** Conditions of each commit, such as this entry's shard lease. */
 	readonly getGuards: () => readonly Write[];
-	/** Present time in milliseconds of the wall clock, as rows keep it. */
+	/** Wall clock in milliseconds, as stored in rows. */
 	readonly now: () => number;
 	readonly env?: client.Environment;
 };
 
-/** One action on one wave. */
+/** What an action on a wave reads and updates. */
 export type ActionContext = {
 	readonly loaded: LoadedWave;
 	readonly facts: waves.WaveFacts;
 	readonly listed: ListedInstances;
-	/** Conditions of a drain's end: the entries are still the same. */
+	/** Conditions of finishing a drain: the set of entries is unchanged. */
 	readonly drainGuards: readonly Write[];
 };
 
-/** A put of any row. */
+/** A put of a row of any type. */
 export type Put = budget.RowPut<unknown>;
 
 const toWrite = (put: Put): Write => ({...put, value: toJson(put.value)});
 
-/** Notes what was committed; without a version the rows are read anew. */
-const notePuts = (
+/** Stores committed rows; one without a version causes a reload. */
+const updateLoaded = (
 	deps: ActionDeps,
 	{loaded}: ActionContext,
 	puts: readonly Put[],
@@ -87,7 +87,7 @@
 /** Commits rows outside the view. */
 export const commitRows = async (
 	deps: ActionDeps,
-	command: ActionContext,
+	context: ActionContext,
 	puts: readonly Put[],
 ): Promise<boolean> => {
 	const committed = await deps.table.commit(
@@ -95,22 +95,22 @@
 		randomUUID(),
 	);
 	if (committed.ok) {
-		notePuts(deps, command, puts, committed.value.versions);
+		updateLoaded(deps, context, puts, committed.value.versions);
 	}
 
 	return committed.ok;
 };
 
-/** Commits instances with the rows that go with them. */
+/** Commits instances together with their related rows. */
 export const commitInstances = async (
 	deps: ActionDeps,
-	command: ActionContext,
+	context: ActionContext,
 	operation: {
 		readonly id: string;
 		readonly instances: ReadonlyArray<budget.RowPut<Instance>>;
 		readonly also: readonly Put[];
 		readonly guards?: readonly Write[];
-		/** Commits only if nothing has changed since this view. */
+		/** If set, commits only if nothing has changed since this view. */
 		readonly newest?: followedView.FollowedView;
 	},
 ): Promise<boolean> => {
@@ -124,7 +124,7 @@
 		})),
 		operation.id,
 		{
-			author: `wave ${command.loaded.progress.wave.id}`,
+			author: `wave ${context.loaded.progress.wave.id}`,
 			extraWrites: [
 				...operation.also.map((put) => toWrite(put)),
 				...(operation.guards ?? []),
@@ -140,13 +140,13 @@
 	}
 
 	const {versions, delta} = committed.value;
-	const own = versions.slice(operation.instances.length);
-	notePuts(deps, command, operation.also, own);
+	const rowVersions = versions.slice(operation.instances.length);
+	updateLoaded(deps, context, operation.also, rowVersions);
 	await deps.onCommitted(delta);
 	return true;
 };
 
-/** Reads an instance row; undefined if there is none or no answer. */
+/** Reads an instance row; undefined if it is absent or the read fails. */
 export const readInstance = async (
 	{table}: ActionDeps,
 	id: string,
@@ -170,6 +170,6 @@
 	return found.length === ids.length ? found : undefined;
 };
 
-/** True for the put of an instance. */
+/** True if the row is an instance. */
 export const isInstancePut = (put: Put): put is budget.RowPut<Instance> =>
 	put.table === budget.tables.instances;
--- a/packages/daemon/src/waves/wave-facts.ts
+++ b/packages/daemon/src/waves/wave-facts.ts
@@ -1,4 +1,4 @@
-/** What a wave is told of the fleet, from the view, the list and the jobs. */
+/** Builds the facts for a wave from the view, the list and the jobs. */
 import {
 	viewIndex,
 	budget,
@@ -16,9 +16,9 @@
 	readonly jobs: readonly waves.RunningJob[];
 };
 
-/** Jobs, as far as a wave needs them. */
+/** The job operations that a wave needs. */
 export type WaveJobs = {
-	/** By last report; a worker that has gone silent keeps its jobs. */
+	/** Load by the last report; an unresponsive worker keeps its jobs. */
 	readonly getLoad: (worker: string) => WorkerLoad;
 	/** Checkpoints the job and starts it on `to`, or holds it without one. */
 	readonly move: (
@@ -41,7 +41,7 @@
 	move: async () => false,
 };
 
-/** What only the runner knows of instances. */
+/** State of instances that the runner observes. */
 export type Observations = {
 	readonly isDrained: (instance: string) => boolean;
 	readonly getProbesPassed: (instance: string) => number;
@@ -53,16 +53,16 @@
 	listed: ListedInstances,
 	{getProbesPassed}: Observations,
 ): budget.ReturnEvidence => {
-	const seen = listed.get(id);
+	const listing = listed.get(id);
 	return {
-		listed: seen?.state ?? 'absent',
+		listed: listing?.state ?? 'absent',
 		incarnationBefore: phase?.kind === 'taken' ? phase.incarnation : '',
-		incarnation: seen?.incarnation ?? '',
+		incarnation: listing?.incarnation ?? '',
 		probesPassed: getProbesPassed(id),
 	};
 };
 
-/** Executors kept in reserve of each service. */
+/** Returns the number of executors in reserve for each service. */
 const getReserves = (
 	view: View,
 	kind: budget.ReserveKind,
@@ -81,7 +81,7 @@
 	return reserves;
 };
 
-/** What `createFacts` reads. */
+/** Inputs of `createFacts`. */
 export type FactSources = {
 	readonly view: View;
 	readonly listed: ListedInstances;
@@ -90,7 +90,7 @@
 	readonly observations: Observations;
 };
 
-/** The facts for one wave; each instance is looked up when it is asked for. */
+/** Creates the facts for one wave; instances are looked up on demand. */
 export const createFacts = (
 	progress: waves.Progress,
 	{view, listed, ledgers, jobs, observations}: FactSources,
--- a/packages/daemon/src/waves/wave-fleet.test.ts
+++ b/packages/daemon/src/waves/wave-fleet.test.ts
@@ -1,4 +1,4 @@
-/** A wave over three daemons on one platform, under load, over sockets. */
+/** Runs a wave over three daemons on one platform, with load over sockets. */
 import {performance} from 'node:perf_hooks';
 import {PassThrough} from 'node:stream';
 import {setTimeout as wait} from 'node:timers/promises';
@@ -19,7 +19,7 @@
 import {createLogger} from '../log/logger.js';
 
 const now = () => performance.now();
-const waveLimitMs = 60_000;
+const waveTimeoutMs = 60_000;
 
 const times = {
 	...agreementDefaults,
@@ -71,7 +71,7 @@
 	return {platform, daemons};
 };
 
-const operate = async (
+const callOperatorApi = async (
 	daemon: Daemon,
 	method: 'PUT' | 'POST' | 'GET',
 	path: string,
@@ -92,7 +92,7 @@
 };
 
 const startCallers = (daemons: readonly Daemon[]) => {
-	const state = {isStopped: false, answers: 0, wrong: [] as string[]};
+	const state = {isStopped: false, answers: 0, errors: [] as string[]};
 	const callers = daemons.map(async (daemon) => {
 		const url = `http://127.0.0.1:${daemon.getCallerPort()}/s/quoting/quote`;
 		while (!state.isStopped) {
@@ -102,7 +102,7 @@
 			const text = await res.body.text();
 			state.answers += 1;
 			if (res.statusCode !== 200) {
-				state.wrong.push(`${res.statusCode} ${text}`);
+				state.errors.push(`${res.statusCode} ${text}`);
 			}
 		}
 	});
@@ -119,47 +119,50 @@
 
 type Status = {wave: waves.Wave; counts: waves.Progress['counts']};
 
-tap.t.test('a wave outlives the entry that runs it', async (t) => {
-	const {platform, daemons} = await startFleet(t);
-	const [first] = daemons;
-	const plan = {pools: ['quoting'], hours: 1};
-	t.match(await operate(first!, 'PUT', '', plan), {status: 200});
-	t.match(await operate(first!, 'POST', '/start'), {status: 200});
-	const deadline = now() + waveLimitMs;
-	let mostAway = 0;
-	let alive: readonly Daemon[] = daemons;
-	let callers = startCallers(daemons);
-	let status: Status | undefined;
-	while (status?.wave.state !== 'done' && now() < deadline) {
-		const answer = await operate(alive[0]!, 'GET', '');
-		status = answer.body as Status;
-		const rows = await platform.table.range({
-			table: 'instance',
-			prefix: 'quoting',
-			limit: 10,
-		});
-		const away = rows.ok
-			? rows.value.filter(
-					({value}) => (value as {state: string}).state !== 'serving',
-				).length
-			: 0;
-		mostAway = Math.max(mostAway, away);
-		const holder = daemons.find((each) => holdsWaves(each));
-		if (alive === daemons && status.counts.taken > 0 && holder) {
-			await callers.stop();
-			t.same(callers.state.wrong, []);
-			alive = daemons.filter((each) => each !== holder);
-			await holder.stop();
-			callers = startCallers(alive);
-		}
+tap.t.test(
+	'another entry continues a wave after its holder stops',
+	async (t) => {
+		const {platform, daemons} = await startFleet(t);
+		const [first] = daemons;
+		const plan = {pools: ['quoting'], hours: 1};
+		t.match(await callOperatorApi(first!, 'PUT', '', plan), {status: 200});
+		t.match(await callOperatorApi(first!, 'POST', '/start'), {status: 200});
+		const deadline = now() + waveTimeoutMs;
+		let mostAway = 0;
+		let remaining: readonly Daemon[] = daemons;
+		let callers = startCallers(daemons);
+		let status: Status | undefined;
+		while (status?.wave.state !== 'done' && now() < deadline) {
+			const answer = await callOperatorApi(remaining[0]!, 'GET', '');
+			status = answer.body as Status;
+			const rows = await platform.table.range({
+				table: 'instance',
+				prefix: 'quoting',
+				limit: 10,
+			});
+			const away = rows.ok
+				? rows.value.filter(
+						({value}) => (value as {state: string}).state !== 'serving',
+					).length
+				: 0;
+			mostAway = Math.max(mostAway, away);
+			const holder = daemons.find((each) => holdsWaves(each));
+			if (remaining === daemons && status.counts.taken > 0 && holder) {
+				await callers.stop();
+				t.same(callers.state.errors, []);
+				remaining = daemons.filter((each) => each !== holder);
+				await holder.stop();
+				callers = startCallers(remaining);
+			}
 
-		await wait(20);
-	}
+			await wait(20);
+		}
 
-	await callers.stop();
-	t.equal(alive.length, 2, 'the holder was stopped in mid-wave');
-	t.match(status, {wave: {state: 'done'}, counts: {done: 3}});
-	t.equal(mostAway, 1);
-	t.same(callers.state.wrong, []);
-	t.ok(callers.state.answers > 0);
-});
+		await callers.stop();
+		t.equal(remaining.length, 2, 'the holder was stopped in mid-wave');
+		t.match(status, {wave: {state: 'done'}, counts: {done: 3}});
+		t.equal(mostAway, 1);
+		t.same(callers.state.errors, []);
+		t.ok(callers.state.answers > 0);
+	},
+);
--- a/packages/daemon/src/waves/wave-rows.ts
+++ b/packages/daemon/src/waves/wave-rows.ts
@@ -4,7 +4,7 @@
 import {readTable} from '../view/tables.js';
 import {getServicesByPool} from './ledger-cache.js';
 
-/** A wave with its rows and its index. */
+/** A wave with its header, rack rows and progress. */
 export type LoadedWave = {
 	header: budget.Versioned<waves.Wave>;
 	readonly rows: Map<string, budget.Versioned<waves.WaveDomain>>;
@@ -33,7 +33,7 @@
 	return row.ok ? succeed(row.value && toWave(row.value)) : row;
 };
 
-/** Reads a wave's racks and builds its index. */
+/** Reads a wave's rack rows and builds its progress. */
 export const loadWave = async (
 	table: TableService,
 	header: budget.Versioned<waves.Wave>,
--- a/packages/daemon/src/waves/wave-runner.test.ts
+++ b/packages/daemon/src/waves/wave-runner.test.ts
@@ -9,34 +9,34 @@
 } from './wave-simulation.test.fixture.js';
 
 tap.t.test('a wave maintains every instance once', async (t) => {
-	const world = await createSimulation();
-	await runRounds(world, 1, 60);
-	const {state} = await world.readWave();
+	const simulation = await createSimulation();
+	await runRounds(simulation, 1, 60);
+	const {state} = await simulation.readWave();
 	t.equal(state, 'done');
-	t.equal(world.verdict.overspent, 0);
+	t.equal(simulation.counts.overspent, 0);
 	t.same(
-		ids.map((id) => world.verdict.reboots.get(id)),
+		ids.map((id) => simulation.counts.reboots.get(id)),
 		ids.map(() => 1),
 	);
-	t.equal(world.countAway(), 0);
+	t.equal(simulation.countAway(), 0);
 });
 
-tap.t.test('killed at any commit, another entry goes on', async (t) => {
+tap.t.test('after a kill at any commit, another entry continues', async (t) => {
 	for (let at = 0; at < 40; at += 1) {
-		const world = await createSimulation();
-		world.faults.push(
+		const simulation = await createSimulation();
+		simulation.faults.push(
 			...Array.from({length: at}, () => 'none' as const),
 			'killed',
 		);
-		await runRounds(world, 1, 80);
-		const {state} = await world.readWave();
+		await runRounds(simulation, 1, 80);
+		const {state} = await simulation.readWave();
 		t.equal(state, 'done', `killed at commit ${at}`);
-		t.equal(world.verdict.overspent, 0);
+		t.equal(simulation.counts.overspent, 0);
 	}
 });
 
 tap.t.test(
-	'racing runners, lost replies and outages never overspend',
+	'racing runners, lost replies and outages never exceed the budget',
 	async (t) => {
 		const fault = fc.constantFrom<Fault>(
 			'none',
@@ -51,14 +51,14 @@
 			fc.array(fault, {minLength: 40, maxLength: 80}),
 			fc.integer({min: 1, max: 3}),
 			async (drawn, runners) => {
-				const world = await createSimulation();
-				world.faults.push(...drawn);
-				await runRounds(world, runners, 200);
-				const {state} = await world.readWave();
+				const simulation = await createSimulation();
+				simulation.faults.push(...drawn);
+				await runRounds(simulation, runners, 200);
+				const {state} = await simulation.readWave();
 				return (
 					state === 'done' &&
-					world.verdict.overspent === 0 &&
-					world.countAway() === 0
+					simulation.counts.overspent === 0 &&
+					simulation.countAway() === 0
 				);
 			},
 		);
@@ -67,77 +67,79 @@
 	},
 );
 
-tap.t.test('a store outage: no new take is announced', async (t) => {
-	const world = await createSimulation();
-	world.faults.push(...Array.from({length: 300}, () => 'unavailable' as const));
-	await runRounds(world, 1, 20);
-	t.equal(world.countAway(), 0);
-	t.equal(world.verdict.reboots.size, 0);
-	world.faults.length = 0;
-	await runRounds(world, 1, 60);
-	const {state} = await world.readWave();
+tap.t.test('nothing is withdrawn during a store outage', async (t) => {
+	const simulation = await createSimulation();
+	simulation.faults.push(
+		...Array.from({length: 300}, () => 'unavailable' as const),
+	);
+	await runRounds(simulation, 1, 20);
+	t.equal(simulation.countAway(), 0);
+	t.equal(simulation.counts.reboots.size, 0);
+	simulation.faults.length = 0;
+	await runRounds(simulation, 1, 60);
+	const {state} = await simulation.readWave();
+	t.equal(state, 'done');
+});
+
+tap.t.test('lost capacity uses the budget until it recovers', async (t) => {
+	const simulation = await createSimulation();
+	simulation.setListed('a', 'leaving');
+	simulation.setListed('b', 'leaving');
+	await runRounds(simulation, 1, 10);
+	t.equal(simulation.countAway(), 0);
+	simulation.setListed('a', 'live');
+	simulation.setListed('b', 'live');
+	await runRounds(simulation, 1, 60);
+	const {state} = await simulation.readWave();
 	t.equal(state, 'done');
 });
 
 tap.t.test(
-	'loss uses the budget: nothing is taken until it is back',
+	'no restart while an entry may start from an older snapshot',
 	async (t) => {
-		const world = await createSimulation();
-		world.setListed('a', 'leaving');
-		world.setListed('b', 'leaving');
-		await runRounds(world, 1, 10);
-		t.equal(world.countAway(), 0);
-		world.setListed('a', 'live');
-		world.setListed('b', 'live');
-		await runRounds(world, 1, 60);
-		const {state} = await world.readWave();
-		t.equal(state, 'done');
+		const simulation = await createSimulation();
+		simulation.outageStart.snapshotRevision = 1;
+		await runRounds(simulation, 1, 10);
+		t.equal(simulation.counts.reboots.size, 0);
+		simulation.outageStart.snapshotRevision = Number.POSITIVE_INFINITY;
+		simulation.outageStart.markerWaitMs = 10;
+		simulation.outageStart.markerUnchangedMs = 9;
+		await runRounds(simulation, 1, 10);
+		t.equal(simulation.counts.reboots.size, 0);
+		simulation.outageStart.markerUnchangedMs = 10;
+		await runRounds(simulation, 1, 60);
+		t.equal(simulation.counts.reboots.size, ids.length);
 	},
 );
 
 tap.t.test(
-	'no restart while an entry may start from an older snapshot',
+	'a contract changed in mid-round binds the next withdrawal',
 	async (t) => {
-		const world = await createSimulation();
-		world.outageStart.snapshotRevision = 1;
-		await runRounds(world, 1, 10);
-		t.equal(world.verdict.reboots.size, 0);
-		world.outageStart.snapshotRevision = Number.POSITIVE_INFINITY;
-		world.outageStart.markerWaitMs = 10;
-		world.outageStart.markerUnchangedMs = 9;
-		await runRounds(world, 1, 10);
-		t.equal(world.verdict.reboots.size, 0);
-		world.outageStart.markerUnchangedMs = 10;
-		await runRounds(world, 1, 60);
-		t.equal(world.verdict.reboots.size, ids.length);
+		const simulation = await createSimulation();
+		// Changes the contract after the ledgers are read, before a withdrawal.
+		simulation.hooks.push(async () => simulation.setMaxAway(0));
+		await runRounds(simulation, 1, 5);
+		t.equal(simulation.countAway(), 0);
+		await simulation.setMaxAway(maxAway);
+		await runRounds(simulation, 1, 60);
+		const {state} = await simulation.readWave();
+		t.equal(state, 'done');
 	},
 );
 
-tap.t.test('a contract changed in mid-round binds the next take', async (t) => {
-	const world = await createSimulation();
-	// The change comes after the ledgers were followed, before the first take.
-	world.hooks.push(async () => world.setMaxAway(0));
-	await runRounds(world, 1, 5);
-	t.equal(world.countAway(), 0);
-	await world.setMaxAway(maxAway);
-	await runRounds(world, 1, 60);
-	const {state} = await world.readWave();
-	t.equal(state, 'done');
-});
-
 for (const state of ['paused', 'cancelled'] as const) {
 	tap.t.test(
-		`${state}: what is away comes back, nothing more goes`,
+		`${state}: instances return and no more are withdrawn`,
 		async (t) => {
-			const world = await createSimulation();
-			await runRounds(world, 1, 3);
-			t.ok(world.countAway() > 0);
-			await world.setState(state);
-			await runRounds(world, 1, 20);
-			t.equal(world.countAway(), 0);
-			const {size} = world.verdict.reboots;
-			await runRounds(world, 1, 20);
-			t.equal(world.verdict.reboots.size, size);
+			const simulation = await createSimulation();
+			await runRounds(simulation, 1, 3);
+			t.ok(simulation.countAway() > 0);
+			await simulation.setState(state);
+			await runRounds(simulation, 1, 20);
+			t.equal(simulation.countAway(), 0);
+			const {size} = simulation.counts.reboots;
+			await runRounds(simulation, 1, 20);
+			t.equal(simulation.counts.reboots.size, size);
 		},
 	);
 }
--- a/packages/daemon/src/waves/wave-runner.ts
+++ b/packages/daemon/src/waves/wave-runner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs waves on one entry: loads their rows, asks the core what comes next,
- * and carries it out. Everything it knows is read from rows, so another entry
- * goes on where this one ended. Source: docs/design/waves.md.
+ * Runs waves on one entry: loads their rows, lets the core decide the next
+ * actions, and carries them out. All state is stored in rows, so that another
+ * entry can continue a wave. Source: docs/design/waves.md.
  */
 import {setImmediate} from 'node:timers/promises';
 import {
@@ -29,21 +29,21 @@
 import {createFacts, noJobs, type WaveJobs} from './wave-facts.js';
 import {loadWave, readWaves, type LoadedWave} from './wave-rows.js';
 
-/** What the runner needs. */
+/** Dependencies of the runner. */
 export type WaveRunnerDeps = {
 	readonly table: TableService;
 	readonly list: InstanceList;
 	readonly workers: Workers;
 	readonly getFollowed: () => followedView.FollowedView;
 	readonly onCommitted: (delta: viewChange.ViewDelta) => Promise<void>;
-	/** Polls the view at once. */
+	/** Polls the view immediately. */
 	readonly poll: () => Promise<void>;
-	/** Requests in flight from this entry to an instance. */
+	/** Counts requests in flight from this entry to an instance. */
 	readonly getInFlight: (instance: string) => number;
 	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
-	/** Absent: no entry of the fleet starts from the snapshot. */
+	/** Absent if no entry of the fleet starts from the snapshot. */
 	readonly readOutageStart?: () => Promise<move.OutageStart>;
-	/** Present time in milliseconds of the wall clock, as rows keep it. */
+	/** Wall clock in milliseconds, as stored in rows. */
 	readonly now: () => number;
 	readonly logger: Logger;
 	readonly pollMs: number;
@@ -52,39 +52,39 @@
 	readonly env?: client.Environment;
 	/** False while another entry holds the shard of waves. */
 	readonly isHolder?: () => boolean;
-	/** Checks of the shard's lease, part of each commit. */
+	/** Conditions on the shard's lease, part of each commit. */
 	readonly getGuards?: () => readonly Write[];
 };
 
-/** The runner, with what others may ask of it. */
+/** Runs waves and gives placement advice. */
 export type WaveRunner = Part & {
-	/** One round over all waves; the part calls it again and again. */
+	/** Runs one round over all waves; called periodically. */
 	readonly step: () => Promise<void>;
-	/** Advice for the placement of a job. */
+	/** Returns advice for the placement of a job. */
 	readonly getPlacementAdvice: (
 		instance: string,
 		hasMoved: boolean,
 	) => waves.PlacementAdvice;
 };
 
-/** Racks that one step looks at. */
-const maxWork = 24;
-/** Steps of one wave in one round; each lets the event loop go on. */
-const maxSteps = 200;
-/** Time between looks for a wave while there is none. */
+/** Racks processed by one step. */
+const maxRacksPerStep = 24;
+/** Steps of one wave in one round; each yields to the event loop. */
+const maxStepsPerRound = 200;
+/** Time between polls for waves while there is none. */
 const idlePollMs = 1000;
-/** Time after which a restart that shows nothing is asked for again. */
+/** Time after which a restart without effect is requested again. */
 const rebootRetryMs = 60_000;
 
 type State = {
 	readonly deps: WaveRunnerDeps;
-	readonly command: ActionDeps;
+	readonly actionDeps: ActionDeps;
 	readonly probes: ReturnType<typeof createProbes>;
 	readonly loaded: Map<string, LoadedWave>;
-	/** Cancelled waves with nothing away any more. */
-	readonly settled: Set<string>;
+	/** Cancelled waves whose instances have all returned. */
+	readonly completed: Set<string>;
 	readonly rebootAskedAt: Map<string, number>;
-	/** Until then a round looks at nothing, as there was no wave. */
+	/** Rounds are skipped until this time, as there was no wave. */
 	idleUntil: number;
 };
 
@@ -93,7 +93,7 @@
 
 /** Reads new waves, and the rows of those whose header has changed. */
 const refreshWaves = async (state: State): Promise<boolean> => {
-	const {deps, loaded, settled} = state;
+	const {deps, loaded, completed} = state;
 	const headers = await readWaves(deps.table);
 	if (!headers.ok) {
 		return false;
@@ -102,9 +102,9 @@
 	for (const header of headers.value) {
 		const {id, state: waveState} = header.value;
 		const known = loaded.get(id);
-		const isOver =
-			waveState === 'planned' || waveState === 'done' || settled.has(id);
-		if (isOver) {
+		const isInactive =
+			waveState === 'planned' || waveState === 'done' || completed.has(id);
+		if (isInactive) {
 			loaded.delete(id);
 		} else if (known?.header.version !== header.version) {
 			const read = await loadWave(deps.table, header, deps.getFollowed().view);
@@ -135,7 +135,7 @@
 		),
 	);
 
-/** Asks again for a restart whose call or reply was lost. */
+/** Requests a restart again if its call or reply was lost. */
 const retryReboots = async (
 	{deps, rebootAskedAt}: State,
 	loaded: LoadedWave,
@@ -143,15 +143,15 @@
 ) => {
 	const {view} = deps.getFollowed();
 	for (const {id, phase} of getTakenMembers(loaded)) {
-		const seen = listed.get(id);
+		const listing = listed.get(id);
 		if (phase.kind !== 'taken') {
 			continue;
 		}
 
 		const isUnchanged =
 			view.instances.get(id)?.state === 'away' &&
-			seen?.state === 'live' &&
-			seen.incarnation === phase.incarnation;
+			listing?.state === 'live' &&
+			listing.incarnation === phase.incarnation;
 		if (!isUnchanged) {
 			rebootAskedAt.delete(id);
 			continue;
@@ -178,7 +178,7 @@
 	await probes.run(returning);
 };
 
-/** The entries are read only while something drains. */
+/** True if an instance drains; entries are read only then. */
 const isDraining = ({deps, loaded}: State): boolean => {
 	const {view} = deps.getFollowed();
 	return [...loaded.values()]
@@ -186,25 +186,25 @@
 		.some(({id}) => view.instances.get(id)?.state === 'draining');
 };
 
-/** What one round has read. */
+/** Inputs read once per round. */
 type Round = {
 	readonly listed: ListedInstances;
 	readonly drain: DrainCheck | undefined;
 };
 
-/** One step of one wave; false if nothing is left to do now. */
+/** Runs one step of one wave; `stale` if its rows must be reloaded. */
 const stepLoaded = async (
 	state: State,
 	loaded: LoadedWave,
 	{listed, drain}: Round,
 ): Promise<'again' | 'idle' | 'stale'> => {
-	const {deps, command, probes} = state;
+	const {deps, actionDeps, probes} = state;
 	const {progress} = loaded;
 	const facts = createFacts(progress, {
 		view: deps.getFollowed().view,
 		listed,
-		ledgers: command.ledgerCache.values,
-		jobs: command.jobs,
+		ledgers: actionDeps.ledgerCache.values,
+		jobs: actionDeps.jobs,
 		observations: {
 			getProbesPassed: probes.getPassed,
 			isDrained(id) {
@@ -216,12 +216,15 @@
 			},
 		},
 	});
-	const actions = waves.stepWave({progress, facts, now: deps.now()}, maxWork);
+	const actions = waves.stepWave(
+		{progress, facts, now: deps.now()},
+		maxRacksPerStep,
+	);
 	for (const action of actions) {
 		const drainGuards = drain?.guards ?? [];
 		const context = {loaded, facts, listed, drainGuards};
-		if (!(await runAction(command, context, action))) {
-			deps.logger.info('wave action not done', {
+		if (!(await runAction(actionDeps, context, action))) {
+			deps.logger.info('wave action not carried out', {
 				wave: progress.wave.id,
 				action: action.kind,
 			});
@@ -234,17 +237,21 @@
 
 const stepWave = async (state: State, loaded: LoadedWave, round: Round) => {
 	const {id} = loaded.progress.wave;
-	for (let steps = 0; steps < maxSteps && isRunnable(loaded); steps += 1) {
+	for (
+		let steps = 0;
+		steps < maxStepsPerRound && isRunnable(loaded);
+		steps += 1
+	) {
 		const result = await stepLoaded(state, loaded, round);
 		if (result === 'stale') {
 			state.loaded.delete(id);
-			state.command.ledgerCache.invalidate();
+			state.actionDeps.ledgerCache.invalidate();
 			return;
 		}
 
-		const isVisited =
-			(steps + 1) * maxWork >= loaded.progress.activeDomains.size;
-		if (result === 'idle' && isVisited) {
+		const hasVisitedAllRacks =
+			(steps + 1) * maxRacksPerStep >= loaded.progress.activeDomains.size;
+		if (result === 'idle' && hasVisitedAllRacks) {
 			return;
 		}
 
@@ -252,17 +259,17 @@
 	}
 
 	if (loaded.progress.wave.state === 'cancelled' && !isRunnable(loaded)) {
-		state.settled.add(id);
+		state.completed.add(id);
 		state.loaded.delete(id);
 	}
 };
 
-/** One round: nothing is taken while store or list do not answer. */
+/** Runs one round; withdraws nothing while store or list are unavailable. */
 const runRound = async (state: State): Promise<void> => {
-	const {deps, command} = state;
+	const {deps, actionDeps} = state;
 	if (!(deps.isHolder?.() ?? true)) {
 		state.loaded.clear();
-		command.ledgerCache.invalidate();
+		actionDeps.ledgerCache.invalidate();
 		return;
 	}
 
@@ -282,7 +289,7 @@
 	const {view} = deps.getFollowed();
 	if (
 		!listed ||
-		!(await command.ledgerCache.synchronize(view, listed, deps.now()))
+		!(await actionDeps.ledgerCache.synchronize(view, listed, deps.now()))
 	) {
 		return;
 	}
@@ -297,12 +304,11 @@
 	}
 };
 
-/** Creates the runner. */
 export const createWaveRunner = (deps: WaveRunnerDeps): WaveRunner => {
 	const {table, workers, getFollowed, onCommitted, now, env} = deps;
 	const state: State = {
 		deps,
-		command: {
+		actionDeps: {
 			table,
 			workers,
 			jobs: deps.jobs ?? noJobs,
@@ -315,7 +321,7 @@
 		},
 		probes: createProbes(deps.probe ?? createProbe(workers)),
 		loaded: new Map(),
-		settled: new Set(),
+		completed: new Set(),
 		rebootAskedAt: new Map(),
 		idleUntil: 0,
 	};
--- a/packages/daemon/src/waves/wave-simulation.test.fixture.ts
+++ b/packages/daemon/src/waves/wave-simulation.test.fixture.ts
@@ -1,4 +1,4 @@
-/** A fleet in memory on which runners of waves are tested. */
+/** Simulation of a fleet in memory, for tests of the wave runner. */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
 import {budget, waves, type Contract, type Instance} from '@gullstand/core';
@@ -16,7 +16,7 @@
 
 /** Instances of the fleet. */
 export const ids = ['a', 'b', 'c', 'd', 'e', 'f'];
-/** What the contract lets be away. */
+/** Instances that the contract allows to be away. */
 export const maxAway = 2;
 const keepExecutors = 4;
 const roundMs = 10_000;
@@ -59,29 +59,29 @@
 	state: 'serving',
 });
 
-/** What befalls one commit. */
+/** Fault injected into one commit. */
 export type Fault =
 	'none' | 'unavailable' | 'lost-reply' | 'lost-request' | 'killed';
 
-const silent = {
+const noLogger = {
 	info() {
 		// Nothing is printed in tests.
 	},
 } as unknown as Logger;
 
-/** A fleet in memory, and the counts of its judge. */
+/** Creates the simulation, with counts of budget violations and reboots. */
 export const createSimulation = async () => {
 	const table = createMemoryTableService();
 	const list = createMemoryInstanceList();
 	const booting = new Map<string, number>();
-	const verdict = {overspent: 0, reboots: new Map<string, number>()};
+	const counts = {overspent: 0, reboots: new Map<string, number>()};
 	const clock = {now: 1_000_000, round: 0};
 	const outageStart: {-readonly [Key in keyof core.move.OutageStart]: number} =
 		{
 			...core.move.noOutageStart,
 		};
 	const faults: Fault[] = [];
-	const lives = new Map<string, number>(ids.map((id) => [id, 1]));
+	const incarnations = new Map<string, number>(ids.map((id) => [id, 1]));
 
 	const setListed = (id: string, state: 'live' | 'leaving') => {
 		list.set({
@@ -90,18 +90,18 @@
 			address: '',
 			availabilityZone: '',
 			state,
-			incarnation: `${id}${lives.get(id)}`,
+			incarnation: `${id}${incarnations.get(id)}`,
 		});
 	};
 
-	/** Counts what is not serving by the rows alone, after each commit. */
-	const judge = () => {
+	/** Checks the budget by the instance rows after each commit. */
+	const checkBudget = () => {
 		const rows = table.dump().filter((row) => row.table === 'instance');
 		const away = rows.filter(
 			({value}) => (value as unknown as Instance).state !== 'serving',
 		).length;
 		const isOver = away > maxAway || ids.length - away < keepExecutors;
-		verdict.overspent += isOver ? 1 : 0;
+		counts.overspent += isOver ? 1 : 0;
 	};
 
 	const commit: TableService['commit'] = async (writes, operationId) => {
@@ -115,7 +115,7 @@
 		}
 
 		const committed = await table.commit(writes, operationId);
-		judge();
+		checkBudget();
 		if (fault === 'killed') {
 			throw new Error('killed');
 		}
@@ -125,20 +125,20 @@
 
 	const workers = {
 		async reboot(id: string, incarnation: string) {
-			if (incarnation !== `${id}${lives.get(id)}`) {
-				return core.fail({kind: 'refused', reason: 'another life'});
+			if (incarnation !== `${id}${incarnations.get(id)}`) {
+				return core.fail({kind: 'refused', reason: 'another incarnation'});
 			}
 
-			verdict.reboots.set(id, (verdict.reboots.get(id) ?? 0) + 1);
+			counts.reboots.set(id, (counts.reboots.get(id) ?? 0) + 1);
 			booting.set(id, clock.round + 2);
 			setListed(id, 'leaving');
 			return core.succeed(undefined);
 		},
 	} as unknown as Workers;
 
-	/** Run once when a take reads instances: after the ledgers were followed. */
+	/** Each runs once when a withdrawal reads instances, after the ledgers. */
 	const hooks: Array<() => Promise<void>> = [];
-	const faulty: TableService = {
+	const faultyTable: TableService = {
 		...table,
 		commit,
 		async get(name, key) {
@@ -151,10 +151,10 @@
 	};
 	const followers: Array<ReturnType<typeof createViewFollower>> = [];
 	const createRunner = () => {
-		const follower = createViewFollower(faulty, 1000);
+		const follower = createViewFollower(faultyTable, 1000);
 		followers.push(follower);
 		return createWaveRunner({
-			table: faulty,
+			table: faultyTable,
 			list,
 			workers,
 			getFollowed: follower.getFollowed,
@@ -166,7 +166,7 @@
 			getHeard: () => new Map(),
 			readOutageStart: async () => outageStart,
 			now: () => clock.now,
-			logger: silent,
+			logger: noLogger,
 			pollMs: 1000,
 			probe: async () => true,
 			env: {
@@ -185,7 +185,7 @@
 		for (const [id, round] of booting) {
 			if (round <= clock.round) {
 				booting.delete(id);
-				lives.set(id, lives.get(id)! + 1);
+				incarnations.set(id, incarnations.get(id)! + 1);
 				setListed(id, 'live');
 			}
 		}
@@ -257,7 +257,7 @@
 		}
 	};
 
-	/** Changes the contract; every entry sees it at once. */
+	/** Changes the contract; every entry sees the change immediately. */
 	const setMaxAway = async (allowed: number) => {
 		const row = await table.get('contract', 'brokers');
 		const [terms] = contract.services;
@@ -295,7 +295,7 @@
 		outageStart,
 		hooks,
 		setMaxAway,
-		verdict,
+		counts,
 		clock,
 		createRunner,
 		advance,
@@ -308,13 +308,15 @@
 
 export type Simulation = Awaited<ReturnType<typeof createSimulation>>;
 
-/** Runs rounds; a killed runner is replaced by another. */
+/** Runs rounds; a killed runner is replaced by a new one. */
 export const runRounds = async (
-	world: Simulation,
+	simulation: Simulation,
 	runners: number,
 	rounds: number,
 ) => {
-	const running = Array.from({length: runners}, () => world.createRunner());
+	const running = Array.from({length: runners}, () =>
+		simulation.createRunner(),
+	);
 	for (let round = 0; round < rounds; round += 1) {
 		for (const [index, runner] of running.entries()) {
 			try {
@@ -324,12 +326,12 @@
 					throw err;
 				}
 
-				running[index] = world.createRunner();
+				running[index] = simulation.createRunner();
 			}
 		}
 
-		world.advance();
-		const {state} = await world.readWave();
+		simulation.advance();
+		const {state} = await simulation.readWave();
 		if (state === 'done') {
 			return;
 		}
