--- a/packages/daemon/src/agreement/agreement.test.ts
+++ b/packages/daemon/src/agreement/agreement.test.ts
@@ -146,7 +146,7 @@
 		await wait(3 * shortTimes.membership.isolationMs);
 		t.equal(member.getStatus().mode, 'sponsored');
 		// A process paused for the isolation time stays isolated until its sponsor
-		// confirms it again.
+		// confirms it again; without a sponsor it would stay so for good.
 		let answer: Awaited<ReturnType<typeof call>> | undefined;
 		await waitUntil(async () => {
 			answer = await call(late.daemon, 'quote');
--- a/packages/daemon/src/membership/acknowledge.ts
+++ b/packages/daemon/src/membership/acknowledge.ts
@@ -22,7 +22,7 @@
 const getInheritedRequestsMs = ({settings}: MemberDeps): number =>
 	settings.isolationMs + settings.stallMarginMs + settings.longestRequestMs;
 
-/** Removes sponsored entries whose confirmation has expired. */
+/** Removes sponsored entries that must have stopped routing by now. */
 const removeExpiredSponsored = (deps: MemberDeps, state: MemberState) => {
 	for (const [entry, {askedAt}] of state.sponsored) {
 		if (deps.now() - askedAt > deps.settings.forgetAfterMs) {
--- a/packages/daemon/src/membership/outage-confirmation.ts
+++ b/packages/daemon/src/membership/outage-confirmation.ts
@@ -51,7 +51,7 @@
 	return true;
 };
 
-/** Known sponsor first, as the list may be unavailable as well. */
+/** Lists the known sponsor first, as the list may be unavailable as well. */
 const listSponsors = async (
 	deps: MemberDeps,
 	{sponsorAddress}: MemberState,
