--- a/packages/daemon/src/idempotency/keyed-settings.ts
+++ b/packages/daemon/src/idempotency/idempotency-settings.ts
@@ -1,9 +1,9 @@
-/** The operator's settings of at-most-once requests, as the parts take them. */
+/** Converts the operator's idempotency settings to those of the modules. */
 import * as core from '@gullstand/core';
 import {type GroupSettings, defaultGroupSettings} from './group-writer.js';
 
 /** The section `[idempotency]` of an entry's settings. */
-export type KeyedSettings = Pick<
+export type IdempotencySettings = Pick<
 	core.idempotency.Settings,
 	| 'retentionMs'
 	| 'storeWithinMs'
@@ -16,20 +16,20 @@
 	readonly maxAttempts: number;
 };
 
-/** Settings of the decisions, with what operators do not set. */
-export const getKeySettings = (
-	cfg: KeyedSettings,
+/** Settings of the core, with defaults for those not set by operators. */
+export const getDecisionSettings = (
+	cfg: IdempotencySettings,
 ): core.idempotency.Settings => {
 	const {commitSpacingMs, maxAttempts, ...rest} = cfg;
 	return {...core.idempotency.defaultSettings, ...rest};
 };
 
 /** Settings of the group writer. */
-export const getGroupSettings = (cfg: KeyedSettings): GroupSettings => ({
+export const getGroupSettings = (cfg: IdempotencySettings): GroupSettings => ({
 	...defaultGroupSettings,
 	spacingMs: cfg.commitSpacingMs,
 });
 
-/** Shortest retention that is safe with the other settings. */
-export const getShortestRetentionMs = (cfg: KeyedSettings): number =>
-	core.idempotency.getShortestRetentionMs(getKeySettings(cfg));
+/** Minimum safe retention with the other settings, in milliseconds. */
+export const getShortestRetentionMs = (cfg: IdempotencySettings): number =>
+	core.idempotency.getShortestRetentionMs(getDecisionSettings(cfg));
--- a/packages/daemon/src/limits/fleet-limits.ts
+++ b/packages/daemon/src/limits/fleet-limits.ts
@@ -2,34 +2,33 @@
 import * as core from '@gullstand/core';
 import type {Agreement} from '../agreement/agreement.js';
 import {listServing} from '../view/list-serving.js';
-import {createCreditChannel, getMember} from './credit-channel.js';
+import {createCreditChannel, formatMember} from './credit-channel.js';
 import {createCreditLimits, type CreditLimits} from './credit-limits.js';
 
-/** What the limits need of a daemon. */
+/** Dependencies of the limits. */
 export type FleetLimitsDeps = {
-	readonly agreement: Pick<Agreement, 'life' | 'peers' | 'member' | 'follower'>;
+	readonly agreement: Pick<Agreement, 'self' | 'peers' | 'member' | 'follower'>;
 	readonly now: () => number;
-	/** No request runs longer; the same on every entry. */
+	/** Upper bound of a request's run time; the same on every entry. */
 	readonly longestRequestMs: number;
-	/** Entries that share the connections of an executor. */
+	/** Number of entries that share the connections of an executor. */
 	readonly entries: number;
 };
 
 /**
- * Each pool has its heartbeat. At half a second nine idle entries spent 3.1%
- * of a core and 18 KB/s each on them (bench idle); reports under load do not
- * wait for it.
+ * Each pool sends its own heartbeat, so a long period keeps the cost of idle
+ * entries low. Reports under load do not wait for it.
  */
 const heartbeatMs = 2000;
 
 const leaseMs = 8000;
 
-const silentAfterMs = 5000;
+const unresponsiveAfterMs = 5000;
 
-/** One connection to each executor is kept for probes. */
+/** Connections to each executor that are reserved for probes. */
 const probeConnections = 1;
 
-/** Slots by executor of each pool; the least of the services that share it. */
+/** Slots by executor of each pool: the minimum over services that share it. */
 const listSlots = (view: core.View) => {
 	const pools = new Map<string, Map<string, number>>();
 	for (const {pool, slotsPerExecutor} of view.services.values()) {
@@ -43,7 +42,7 @@
 	return pools;
 };
 
-/** Requests that one entry's connections to an executor can carry. */
+/** Maximum requests on an executor that this entry's connections allow. */
 const getOwnLimit = (view: core.View, pool: string, entries: number) => {
 	let limit = Infinity;
 	for (const service of view.services.values()) {
@@ -58,11 +57,11 @@
 
 /** Builds the limits; nothing is sent before the start. */
 export const createFleetLimits = (deps: FleetLimitsDeps): CreditLimits => {
-	const {life, peers, member, follower} = deps.agreement;
+	const {self, peers, member, follower} = deps.agreement;
 	let revision = -1;
 	let slots: ReturnType<typeof listSlots> = new Map();
 	return createCreditLimits({
-		self: getMember(life.entry, life.incarnation),
+		self: formatMember(self.entry, self.incarnation),
 		channel: createCreditChannel(peers),
 		now: deps.now,
 		settings: {
@@ -71,17 +70,17 @@
 			leaseMs,
 			longestAttemptMs: deps.longestRequestMs,
 		},
-		silentAfterMs,
+		unresponsiveAfterMs,
 		mayRoute: member.mayRoute,
 		random: Math.random,
 		listPeers() {
 			const {registrations} = member.getMembers();
-			const own = registrations.get(life.entry)?.value.acknowledged;
-			return own?.incarnation === life.incarnation
+			const own = registrations.get(self.entry)?.value.acknowledged;
+			return own?.incarnation === self.incarnation
 				? [...registrations]
-						.filter(([entry]) => entry !== life.entry)
+						.filter(([entry]) => entry !== self.entry)
 						.map(([entry, {value}]) => ({
-							member: getMember(entry, value.acknowledged.incarnation),
+							member: formatMember(entry, value.acknowledged.incarnation),
 							address: value.address,
 						}))
 				: undefined;
--- a/packages/daemon/src/membership/member.ts
+++ b/packages/daemon/src/membership/member.ts
@@ -1,7 +1,7 @@
 /**
- * Membership of this entry as a part: registers before it serves, sends one
- * heartbeat for all its pools and shards, acknowledges what is in force, and
- * stops routing by itself when it cannot be confirmed.
+ * Membership of this entry: registers before it serves, sends one heartbeat for
+ * all its pools and shards, acknowledges the view that it routes by, and stops
+ * routing when its membership cannot be confirmed.
  */
 import * as core from '@gullstand/core';
 import type {
@@ -27,28 +27,28 @@
 import {
 	confirmByList,
 	confirmByMajority,
-	standWithoutTable,
-} from './outage-start.js';
-import {addMemberMethods, sendAcknowledgement} from './peer-members.js';
+	continueWithoutTable,
+} from './outage-confirmation.js';
+import {addMemberMethods, sendAcknowledgement} from './member-methods.js';
 import {deregister, register, renew} from './register.js';
 
 /** Membership of this entry. */
 export type Member = Part & {
-	/** True if requests may be dispatched now; asked at each pick. */
+	/** True if requests may be dispatched now; called at each selection. */
 	readonly mayRoute: () => boolean;
 	/** True if this entry may hold shards and commit changes. */
 	readonly mayControl: () => boolean;
-	/** The registered entries, read anew when one has joined or left. */
+	/** Registered entries, reloaded when one has joined or left. */
 	readonly getMembers: () => MembershipRows;
-	readonly getStanding: () => membershipStatus.MembershipStatus;
-	/** Acknowledgements that peers have sent here. */
-	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
-	/** Puts a new view in force and acknowledges it. */
-	readonly followView: () => void;
-	/** Hands a committed change to every peer and asks to be told. */
+	readonly getStatus: () => membershipStatus.MembershipStatus;
+	/** Acknowledgements received from peers. */
+	readonly getReceivedAcknowledgements: () => pendingAcknowledgements.ReceivedAcknowledgements;
+	/** Applies a new view to routing and acknowledges it. */
+	readonly acknowledgeView: () => void;
+	/** Sends a committed change to every peer and asks for acknowledgements. */
 	readonly announce: (delta: viewChange.ViewDelta) => void;
-	/** The registered entries that have not met a requirement yet. */
-	readonly readLagging: (
+	/** Lists acknowledgements that a requirement still waits for. */
+	readonly readPendingAcknowledgements: (
 		requirement: pendingAcknowledgements.Requirement,
 	) => Promise<
 		Result<
@@ -65,27 +65,27 @@
 		setTimeout(resolve, ms);
 	});
 
-const registerOrStand = async (deps: MemberDeps, state: MemberState) => {
+const registerOrContinue = async (deps: MemberDeps, state: MemberState) => {
 	const outcome = await register(deps, state);
 	if (outcome === 'unavailable') {
-		await standWithoutTable(deps, state);
+		await continueWithoutTable(deps, state);
 	}
 };
 
-const beat = async (deps: MemberDeps, state: MemberState) => {
+const sendHeartbeat = async (deps: MemberDeps, state: MemberState) => {
 	if (!state.isRegistered) {
-		await registerOrStand(deps, state);
+		await registerOrContinue(deps, state);
 		return;
 	}
 
 	await renew(deps, state);
-	const ageMs = deps.now() - state.standing.confirmedAt;
+	const ageMs = deps.now() - state.status.confirmedAt;
 	if (ageMs > deps.settings.isolationMs / 2) {
 		await confirmByMajority(deps, state);
 	}
 };
 
-/** Reads all registrations, but only when the set of them has changed. */
+/** Reloads all registrations if the set of them has changed. */
 const refreshMembers = async (deps: MemberDeps, state: MemberState) => {
 	const version = await readMembershipVersion(deps.table);
 	if (!version.ok || version.value === state.members.version) {
@@ -106,23 +106,24 @@
 	}
 };
 
-/** Waits, but does not keep a process alive that has nothing else to do. */
-const delayUnlessLast = async (ms: number) =>
+/** Waits without keeping the process alive. */
+const delayUnref = async (ms: number) =>
 	new Promise<void>((resolve) => {
 		setTimeout(resolve, ms).unref();
 	});
 
-const offerAgainMs = 500;
+const offerRetryMs = 500;
 
-const offerForMs = 30_000;
+/** Peers that cannot be reached for this long poll the change instead. */
+const offerTimeoutMs = 30_000;
 
-/** Offers a change to one peer until it has taken it; polls do the rest. */
-const offer = async (
+/** Offers a change to one peer, with retries until it answers. */
+const offerToPeer = async (
 	deps: MemberDeps,
 	address: string,
 	params: PeerMethods['offerDelta']['params'],
 ) => {
-	const until = deps.now() + offerForMs;
+	const giveUpAt = deps.now() + offerTimeoutMs;
 	for (;;) {
 		const answer = await deps.peers.call(
 			address,
@@ -130,11 +131,11 @@
 			params,
 			deps.callTimeoutMs,
 		);
-		if (answer.ok || deps.now() + offerAgainMs > until) {
+		if (answer.ok || deps.now() + offerRetryMs > giveUpAt) {
 			return;
 		}
 
-		await delayUnlessLast(offerAgainMs);
+		await delayUnref(offerRetryMs);
 	}
 };
 
@@ -146,13 +147,13 @@
 	deps.offerDeltas([delta]);
 	const awaitedBy = deps.peers.getAddress();
 	for (const [entry, {value}] of state.members.registrations) {
-		if (entry !== deps.life.entry) {
-			void offer(deps, value.address, {delta, awaitedBy});
+		if (entry !== deps.self.entry) {
+			void offerToPeer(deps, value.address, {delta, awaitedBy});
 		}
 	}
 };
 
-const readLagging = async (
+const readPending = async (
 	deps: MemberDeps,
 	state: MemberState,
 	requirement: pendingAcknowledgements.Requirement,
@@ -164,14 +165,14 @@
 		? core.succeed(
 				core.pendingAcknowledgements.listPendingAcknowledgements(
 					[...rows.value.registrations.values()].map(({value}) => value),
-					state.heard,
+					state.received,
 					requirement,
 				),
 			)
 		: rows;
 };
 
-/** Creates the membership of this life. */
+/** Creates the membership of this incarnation. */
 export const createMember = (deps: MemberDeps): Member => {
 	const state = createMemberState(deps.now());
 	const acknowledge = () => {
@@ -180,10 +181,14 @@
 
 	addMemberMethods(deps, state, acknowledge);
 	const mayRoute = () =>
-		core.membershipStatus.mayRoute(state.standing, deps.settings, deps.now());
+		core.membershipStatus.mayRoute(state.status, deps.settings, deps.now());
 
 	const tickers = [
-		createTicker(async () => beat(deps, state), deps.heartbeatMs, Math.random),
+		createTicker(
+			async () => sendHeartbeat(deps, state),
+			deps.heartbeatMs,
+			Math.random,
+		),
 		createTicker(
 			async () => {
 				await confirmByList(deps, state);
@@ -210,7 +215,7 @@
 		name: 'membership',
 		async start(reportFailure) {
 			while (!mayRoute()) {
-				await registerOrStand(deps, state);
+				await registerOrContinue(deps, state);
 				await (mayRoute() ? undefined : delay(registerRetryMs));
 			}
 
@@ -223,18 +228,15 @@
 		mayRoute,
 		mayControl: () =>
 			state.isRegistered &&
-			core.membershipStatus.mayControl(
-				state.standing,
-				deps.settings,
-				deps.now(),
-			),
+			core.membershipStatus.mayControl(state.status, deps.settings, deps.now()),
 		getMembers: () => state.members,
-		getStanding: () => state.standing,
-		getHeard: () => state.heard,
-		followView: acknowledge,
+		getStatus: () => state.status,
+		getReceivedAcknowledgements: () => state.received,
+		acknowledgeView: acknowledge,
 		announce(delta) {
 			announce(deps, state, delta);
 		},
-		readLagging: async (requirement) => readLagging(deps, state, requirement),
+		readPendingAcknowledgements: async (requirement) =>
+			readPending(deps, state, requirement),
 	};
 };
--- a/packages/daemon/src/membership/register.ts
+++ b/packages/daemon/src/membership/register.ts
@@ -1,4 +1,4 @@
-/** Registers this life and renews its row, whatever replies are lost. */
+/** Registers this incarnation and renews its row; tolerates lost replies. */
 import {randomUUID} from 'node:crypto';
 import * as core from '@gullstand/core';
 import type {registration, membershipStatus, StoreWrite} from '@gullstand/core';
@@ -7,18 +7,18 @@
 import type {MemberDeps, MemberState} from './member-state.js';
 import {readMembership, readRegistration, toWrites} from './membership-rows.js';
 
-/** What became of an attempt. */
+/** Outcome of a registration attempt. */
 export type RegisterOutcome = 'registered' | 'moved-on' | 'unavailable';
 
-/** Takes in a confirmation that was asked for at a time. */
-export const confirm = (
+/** Records a confirmation, valid from the time it was requested. */
+export const recordConfirmation = (
 	deps: MemberDeps,
 	state: MemberState,
 	source: membershipStatus.ConfirmationSource,
 	askedAt: number,
 ): void => {
-	state.standing = core.membershipStatus.confirmMembership(
-		state.standing,
+	state.status = core.membershipStatus.confirmMembership(
+		state.status,
 		source,
 		askedAt,
 		deps.settings,
@@ -35,36 +35,36 @@
 	}
 
 	state.members = members.value;
-	const hasEarlier = members.value.registrations.has(deps.life.entry);
+	const hasEarlier = members.value.registrations.has(deps.self.entry);
 	return {counter: row.value, hasEarlier};
 };
 
 const setRegistered = (deps: MemberDeps, state: MemberState) => {
 	state.isRegistered = true;
-	state.standing = core.membershipStatus.changeMode(
+	state.status = core.membershipStatus.changeMode(
 		'registered',
 		state.renewedAt,
 	);
-	deps.logger.info('registered', {...deps.life});
+	deps.logger.info('registered', {...deps.self});
 };
 
 type OwnRow =
-	/** Written by a pending write of this life. */
+	/** Written by a pending write of this incarnation. */
 	| {readonly kind: 'own'; readonly version: number; readonly id: string}
-	/** Of this life, but it proves nothing. */
+	/** Written by this incarnation, but not by a pending write. */
 	| {readonly kind: 'older'; readonly version: number}
 	| {readonly kind: 'absent' | 'unreadable'}
 	| {readonly kind: 'replaced'; readonly incarnation: string};
 
 /**
- * What the row says after a lost reply. A read may be old: only a row that
- * carries the operation id of a pending write proves anything.
+ * Reads this entry's row after a lost reply. The read may be stale: only a row
+ * with the operation id of a pending write proves that the write committed.
  */
 const readOwnRow = async (
 	deps: MemberDeps,
 	state: MemberState,
 ): Promise<OwnRow> => {
-	const row = await readRegistration(deps.table, deps.life.entry);
+	const row = await readRegistration(deps.table, deps.self.entry);
 	if (!row.ok) {
 		return {kind: 'unreadable'};
 	}
@@ -79,7 +79,7 @@
 	}
 
 	const {incarnation} = value.acknowledged;
-	if (incarnation !== deps.life.incarnation) {
+	if (incarnation !== deps.self.incarnation) {
 		return {kind: 'replaced', incarnation};
 	}
 
@@ -88,7 +88,7 @@
 		: {kind: 'older', version};
 };
 
-/** Commits the own row; a write without a reply stays pending. */
+/** Commits this entry's row; a write without a reply stays pending. */
 const commitRow = async (
 	deps: MemberDeps,
 	state: MemberState,
@@ -102,9 +102,9 @@
 	const committed = await deps.table.commit(toWrites(writes), id);
 	const version = committed.ok ? committed.value.versions[0] : undefined;
 	if (version !== undefined) {
-		settle(state, id, version);
+		completeWrite(state, id, version);
 	} else if (!committed.ok && committed.error.kind !== 'timeout') {
-		// Certainly not made.
+		// The write certainly did not commit.
 		state.pendingWrites.delete(id);
 		state.pendingQuorum = [...state.pendingWrites.values()].at(-1)?.quorum;
 	}
@@ -112,8 +112,8 @@
 	return committed;
 };
 
-/** A pending write has been made: it is the newest, others are over. */
-const settle = (state: MemberState, id: string, version: number) => {
+/** Records that a pending write committed, which ends all others. */
+const completeWrite = (state: MemberState, id: string, version: number) => {
 	const write = state.pendingWrites.get(id);
 	state.rowVersion = version;
 	state.quorum = write?.quorum ?? state.quorum;
@@ -123,8 +123,8 @@
 };
 
 /**
- * Registers while the view is the newest; `moved-on` if it was not.
- * @throws If a later life of this entry has registered.
+ * Registers if the view is the newest; `moved-on` if it is not.
+ * @throws If a later incarnation of this entry has registered.
  */
 export const register = async (
 	deps: MemberDeps,
@@ -132,9 +132,9 @@
 ): Promise<RegisterOutcome> => {
 	if (state.replacedBy !== undefined) {
 		throw new VError(
-			'life %s of entry %s has taken the place of this one',
+			'incarnation %s of entry %s has taken the place of this one',
 			state.replacedBy,
-			deps.life.entry,
+			deps.self.entry,
 		);
 	}
 
@@ -145,8 +145,9 @@
 
 	const {revision} = deps.getFollowed().view;
 	const counterVersion = current.counter?.version;
-	const counted = current.counter?.value as {revision?: number} | undefined;
-	if ((counted?.revision ?? 0) !== revision) {
+	const counterValue = current.counter?.value as
+		{revision?: number} | undefined;
+	if ((counterValue?.revision ?? 0) !== revision) {
 		return 'moved-on';
 	}
 
@@ -163,9 +164,9 @@
 		return 'registered';
 	}
 
-	const own = await readOwnRow(deps, state);
-	if (own.kind === 'own') {
-		settle(state, own.id, own.version);
+	const ownRow = await readOwnRow(deps, state);
+	if (ownRow.kind === 'own') {
+		completeWrite(state, ownRow.id, ownRow.version);
 		setRegistered(deps, state);
 		return 'registered';
 	}
@@ -173,17 +174,17 @@
 	return committed.error.kind === 'conflict' ? 'moved-on' : 'unavailable';
 };
 
-/** The row is gone: nothing may be routed until it is written anew. */
-const lose = (deps: MemberDeps, state: MemberState) => {
+/** Stops routing after the row was removed, until it is written again. */
+const loseRegistration = (deps: MemberDeps, state: MemberState) => {
 	state.isRegistered = false;
-	state.standing = core.membershipStatus.changeMode(
+	state.status = core.membershipStatus.changeMode(
 		'registered',
 		Number.NEGATIVE_INFINITY,
 	);
-	deps.logger.error('registration lost', {...deps.life});
+	deps.logger.error('registration lost', {...deps.self});
 };
 
-/** One heartbeat: acknowledgement, sign of life and confirmation in one. */
+/** Sends one heartbeat, which renews the row and confirms membership. */
 export const renew = async (
 	deps: MemberDeps,
 	state: MemberState,
@@ -196,41 +197,41 @@
 		core.registration.renewRegistration(row, state.rowVersion),
 	);
 	if (committed.ok) {
-		confirm(deps, state, 'table', state.renewedAt);
+		recordConfirmation(deps, state, 'table', state.renewedAt);
 		return;
 	}
 
-	const own = await readOwnRow(deps, state);
-	switch (own.kind) {
+	const ownRow = await readOwnRow(deps, state);
+	switch (ownRow.kind) {
 		case 'absent': {
-			lose(deps, state);
+			loseRegistration(deps, state);
 			break;
 		}
 
 		case 'replaced': {
-			lose(deps, state);
-			state.replacedBy = own.incarnation;
+			loseRegistration(deps, state);
+			state.replacedBy = ownRow.incarnation;
 			break;
 		}
 
 		case 'own': {
-			settle(state, own.id, own.version);
-			confirm(deps, state, 'table', state.renewedAt);
+			completeWrite(state, ownRow.id, ownRow.version);
+			recordConfirmation(deps, state, 'table', state.renewedAt);
 			break;
 		}
 
 		case 'older': {
-			// The next heartbeat is conditional on it and so proves itself.
-			state.rowVersion = own.version;
+			// The next heartbeat is conditional on this version.
+			state.rowVersion = ownRow.version;
 			break;
 		}
 
 		case 'unreadable':
-		// Nothing is known; the standing lapses if it stays so.
+		// The outcome is unknown; the confirmation expires if it stays so.
 	}
 };
 
-const isLettingGo = (deps: MemberDeps, state: MemberState): boolean => {
+const mayDeregister = (deps: MemberDeps, state: MemberState): boolean => {
 	const {instances} = deps.getFollowed().view;
 	const isHolding = [...instances.keys()].some(
 		(instance) => deps.getInFlight(instance) > 0,
@@ -239,9 +240,9 @@
 };
 
 /**
- * Removes the own row at the end of a graceful stop. It stays, and others
- * forget it in time, if requests were cut off that an executor may still run,
- * or if this entry speaks for others.
+ * Removes this entry's row at the end of a graceful stop. If executors may
+ * still run its requests or it sponsors others, the row stays until peers
+ * forget the entry.
  */
 export const deregister = async (
 	deps: MemberDeps,
@@ -252,9 +253,9 @@
 	}
 
 	state.isRegistered = false;
-	const {entry} = deps.life;
-	if (!isLettingGo(deps, state)) {
-		deps.logger.warn('registration left behind', {entry});
+	const {entry} = deps.self;
+	if (!mayDeregister(deps, state)) {
+		deps.logger.warn('registration kept after stop', {entry});
 		return;
 	}
 
--- a/packages/daemon/src/peers/peer-channel.ts
+++ b/packages/daemon/src/peers/peer-channel.ts
@@ -1,11 +1,11 @@
-/** The peer channel as a part: one listener, one client, typed methods. */
+/** The peer channel: one listener, one client and typed methods. */
 import {Buffer} from 'node:buffer';
 import * as core from '@gullstand/core';
 import {createListener} from '../http/listener.js';
 import type {Logger} from '../log/logger.js';
 import type {Part} from '../supervisor/supervisor.js';
 import {createPeerClient, type PeerClient} from './peer-client.js';
-import type {PeerLife} from './peer-methods.js';
+import type {PeerIdentity} from './peer-methods.js';
 import {createPeerServer, type PeerServer} from './peer-server.js';
 
 /** Settings of the peer channel. */
@@ -15,12 +15,12 @@
 	readonly keyHex: string;
 };
 
-/** What the peer channel needs. */
+/** Dependencies of the peer channel. */
 export type PeerChannelDeps = {
 	readonly settings: PeerSettings;
-	readonly life: PeerLife;
+	readonly self: PeerIdentity;
 	readonly now: () => number;
-	/** Wall clock, in milliseconds; peers' clocks may be 30 s apart. */
+	/** Wall clock, in milliseconds; those of peers may differ by 30 s. */
 	readonly wallNow: () => number;
 	readonly logger: Pick<Logger, 'warn'>;
 };
@@ -29,9 +29,9 @@
 export type PeerChannel = Part &
 	Pick<PeerServer, 'addMethod'> &
 	Pick<PeerClient, 'call'> & {
-		/** Address and port by which peers reach this entry. */
+		/** Address and port at which peers reach this entry. */
 		readonly getAddress: () => string;
-		/** Messages refused since the start. */
+		/** Number of refused messages since the start. */
 		readonly countRefused: () => number;
 	};
 
@@ -48,9 +48,9 @@
 
 const connectTimeoutMs = 500;
 
-/** Creates the peer channel; methods may be added before its start. */
+/** Creates the peer channel; add its methods before the start. */
 export const createPeerChannel = (deps: PeerChannelDeps): PeerChannel => {
-	const {settings, life, now, wallNow, logger} = deps;
+	const {settings, self, now, wallNow, logger} = deps;
 	const key = Buffer.from(settings.keyHex, 'hex');
 	let refused = 0;
 
@@ -59,7 +59,7 @@
 		getAddress: () => `${settings.address}:${listener.getPort()}`,
 		wallNow,
 		maxBodyBytes,
-		maxApartMs,
+		maxClockSkewMs: maxApartMs,
 		onRefused(reason) {
 			refused += 1;
 			logger.warn('peer message refused', {reason});
@@ -75,7 +75,7 @@
 	return {
 		name: 'peers',
 		async start(reportFailure) {
-			client = createPeerClient({key, life, wallNow, connectTimeoutMs});
+			client = createPeerClient({key, self, wallNow, connectTimeoutMs});
 			await listener.start(reportFailure);
 		},
 		async stop(deadline) {
--- a/packages/daemon/src/peers/peer-server.ts
+++ b/packages/daemon/src/peers/peer-server.ts
@@ -1,4 +1,4 @@
-/** Answers JSON-RPC 2.0 calls of other entries, and of nobody else. */
+/** Answers authenticated JSON-RPC 2.0 calls of other entries. */
 import {Buffer} from 'node:buffer';
 import type {HttpBindings} from '@hono/node-server';
 import {Hono} from 'hono';
@@ -15,23 +15,23 @@
 } from './envelope.js';
 import type {
 	PeerHandler,
-	PeerLife,
+	PeerIdentity,
 	PeerMethod,
 	PeerSchema,
 } from './peer-methods.js';
 
-/** What a peer server needs. */
+/** Dependencies of a peer server. */
 export type PeerServerDeps = {
 	readonly key: Buffer;
-	/** Address and port that others send to. */
+	/** Address and port that peers send to. */
 	readonly getAddress: () => string;
 	readonly wallNow: () => number;
 	readonly maxBodyBytes: number;
-	readonly maxApartMs: number;
+	readonly maxClockSkewMs: number;
 	readonly onRefused: (reason: EnvelopeRefusal) => void;
 };
 
-/** A peer server: a handler of HTTP requests and the methods behind it. */
+/** A peer server: an HTTP handler and its methods. */
 export type PeerServer = {
 	readonly app: Hono<{Bindings: HttpBindings}>;
 	readonly addMethod: <Method extends PeerMethod>(
@@ -41,17 +41,16 @@
 	) => void;
 };
 
-const maxBodiesHeld = 32;
+const maxBufferedBodies = 32;
 
-/** Path of the peer channel. */
+/** URL path of the peer channel. */
 export const peerPath = '/peer';
 
-/** Creates a peer server. */
 export const createPeerServer = (deps: PeerServerDeps): PeerServer => {
-	const {key, maxApartMs} = deps;
-	const rpc = new JSONRPCServer<PeerLife>({errorListener: () => undefined});
-	const nonces = createNonceWindow(maxApartMs);
-	const bodyBudget = createByteBudget(deps.maxBodyBytes * maxBodiesHeld);
+	const {key, maxClockSkewMs} = deps;
+	const rpc = new JSONRPCServer<PeerIdentity>({errorListener: () => undefined});
+	const nonces = createNonceWindow(maxClockSkewMs);
+	const bodyBudget = createByteBudget(deps.maxBodyBytes * maxBufferedBodies);
 	const app = new Hono<{Bindings: HttpBindings}>();
 
 	app.post(peerPath, async (c) => {
@@ -74,7 +73,7 @@
 			signature: header('signature'),
 		};
 		const refusal = checkCall(
-			{key, nonces, maxApartMs},
+			{key, nonces, maxClockSkewMs},
 			call,
 			text,
 			deps.wallNow(),
@@ -96,7 +95,7 @@
 		addMethod(method, schema, handler) {
 			rpc.addMethod(
 				method,
-				async (params: JSONRPCRequest['params'], from: PeerLife) => {
+				async (params: JSONRPCRequest['params'], from: PeerIdentity) => {
 					const parsed = schema.safeParse(params);
 					if (!parsed.success) {
 						throw new VError(parsed.error, `${method}: malformed parameters`);
--- a/packages/daemon/src/waves/wave-commit.ts
+++ b/packages/daemon/src/waves/wave-commit.ts
@@ -1,6 +1,6 @@
 /**
- * Commits of a wave: all rows that an action touches in one transaction,
- * conditional on what was read, and what was committed noted at once.
+ * Commits all rows that an action changes in one transaction, conditional on
+ * the versions read, and updates the loaded rows after the commit.
  */
 import {randomUUID} from 'node:crypto';
 import {
@@ -13,43 +13,43 @@
 import type {client, TableService, Workers, Write} from '@gullstand/ports';
 import {commitChange} from '../view/commit-change.js';
 import {toJson} from '../view/tables.js';
-import type {LedgerBook, Listed} from './ledger-book.js';
+import type {LedgerCache, ListedInstances} from './ledger-cache.js';
 import type {WaveJobs} from './wave-facts.js';
 import type {LoadedWave} from './wave-rows.js';
 
-/** What actions are carried out with. */
-export type CommandDeps = {
+/** Dependencies of actions. */
+export type ActionDeps = {
 	readonly table: TableService;
 	readonly workers: Workers;
 	readonly jobs: WaveJobs;
-	readonly book: LedgerBook;
+	readonly ledgerCache: LedgerCache;
 	readonly getFollowed: () => followedView.FollowedView;
 	readonly onCommitted: (delta: viewChange.ViewDelta) => Promise<void>;
-	/** Conditions under which this entry may act, such as its shard's lease. */
+	/** Conditions of each commit, such as this entry's shard lease. */
 	readonly getGuards: () => readonly Write[];
-	/** Present time in milliseconds of the wall clock, as rows keep it. */
+	/** Wall clock in milliseconds, as stored in rows. */
 	readonly now: () => number;
 	readonly env?: client.Environment;
 };
 
-/** One action on one wave. */
-export type Command = {
+/** What an action on a wave reads and updates. */
+export type ActionContext = {
 	readonly loaded: LoadedWave;
 	readonly facts: waves.WaveFacts;
-	readonly listed: Listed;
-	/** Conditions of a drain's end: the entries are still the same. */
+	readonly listed: ListedInstances;
+	/** Conditions of finishing a drain: the set of entries is unchanged. */
 	readonly drainGuards: readonly Write[];
 };
 
-/** A put of any row. */
+/** A put of a row of any type. */
 export type Put = budget.RowPut<unknown>;
 
 const toWrite = (put: Put): Write => ({...put, value: toJson(put.value)});
 
-/** Notes what was committed; without a version the rows are read anew. */
-const notePuts = (
-	deps: CommandDeps,
-	{loaded}: Command,
+/** Stores committed rows; one without a version causes a reload. */
+const updateLoaded = (
+	deps: ActionDeps,
+	{loaded}: ActionContext,
 	puts: readonly Put[],
 	versions: ReadonlyArray<number | undefined>,
 ) => {
@@ -57,7 +57,7 @@
 		const version = versions[index];
 		switch (table) {
 			case budget.tables.ledgers: {
-				deps.book.update(value as budget.Ledger, version);
+				deps.ledgerCache.update(value as budget.Ledger, version);
 
 				break;
 			}
@@ -86,8 +86,8 @@
 
 /** Commits rows outside the view. */
 export const commitRows = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	context: ActionContext,
 	puts: readonly Put[],
 ): Promise<boolean> => {
 	const committed = await deps.table.commit(
@@ -95,22 +95,22 @@
 		randomUUID(),
 	);
 	if (committed.ok) {
-		notePuts(deps, command, puts, committed.value.versions);
+		updateLoaded(deps, context, puts, committed.value.versions);
 	}
 
 	return committed.ok;
 };
 
-/** Commits instances with the rows that go with them. */
+/** Commits instances together with their related rows. */
 export const commitInstances = async (
-	deps: CommandDeps,
-	command: Command,
+	deps: ActionDeps,
+	context: ActionContext,
 	operation: {
 		readonly id: string;
 		readonly instances: ReadonlyArray<budget.RowPut<Instance>>;
 		readonly also: readonly Put[];
 		readonly guards?: readonly Write[];
-		/** Commits only if nothing has changed since this view. */
+		/** If set, commits only if nothing has changed since this view. */
 		readonly newest?: followedView.FollowedView;
 	},
 ): Promise<boolean> => {
@@ -124,8 +124,8 @@
 		})),
 		operation.id,
 		{
-			author: `wave ${command.loaded.progress.wave.id}`,
-			also: [
+			author: `wave ${context.loaded.progress.wave.id}`,
+			extraWrites: [
 				...operation.also.map((put) => toWrite(put)),
 				...(operation.guards ?? []),
 				...deps.getGuards(),
@@ -140,15 +140,15 @@
 	}
 
 	const {versions, delta} = committed.value;
-	const own = versions.slice(operation.instances.length);
-	notePuts(deps, command, operation.also, own);
+	const rowVersions = versions.slice(operation.instances.length);
+	updateLoaded(deps, context, operation.also, rowVersions);
 	await deps.onCommitted(delta);
 	return true;
 };
 
-/** Reads an instance row; undefined if there is none or no answer. */
+/** Reads an instance row; undefined if it is absent or the read fails. */
 export const readInstance = async (
-	{table}: CommandDeps,
+	{table}: ActionDeps,
 	id: string,
 ): Promise<budget.Versioned<Instance> | undefined> => {
 	const row = await table.get(budget.tables.instances, id);
@@ -162,7 +162,7 @@
 
 /** Reads instance rows; undefined unless all were read. */
 export const readInstances = async (
-	deps: CommandDeps,
+	deps: ActionDeps,
 	ids: readonly string[],
 ): Promise<ReadonlyArray<budget.Versioned<Instance>> | undefined> => {
 	const read = await Promise.all(ids.map(async (id) => readInstance(deps, id)));
@@ -170,6 +170,6 @@
 	return found.length === ids.length ? found : undefined;
 };
 
-/** True for the put of an instance. */
+/** True if the row is an instance. */
 export const isInstancePut = (put: Put): put is budget.RowPut<Instance> =>
 	put.table === budget.tables.instances;
