--- a/packages/bench/src/benches/limits/credit-way.ts
+++ b/packages/bench/src/benches/limits/credit-way.ts
@@ -12,7 +12,7 @@
 	readonly name: string;
 	readonly limits: PoolLimits[];
 	readonly queues: EntryQueue[];
-	readonly heardAt: core.silence.HeardAt;
+	readonly heardAt: core.unresponsiveMembers.LastContactAt;
 	readonly flushAtMs: number[];
 	readonly connections: Map<string, number>;
 	listed: readonly string[];
@@ -90,7 +90,7 @@
 		const flush = (entry: Entry, pool: number) => {
 			const limits = entry.limits[pool]!;
 			const queue = entry.queues[pool]!;
-			const isOwn = limits.borrower.home === entry.name;
+			const isOwn = limits.borrower.coordinator === entry.name;
 			const dueMs = limits.borrower.lastReportMs + reportGapMs;
 			if (!isOwn && world.nowMs < dueMs) {
 				if (entry.flushAtMs[pool]! < dueMs) {
@@ -191,7 +191,7 @@
 					limits,
 					{
 						listed: entry.listed,
-						silent: entry.silent,
+						unresponsive: entry.silent,
 						leaving: new Set(),
 						ended: entry.ended,
 						slots,
@@ -207,11 +207,11 @@
 				return;
 			}
 
-			const silent = core.silence.getSilentMembers(
+			const silent = core.unresponsiveMembers.getUnresponsiveMembers(
 				entry.heardAt,
 				entry.listed.filter((each) => each !== entry.name),
 				world.nowMs,
-				core.silence.defaultSilentAfterMs,
+				core.unresponsiveMembers.defaultUnresponsiveAfterMs,
 			);
 			if ([...silent].join(' ') !== [...entry.silent].join(' ')) {
 				entry.silent = silent;
--- a/packages/core/src/admission/admission.ts
+++ b/packages/core/src/admission/admission.ts
@@ -7,7 +7,7 @@
  * Source: docs/design/admission.md.
  */
 import * as assessments from './assessment.js';
-import type {Applicant, Assessment} from './assessment.js';
+import type {OfferedRequest, Assessment} from './assessment.js';
 import * as deadlineWheel from './deadline-wheel.js';
 import type {
 	Dispatched,
@@ -17,7 +17,7 @@
 	Refused,
 } from './decision.js';
 import * as dispatches from './dispatch.js';
-import * as returnTime from './return-time.js';
+import * as returnTime from './retry-after.js';
 import * as serviceTime from './service-time.js';
 import * as slowdowns from './slowdown.js';
 import * as states from './state.js';
@@ -42,13 +42,13 @@
 /** Decides where a slot is free and nobody waits for it. */
 const offerToIdle = (
 	state: AdmissionState,
-	applicant: Applicant,
+	applicant: OfferedRequest,
 	now: number,
 ): Dispatched | Refused => {
 	const {customer, estimate, allowedMs} = applicant;
 	const hopeful =
-		assessments.isHopeful(state, estimate, allowedMs) ||
-		(allowedMs > 0 && assessments.takeProbe(state, estimate, now));
+		assessments.isLikelyInTime(state, estimate, allowedMs) ||
+		(allowedMs > 0 && assessments.tryProbe(state, estimate, now));
 	if (hopeful) {
 		return dispatches.dispatch(
 			state,
@@ -60,13 +60,18 @@
 	const {settings} = state;
 	const spacingMs = estimate.meanMs / state.slots;
 	const room = {fromMs: settings.probeEveryMs, spacingMs};
-	const retryAfterMs = returnTime.takeReturnTime(settings, customer, room, now);
+	const retryAfterMs = returnTime.reserveRetryAfter(
+		settings,
+		customer,
+		room,
+		now,
+	);
 	return {kind: 'refused', error: 'overloaded', retryAfterMs};
 };
 
 const refuse = (
 	state: AdmissionState,
-	applicant: Applicant,
+	applicant: OfferedRequest,
 	{forecast, missingMs}: Assessment,
 	now: number,
 ): Refused => {
@@ -77,7 +82,7 @@
 	return {
 		kind: 'refused',
 		error: forecast.contracted ? 'overloaded' : 'over-contract',
-		retryAfterMs: returnTime.takeReturnTime(settings, customer, room, now),
+		retryAfterMs: returnTime.reserveRetryAfter(settings, customer, room, now),
 	};
 };
 
@@ -92,7 +97,7 @@
 		return {kind: 'refused', error: 'forbidden', retryAfterMs: 0};
 	}
 
-	const applicant = assessments.createApplicant(state, request, customer);
+	const applicant = assessments.createOfferedRequest(state, request, customer);
 	if (state.queued === 0 && state.inFlight < state.slots) {
 		return offerToIdle(state, applicant, now);
 	}
@@ -124,7 +129,7 @@
 		kind: 'dropped',
 		ticket,
 		error: 'deadline-in-queue',
-		retryAfterMs: returnTime.takeReturnTime(
+		retryAfterMs: returnTime.reserveRetryAfter(
 			settings,
 			ticket.customer,
 			room,
@@ -153,7 +158,7 @@
 
 	const estimate = state.estimates[ticket.classIndex]!;
 	const leftMs = ticket.deadlineAt - now;
-	if (!assessments.isHopeful(state, estimate, leftMs)) {
+	if (!assessments.isLikelyInTime(state, estimate, leftMs)) {
 		return drop(state, ticket, now);
 	}
 
@@ -197,7 +202,7 @@
 };
 
 /** How a request in flight ended. */
-export type Finish = {
+export type FinishResult = {
 	/** False if its time tells nothing, such as after a cancellation. */
 	readonly measured: boolean;
 };
@@ -206,7 +211,7 @@
 export const finish = (
 	state: AdmissionState,
 	ticket: Ticket,
-	result: Finish,
+	result: FinishResult,
 	now: number,
 ): void => {
 	if (ticket.state !== 'in-flight') {
@@ -216,7 +221,7 @@
 	const serviceMs = now - ticket.dispatchedAt;
 	ticket.state = 'done';
 	state.inFlight--;
-	state.slowdown.freedAt = now;
+	state.slowdown.lastReleasedAt = now;
 	state.inFlightMs -= ticket.chargedMs;
 	dispatches.correctCharge(ticket, serviceMs);
 	if (result.measured) {
--- a/packages/core/src/admission/assessment.ts
+++ b/packages/core/src/admission/assessment.ts
@@ -8,7 +8,7 @@
 import type {AdmissionRequest} from './types.js';
 
 /** One request on its way in. */
-export type Applicant = {
+export type OfferedRequest = {
 	readonly request: AdmissionRequest;
 	readonly customer: Customer;
 	readonly classIndex: number;
@@ -18,11 +18,11 @@
 };
 
 /** Looks up what a request brings with it. */
-export const createApplicant = (
+export const createOfferedRequest = (
 	state: AdmissionState,
 	request: AdmissionRequest,
 	customer: Customer,
-): Applicant => {
+): OfferedRequest => {
 	const classIndex = states.getClassIndex(request.class);
 	const {answerWithinMs} = customer.terms;
 	const timeoutMs = request.timeoutMs ?? answerWithinMs;
@@ -44,7 +44,7 @@
 /** Creates the ticket of a request that is let in. */
 export const createTicket = (
 	state: AdmissionState,
-	applicant: Applicant,
+	applicant: OfferedRequest,
 	now: number,
 ): Ticket => {
 	const {request, customer, classIndex, estimate} = applicant;
@@ -82,7 +82,7 @@
 /** Predicts whether a queued request would be in time. */
 export const assessQueueing = (
 	state: AdmissionState,
-	applicant: Applicant,
+	applicant: OfferedRequest,
 	now: number,
 ): Assessment => {
 	const {customer, classIndex, estimate, allowedMs} = applicant;
@@ -99,7 +99,7 @@
 	estimate.p50Ms * slowdowns.getServiceFactor(state.slowdown);
 
 /** True if an answer by a slot given now is more likely in time than late. */
-export const isHopeful = (
+export const isLikelyInTime = (
 	state: AdmissionState,
 	estimate: ServiceTime,
 	leftMs: number,
@@ -110,7 +110,7 @@
  * once in a while: an estimate that refuses everything would never be
  * measured anew.
  */
-export const takeProbe = (
+export const tryProbe = (
 	state: AdmissionState,
 	estimate: ServiceTime,
 	now: number,
--- a/packages/core/src/admission/customer.ts
+++ b/packages/core/src/admission/customer.ts
@@ -5,7 +5,7 @@
  */
 import {requestClasses} from '../types/contract.js';
 import type {Customer, TicketQueue} from './records.js';
-import * as ticketQueue from './ticket.js';
+import * as ticketQueue from './ticket-queue.js';
 import * as tokenBucket from './token-bucket.js';
 import type {AdmissionSettings, CustomerTerms} from './types.js';
 
@@ -43,8 +43,8 @@
 		borrowTag: 0,
 		contractUse: 0,
 		contractUseAt: now,
-		returnAt: Number.NEGATIVE_INFINITY,
-		returnPhase: 0,
+		lastRetryAt: Number.NEGATIVE_INFINITY,
+		retryPhase: 0,
 	};
 };
 
--- a/packages/core/src/admission/forecast.ts
+++ b/packages/core/src/admission/forecast.ts
@@ -132,7 +132,7 @@
 	customers.updateContractUse(customer, 0, useWindowMs, now);
 	const measured = Math.max(0, all - customer.contractUse);
 	// Quiet customers may use what they were sold at any time.
-	const sold = (state.soldPerMs - customer.bucket.tokensPerMs) * meanMs;
+	const sold = (state.contractedPerMs - customer.bucket.tokensPerMs) * meanMs;
 	return measured + Math.max(0, sold - measured) * soldShare;
 };
 
--- a/packages/core/src/admission/records.ts
+++ b/packages/core/src/admission/records.ts
@@ -63,7 +63,7 @@
 	contractUse: number;
 	contractUseAt: number;
 	/** Latest time at which a refused caller was told to return. */
-	returnAt: number;
+	lastRetryAt: number;
 	/** Where between two such times the next round begins, in [0, 1). */
-	returnPhase: number;
+	retryPhase: number;
 };
--- a/packages/core/src/admission/return-time.ts
+++ b/packages/core/src/admission/retry-after.ts
@@ -13,7 +13,7 @@
 const goldenRatio = (Math.sqrt(5) - 1) / 2;
 
 /** When there will be room for a customer's requests. */
-export type Room = {
+export type RetryWindow = {
 	/** Time until the queue is short enough. */
 	readonly fromMs: number;
 	/** Time in which the queue drains by one request. */
@@ -24,23 +24,23 @@
  * Computes the time after which to return, in whole milliseconds, and keeps
  * it, so that the next caller is given a later one.
  */
-export const takeReturnTime = (
+export const reserveRetryAfter = (
 	settings: AdmissionSettings,
 	customer: Customer,
-	room: Room,
+	room: RetryWindow,
 	now: number,
 ): number => {
 	const {minRetryAfterMs, maxRetryAfterMs} = settings;
 	const soonestMs = Math.max(minRetryAfterMs, room.fromMs);
 	const firstMs = Math.min(maxRetryAfterMs / 2, soonestMs);
 	const stepMs = Math.min(room.spacingMs / returnShare, maxRetryAfterMs / 4);
-	let returnAt = Math.max(customer.returnAt + stepMs, now + firstMs);
+	let returnAt = Math.max(customer.lastRetryAt + stepMs, now + firstMs);
 	if (returnAt > now + maxRetryAfterMs) {
 		// Every time in the window is given; start over between the first two.
-		customer.returnPhase = (customer.returnPhase + goldenRatio) % 1;
-		returnAt = now + firstMs + customer.returnPhase * stepMs;
+		customer.retryPhase = (customer.retryPhase + goldenRatio) % 1;
+		returnAt = now + firstMs + customer.retryPhase * stepMs;
 	}
 
-	customer.returnAt = returnAt;
+	customer.lastRetryAt = returnAt;
 	return Math.ceil(returnAt - now);
 };
--- a/packages/core/src/admission/slowdown.ts
+++ b/packages/core/src/admission/slowdown.ts
@@ -22,13 +22,13 @@
 export type Slowdown = {
 	ratio: number;
 	/** When a slot was last given back. */
-	freedAt: number;
+	lastReleasedAt: number;
 };
 
 /** Creates a slowdown that says that the estimates are right. */
 export const createSlowdown = (now: number): Slowdown => ({
 	ratio: 1,
-	freedAt: now,
+	lastReleasedAt: now,
 });
 
 /** Takes in one answer to a request that was expected to take its mean. */
@@ -56,6 +56,6 @@
 	expectedGapMs: number,
 	now: number,
 ): number => {
-	const overdueMs = now - slowdown.freedAt;
+	const overdueMs = now - slowdown.lastReleasedAt;
 	return Math.max(1, overdueMs / (expectedGapMs * patientGaps));
 };
--- a/packages/core/src/admission/state.ts
+++ b/packages/core/src/admission/state.ts
@@ -4,7 +4,7 @@
 import * as deadlineWheel from './deadline-wheel.js';
 import * as slowdowns from './slowdown.js';
 import * as serviceTime from './service-time.js';
-import * as ticketQueue from './ticket.js';
+import * as ticketQueue from './ticket-queue.js';
 import type {AdmissionSettings} from './types.js';
 
 /** Median service time assumed as long as no customer has terms. */
@@ -35,7 +35,7 @@
 	/** Sum of the customers' moving averages, with its own time. */
 	contractUse: number;
 	/** Contracted requests a millisecond over all customers. */
-	soldPerMs: number;
+	contractedPerMs: number;
 	contractUseAt: number;
 };
 
@@ -61,7 +61,7 @@
 	contractVirtual: 0,
 	borrowVirtual: 0,
 	contractUse: 0,
-	soldPerMs: 0,
+	contractedPerMs: 0,
 	contractUseAt: now,
 });
 
--- a/packages/core/src/admission/terms.ts
+++ b/packages/core/src/admission/terms.ts
@@ -38,13 +38,13 @@
 		customer.removed = true;
 	}
 
-	state.soldPerMs = 0;
+	state.contractedPerMs = 0;
 	let weights = 0;
 	let shortestMs = Number.POSITIVE_INFINITY;
 	for (const each of terms) {
 		weights += each.weight;
 		shortestMs = Math.min(shortestMs, each.answerWithinMs);
-		state.soldPerMs += (each.requestsPerSecond * share) / 1000;
+		state.contractedPerMs += (each.requestsPerSecond * share) / 1000;
 		const requestsPerSecond = each.requestsPerSecond * share;
 		const entryTerms = {...each, requestsPerSecond};
 		const customer = state.customers.get(each.customer);
--- a/packages/core/src/connections/connections.test.ts
+++ b/packages/core/src/connections/connections.test.ts
@@ -1,6 +1,6 @@
 import * as tap from 'tap';
 import * as reuse from './reuse.js';
-import * as silence from './silence.js';
+import * as silence from './unresponsive.js';
 
 const cfg = reuse.defaultReuseConfig;
 const fresh = {openedAt: 0, provedAt: 1000, retired: false};
@@ -8,8 +8,8 @@
 
 type Case = {
 	readonly name: string;
-	readonly facts: Partial<reuse.ConnectionFacts>;
-	readonly needs: Partial<reuse.ReuseNeeds>;
+	readonly facts: Partial<reuse.ConnectionState>;
+	readonly needs: Partial<reuse.ReuseRequirements>;
 	readonly now: number;
 	readonly wanted: boolean;
 };
@@ -81,9 +81,13 @@
 });
 
 tap.t.test('the threshold follows the service time', async (t) => {
-	const limits = silence.defaultSilenceConfig;
+	const limits = silence.defaultUnresponsiveConfig;
 	const time = silence.createServiceTime();
-	t.equal(silence.getSilenceMs(time, limits), limits.maxMs, 'nothing known');
+	t.equal(
+		silence.getUnresponsiveAfterMs(time, limits),
+		limits.maxMs,
+		'nothing known',
+	);
 	const feed = (count: number, getMs: (index: number) => number) => {
 		for (let index = 0; index < count; index++) {
 			silence.recordServiceTime(time, limits, getMs(index));
@@ -91,15 +95,15 @@
 	};
 
 	feed(1000, (index) => 20 + (index % 100) / 5);
-	const normal = silence.getSilenceMs(time, limits);
+	const normal = silence.getUnresponsiveAfterMs(time, limits);
 	t.ok(normal > 70 && normal < 100, `${normal} ms for 20 to 40 ms`);
 	feed(1000, () => 200);
-	const slower = silence.getSilenceMs(time, limits);
+	const slower = silence.getUnresponsiveAfterMs(time, limits);
 	t.ok(slower > 350, `${slower} ms when all take 200 ms`);
 	feed(50_000, () => 1);
-	t.equal(silence.getSilenceMs(time, limits), limits.minMs);
+	t.equal(silence.getUnresponsiveAfterMs(time, limits), limits.minMs);
 	feed(5000, () => 60_000);
-	t.equal(silence.getSilenceMs(time, limits), limits.maxMs);
+	t.equal(silence.getUnresponsiveAfterMs(time, limits), limits.maxMs);
 });
 
 const verdicts = [
@@ -112,10 +116,13 @@
 for (const {answered, stillSilent, kind} of verdicts) {
 	const name = `probe ${answered ? 'answered' : 'not answered'}, old one ${stillSilent ? 'silent' : 'answered'}: ${kind}`;
 	tap.t.test(name, async (t) => {
-		const limits = silence.defaultSilenceConfig;
-		const state = silence.createSilenceState();
-		t.ok(silence.recordSilence(state, limits, 1000), 'first starts a probe');
-		t.notOk(silence.recordSilence(state, limits, 1010), 'one at a time');
+		const limits = silence.defaultUnresponsiveConfig;
+		const state = silence.createUnresponsiveState();
+		t.ok(
+			silence.recordUnresponsive(state, limits, 1000),
+			'first starts a probe',
+		);
+		t.notOk(silence.recordUnresponsive(state, limits, 1010), 'one at a time');
 		t.equal(state.suspectedAt, 1000);
 		const verdict = silence.recordProbe(state, answered, stillSilent);
 		t.equal(verdict.kind, kind);
@@ -125,7 +132,7 @@
 
 		t.equal(state.suspectedAt, undefined);
 		t.notOk(silence.startProbeIfDue(state, limits, 9000), 'no doubt left');
-		t.notOk(silence.recordSilence(state, limits, 1499), 'gap');
+		t.notOk(silence.recordUnresponsive(state, limits, 1499), 'gap');
 		t.ok(silence.startProbeIfDue(state, limits, 1500), 'made up for later');
 	});
 }
--- a/packages/core/src/connections/reuse.ts
+++ b/packages/core/src/connections/reuse.ts
@@ -21,7 +21,7 @@
 };
 
 /** What is known of one connection. Times in milliseconds. */
-export type ConnectionFacts = {
+export type ConnectionState = {
 	readonly openedAt: number;
 	/** When it was made or last received bytes. */
 	readonly provedAt: number;
@@ -30,7 +30,7 @@
 };
 
 /** What the request asks of its connection. */
-export type ReuseNeeds = {
+export type ReuseRequirements = {
 	/** True if the request may run twice. */
 	readonly repeatable: boolean;
 	/** Since when the executor's connections are in doubt, if they are. */
@@ -39,7 +39,7 @@
 
 /** True if an idle connection may still be kept. */
 export const canKeep = (
-	facts: ConnectionFacts,
+	facts: ConnectionState,
 	cfg: ReuseConfig,
 	now: number,
 ): boolean =>
@@ -49,9 +49,9 @@
 
 /** True if an idle connection may carry this request. */
 export const canReuse = (
-	facts: ConnectionFacts,
+	facts: ConnectionState,
 	cfg: ReuseConfig,
-	needs: ReuseNeeds,
+	needs: ReuseRequirements,
 	now: number,
 ): boolean => {
 	if (!canKeep(facts, cfg, now)) {
@@ -66,10 +66,10 @@
 };
 
 /** The reusable connection that was proved last. */
-export const chooseConnection = <Connection extends ConnectionFacts>(
+export const chooseConnection = <Connection extends ConnectionState>(
 	idle: Iterable<Connection>,
 	cfg: ReuseConfig,
-	needs: ReuseNeeds,
+	needs: ReuseRequirements,
 	now: number,
 ): Connection | undefined => {
 	let best: Connection | undefined;
--- a/packages/core/src/connections/silence.ts
+++ b/packages/core/src/connections/unresponsive.ts
@@ -4,7 +4,7 @@
  */
 
 /** Bounds of the threshold. */
-export type SilenceConfig = {
+export type UnresponsiveConfig = {
 	/** Quantile of service time that is estimated, in (0, 1). */
 	readonly quantile: number;
 	/** Multiple of the quantile that counts as silence. */
@@ -18,7 +18,7 @@
 };
 
 /** Settings that the bench `faults` was measured with. */
-export const defaultSilenceConfig: SilenceConfig = {
+export const defaultUnresponsiveConfig: UnresponsiveConfig = {
 	quantile: 0.99,
 	factor: 2,
 	minMs: 50,
@@ -54,7 +54,7 @@
  */
 export const recordServiceTime = (
 	time: ServiceTime,
-	cfg: SilenceConfig,
+	cfg: UnresponsiveConfig,
 	sampleMs: number,
 ): void => {
 	time.samples += 1;
@@ -74,13 +74,16 @@
 };
 
 /** Time without a byte after which an attempt counts as silent. */
-export const getSilenceMs = (time: ServiceTime, cfg: SilenceConfig): number =>
+export const getUnresponsiveAfterMs = (
+	time: ServiceTime,
+	cfg: UnresponsiveConfig,
+): number =>
 	time.samples < warmUpSamples
 		? cfg.maxMs
 		: Math.min(cfg.maxMs, Math.max(cfg.minMs, time.quantileMs * cfg.factor));
 
 /** What is known of the connections to one executor; updated in place. */
-export type SilenceState = {
+export type UnresponsiveState = {
 	/** Since when connections that were not proved later are in doubt. */
 	suspectedAt: number | undefined;
 	probing: boolean;
@@ -88,7 +91,7 @@
 };
 
 /** Makes the state of an executor whose connections are trusted. */
-export const createSilenceState = (): SilenceState => ({
+export const createUnresponsiveState = (): UnresponsiveState => ({
 	suspectedAt: undefined,
 	probing: false,
 	lastProbeAt: Number.NEGATIVE_INFINITY,
@@ -96,8 +99,8 @@
 
 /** True if connections are in doubt and a probe is to start now. */
 export const startProbeIfDue = (
-	state: SilenceState,
-	cfg: SilenceConfig,
+	state: UnresponsiveState,
+	cfg: UnresponsiveConfig,
 	now: number,
 ): boolean => {
 	const tooSoon = now - state.lastProbeAt < cfg.probeGapMs;
@@ -114,9 +117,9 @@
  * Takes note that an attempt is silent. True if a probe on a new connection
  * is to start now; otherwise ask `startProbeIfDue` again later.
  */
-export const recordSilence = (
-	state: SilenceState,
-	cfg: SilenceConfig,
+export const recordUnresponsive = (
+	state: UnresponsiveState,
+	cfg: UnresponsiveConfig,
 	now: number,
 ): boolean => {
 	state.suspectedAt ??= now;
@@ -139,7 +142,7 @@
  * @param stillSilent whether an attempt on an older connection is silent still
  */
 export const recordProbe = (
-	state: SilenceState,
+	state: UnresponsiveState,
 	answered: boolean,
 	stillSilent: boolean,
 ): ProbeVerdict => {
--- a/packages/core/src/contracts/contract-check.test.ts
+++ b/packages/core/src/contracts/contract-check.test.ts
@@ -5,7 +5,7 @@
 import type {Service} from '../types/service.js';
 import type {View} from '../types/view.js';
 import {checkContract, type MeasuredCapacity} from './contract-check.js';
-import {findBlockingContracts, findUsers} from './pool-check.js';
+import {findBlockingContracts, listCustomersOfService} from './pool-check.js';
 import {getAwayAllowance, getServicePromise} from './service-promise.js';
 
 const createTerms = (terms: Partial<ServiceTerms> = {}): ServiceTerms => ({
@@ -161,5 +161,5 @@
 	t.match(findBlockingContracts(existing, 'quoting', 2), [
 		{customer: 'south', keepExecutors: 5, executorsLeft: 4},
 	]);
-	t.same(findUsers(existing, 'quote'), ['north', 'south']);
+	t.same(listCustomersOfService(existing, 'quote'), ['north', 'south']);
 });
--- a/packages/core/src/contracts/contract-check.ts
+++ b/packages/core/src/contracts/contract-check.ts
@@ -5,8 +5,8 @@
 import type {Contract, JobTerms, ServiceTerms} from '../types/contract.js';
 import type {View} from '../types/view.js';
 import {groupByPool} from '../view/view-index.js';
-import {findMalformed} from './contract-form.js';
-import {getTermsOf, type Binding} from './service-promise.js';
+import {findMalformedFields} from './contract-validation.js';
+import {listServiceTerms, type ContractValue} from './service-promise.js';
 
 /** What the fleet has been measured to carry; unknown parts are left out. */
 export type MeasuredCapacity = {
@@ -51,7 +51,7 @@
 			readonly inTheWay: readonly string[];
 	  };
 
-const sumValues = (values: readonly Binding[]) =>
+const sumValues = (values: readonly ContractValue[]) =>
 	values.reduce((sum, {value}) => sum + value, 0);
 
 /**
@@ -59,7 +59,7 @@
  * fit; none if the contract does not fit even alone.
  */
 const findInTheWay = (
-	others: readonly Binding[],
+	others: readonly ContractValue[],
 	own: number,
 	capacity: number,
 ): readonly string[] => {
@@ -90,7 +90,7 @@
 	executorRate: number,
 ): ContractProblem | undefined => {
 	const {service} = terms;
-	const otherTerms = getTermsOf(others, service);
+	const otherTerms = listServiceTerms(others, service);
 	const rates = otherTerms.map(({customer, requestsPerSecond: value}) => ({
 		customer,
 		value,
@@ -187,7 +187,7 @@
 	view: View,
 	capacity: MeasuredCapacity = {},
 ): readonly ContractProblem[] => {
-	const malformed = findMalformed(contract);
+	const malformed = findMalformedFields(contract);
 	if (malformed.length > 0) {
 		return malformed.map((field) => ({kind: 'malformed', field}));
 	}
--- a/packages/core/src/contracts/contract-form.ts
+++ b/packages/core/src/contracts/contract-validation.ts
@@ -27,7 +27,7 @@
 };
 
 /** Lists the fields whose values can never be right. */
-export const findMalformed = (contract: Contract): readonly string[] => {
+export const findMalformedFields = (contract: Contract): readonly string[] => {
 	const {customer, weight, tokenHashes, services, jobs} = contract;
 	const fields: string[] = [];
 	if (customer.length === 0) {
--- a/packages/core/src/contracts/pool-check.ts
+++ b/packages/core/src/contracts/pool-check.ts
@@ -40,7 +40,10 @@
 };
 
 /** Customers whose contracts name a service; it may not be deleted. */
-export const findUsers = (view: View, service: string): readonly string[] =>
+export const listCustomersOfService = (
+	view: View,
+	service: string,
+): readonly string[] =>
 	[...view.contracts.values()]
 		.filter(({services}) => services.some((each) => each.service === service))
 		.map(({customer}) => customer);
--- a/packages/core/src/contracts/service-promise.ts
+++ b/packages/core/src/contracts/service-promise.ts
@@ -2,7 +2,7 @@
 import type {Contract, ServiceTerms} from '../types/contract.js';
 
 /** A number and the customer whose contract sets it. */
-export type Binding = {readonly value: number; readonly customer: string};
+export type ContractValue = {readonly value: number; readonly customer: string};
 
 /**
  * The strictest terms of a service. Executors are shared by all customers,
@@ -11,19 +11,19 @@
  */
 export type ServicePromise = {
 	readonly service: string;
-	readonly keepExecutors: Binding;
-	readonly maxAway: Binding;
-	readonly answerWithinMs: Binding;
+	readonly keepExecutors: ContractValue;
+	readonly maxAway: ContractValue;
+	readonly answerWithinMs: ContractValue;
 	readonly requestsPerSecond: number;
 	/** Rate of each customer, largest first. */
-	readonly rates: readonly Binding[];
+	readonly rates: readonly ContractValue[];
 };
 
 /** One customer's terms of one service. */
 export type CustomerTerms = ServiceTerms & {readonly customer: string};
 
 /** Collects the terms of one service, in the order of the contracts. */
-export const getTermsOf = (
+export const listServiceTerms = (
 	contracts: Iterable<Contract>,
 	service: string,
 ): readonly CustomerTerms[] => {
@@ -43,8 +43,8 @@
 	terms: readonly CustomerTerms[],
 	getValue: (each: CustomerTerms) => number,
 	isStricter: (a: number, b: number) => boolean,
-): Binding | undefined => {
-	let binding: Binding | undefined;
+): ContractValue | undefined => {
+	let binding: ContractValue | undefined;
 	for (const each of terms) {
 		const value = getValue(each);
 		if (!binding || isStricter(value, binding.value)) {
@@ -63,7 +63,7 @@
 	contracts: Iterable<Contract>,
 	service: string,
 ): ServicePromise | undefined => {
-	const terms = getTermsOf(contracts, service);
+	const terms = listServiceTerms(contracts, service);
 	const keepExecutors = pickBinding(terms, (t) => t.keepExecutors, isLarger);
 	const maxAway = pickBinding(terms, (t) => t.maxAway, isSmaller);
 	const answerWithinMs = pickBinding(terms, (t) => t.answerWithinMs, isSmaller);
@@ -88,7 +88,7 @@
 export const getAwayAllowance = (
 	promise: ServicePromise,
 	executors: number,
-): Binding => {
+): ContractValue => {
 	const spare = Math.max(0, executors - promise.keepExecutors.value);
 	return spare < promise.maxAway.value
 		? {value: spare, customer: promise.keepExecutors.customer}
--- a/packages/core/src/health/outlier.test.ts
+++ b/packages/core/src/health/outlier.test.ts
@@ -1,6 +1,6 @@
 import * as tap from 'tap';
 import {defaultHealthConfig as cfg} from './health-config.js';
-import * as outlier from './outlier.js';
+import * as outlier from './outlier-detection.js';
 import * as weights from './weights.js';
 
 const createPool = (count: number) => {
--- a/packages/core/src/health/weights.ts
+++ b/packages/core/src/health/weights.ts
@@ -2,7 +2,7 @@
  * Who may take the next request and at what weight: slow start after an
  * ejection, fail-open when nothing that is known to be good is left.
  */
-import * as outlier from './outlier.js';
+import * as outlier from './outlier-detection.js';
 
 /** An executor that may take a request; weight in (0, 1]. */
 export type WeightedExecutor = {
--- a/packages/core/src/idempotency/attempt.ts
+++ b/packages/core/src/idempotency/attempt.ts
@@ -9,10 +9,10 @@
 	FinishedRow,
 	Holder,
 	KeyRow,
-	SettledRow,
+	FinalRow,
 	StartedRow,
 	StoredRow,
-	When,
+	Precondition,
 } from './row.js';
 import type {Settings} from './settings.js';
 
@@ -83,7 +83,7 @@
 	| {
 			readonly kind: 'write';
 			readonly row: KeyRow;
-			readonly when: When;
+			readonly when: Precondition;
 			/** True if a caller waits for it. */
 			readonly isUrgent: boolean;
 	  }
@@ -104,9 +104,9 @@
 	| {
 			readonly kind: 'start';
 			readonly row: StartedRow;
-			readonly when: When;
+			readonly when: Precondition;
 			/** When the row was made, before it was first sent. */
-			readonly madeAt: number;
+			readonly createdAt: number;
 			/** A write of it had no reply, and no read has decided since. */
 			readonly isDoubtful: boolean;
 	  }
@@ -125,8 +125,8 @@
 	/** Replace the started row for good. */
 	| {
 			readonly kind: 'settle';
-			readonly row: SettledRow;
-			readonly when: When;
+			readonly row: FinalRow;
+			readonly when: Precondition;
 	  }
 	/** Read a stored answer from the object store. */
 	| {readonly kind: 'fetch'; readonly row: FinishedRow}
@@ -160,9 +160,9 @@
 	/** True once the caller was told; nothing is dispatched after that. */
 	readonly isAnswered: boolean;
 	/** When the wait for the store began. */
-	readonly storeFrom: number;
+	readonly storeWaitStartedAt: number;
 	/** Nothing is written after this. */
-	readonly settleBy: number;
+	readonly completeBy: number;
 };
 
 /** An attempt and what its shell does next, in this order. */
@@ -178,17 +178,20 @@
 	startingIntents.has(attempt.intent.kind);
 
 /** When the store must have answered, for a request not yet dispatched. */
-export const getStoreBy = (attempt: Attempt): number => {
+export const getStoreDeadline = (attempt: Attempt): number => {
 	const {claim, settings} = attempt;
-	return Math.min(claim.deadline, attempt.storeFrom + settings.storeWithinMs);
+	return Math.min(
+		claim.deadline,
+		attempt.storeWaitStartedAt + settings.storeWithinMs,
+	);
 };
 
 /** When the caller is answered, whatever the attempt waits for. */
-export const getAnswerBy = (attempt: Attempt): number => {
+export const getReplyDeadline = (attempt: Attempt): number => {
 	const {intent, claim} = attempt;
 	const isWaiting = intent.kind === 'look' && intent.known !== undefined;
 	return isBeforeDispatch(attempt) && !isWaiting
-		? getStoreBy(attempt)
+		? getStoreDeadline(attempt)
 		: claim.deadline;
 };
 
@@ -196,14 +199,14 @@
 export const getWakeAt = (attempt: Attempt): number => {
 	const answerBy = attempt.isAnswered
 		? Number.POSITIVE_INFINITY
-		: getAnswerBy(attempt);
+		: getReplyDeadline(attempt);
 	return attempt.pending.kind === 'pause'
 		? Math.min(attempt.pending.until, answerBy)
 		: answerBy;
 };
 
 /** Moves to another intent, with one call out. */
-export const callFor = (
+export const startCall = (
 	attempt: Attempt,
 	intent: Intent,
 	command: Command,
@@ -220,7 +223,7 @@
 };
 
 /** Pauses before the next call of the same intent; the pause doubles. */
-export const pauseFor = (
+export const pauseBeforeRetry = (
 	attempt: Attempt,
 	intent: Intent,
 	now: number,
@@ -291,7 +294,7 @@
 		holder: claim.holder,
 		startedAt: time.date,
 		deadlineAt: toDate(claim.deadline),
-		settleAt: toDate(attempt.settleBy),
+		settleAt: toDate(attempt.completeBy),
 		expiresAt: time.date + settings.retentionMs,
 	};
 };
--- a/packages/core/src/idempotency/claim.ts
+++ b/packages/core/src/idempotency/claim.ts
@@ -14,9 +14,9 @@
 import type {Attempt, Intent, Step, WriteResult} from './attempt.js';
 import type {Lookup, Time} from './lookup.js';
 import * as lookup from './lookup.js';
-import type {FinishedRow, StoredRow, When} from './row.js';
+import type {FinishedRow, StoredRow, Precondition} from './row.js';
 import * as rows from './row.js';
-import * as settle from './settle.js';
+import * as settle from './completion.js';
 
 type LookIntent = Extract<Intent, {kind: 'look'}>;
 type StartIntent = Extract<Intent, {kind: 'start'}>;
@@ -66,7 +66,7 @@
 ): Step => {
 	const {answer} = intent.row;
 	return answer.kind === 'object'
-		? attempts.callFor(attempt, intent, {
+		? attempts.startCall(attempt, intent, {
 				kind: 'get-object',
 				name: answer.name,
 			})
@@ -94,12 +94,12 @@
 };
 
 /** Reads the row of the key. */
-export const look = (attempt: Attempt, intent: LookIntent): Step =>
-	attempts.callFor(attempt, intent, {kind: 'read'});
+export const readRow = (attempt: Attempt, intent: LookIntent): Step =>
+	attempts.startCall(attempt, intent, {kind: 'read'});
 
 /** Sends the started write, the first time or again. */
 export const writeStarted = (attempt: Attempt, intent: StartIntent): Step =>
-	attempts.callFor(attempt, intent, {
+	attempts.startCall(attempt, intent, {
 		kind: 'write',
 		row: intent.row,
 		when: intent.when,
@@ -107,17 +107,21 @@
 	});
 
 /** Begins the started write under a precondition. */
-export const take = (attempt: Attempt, when: When, time: Time): Step => {
+export const claimKey = (
+	attempt: Attempt,
+	when: Precondition,
+	time: Time,
+): Step => {
 	const {intent} = attempt;
 	const hasWaited = intent.kind === 'look' && intent.known !== undefined;
-	const storeFrom = hasWaited ? time.now : attempt.storeFrom;
+	const storeFrom = hasWaited ? time.now : attempt.storeWaitStartedAt;
 	return writeStarted(
-		{...attempt, storeFrom},
+		{...attempt, storeWaitStartedAt: storeFrom},
 		{
 			kind: 'start',
 			row: attempts.createStartedRow(attempt, time),
 			when,
-			madeAt: time.now,
+			createdAt: time.now,
 			isDoubtful: false,
 		},
 	);
@@ -158,7 +162,7 @@
 	const found = lookup.decideLookup(stored, context, time.date);
 	switch (found.kind) {
 		case 'take': {
-			return take(attempt, found.when, time);
+			return claimKey(attempt, found.when, time);
 		}
 
 		case 'replay': {
@@ -183,7 +187,7 @@
 ): Step => {
 	const {failures, settings, isAnswered} = attempt;
 	return !isAnswered && failures + 1 < settings.storeTries
-		? attempts.pauseFor(attempt, intent, now)
+		? attempts.pauseBeforeRetry(attempt, intent, now)
 		: attempts.replyThen(
 				attempt,
 				attempts.createOutageReply(attempt),
@@ -192,7 +196,7 @@
 };
 
 /** Goes on after the row was read. */
-export const readLook = (
+export const applyRowRead = (
 	attempt: Attempt,
 	intent: LookIntent,
 	read: Read,
@@ -208,7 +212,7 @@
 
 	return intent.known === undefined
 		? pauseOrRefuse(attempt, intent, time.now)
-		: attempts.pauseFor(attempt, intent, time.now);
+		: attempts.pauseBeforeRetry(attempt, intent, time.now);
 };
 
 /** True if a request may still be sent, by both clocks of the entry. */
@@ -231,7 +235,7 @@
 export const getDispatchBy = (attempt: Attempt, intent: StartIntent): number =>
 	Math.min(
 		attempt.claim.deadline,
-		intent.madeAt + attempt.settings.dispatchWithinMs,
+		intent.createdAt + attempt.settings.dispatchWithinMs,
 	);
 
 /** The started row is certainly there: dispatch, or give the key back. */
@@ -243,7 +247,7 @@
 ): Step => {
 	const {row} = intent;
 	if (mayDispatch(attempt, intent, time)) {
-		return attempts.callFor(
+		return attempts.startCall(
 			attempt,
 			{kind: 'run', row, version},
 			{kind: 'dispatch', dispatchBy: getDispatchBy(attempt, intent)},
@@ -297,13 +301,13 @@
 
 		case 'refused': {
 			return intent.isDoubtful
-				? attempts.pauseFor(attempt, intent, time.now)
+				? attempts.pauseBeforeRetry(attempt, intent, time.now)
 				: pauseOrRefuse(attempt, intent, time.now);
 		}
 
 		case 'lost': {
 			const doubtful = {...intent, isDoubtful: true};
-			return attempts.pauseFor(attempt, doubtful, time.now);
+			return attempts.pauseBeforeRetry(attempt, doubtful, time.now);
 		}
 	}
 };
@@ -311,14 +315,14 @@
 /** Resumes after a pause: a write in doubt is read back first. */
 export const resumeStart = (attempt: Attempt, intent: StartIntent): Step => {
 	if (intent.isDoubtful) {
-		return attempts.callFor(attempt, intent, {kind: 'read'});
+		return attempts.startCall(attempt, intent, {kind: 'read'});
 	}
 
 	return writeAgain(attempt, intent);
 };
 
 /** Goes on after a started write in doubt was read back. */
-export const readStart = (
+export const applyStartedRead = (
 	attempt: Attempt,
 	intent: StartIntent,
 	read: Read,
@@ -328,13 +332,13 @@
 		const {stored} = read;
 		const isDecided =
 			rows.isHeldBy(stored, attempt.claim.holder) ||
-			rows.isPast(stored, intent.when);
+			rows.isPreconditionRuledOut(stored, intent.when);
 		return isDecided
 			? compareStarted(attempt, intent, stored, time)
 			: writeAgain(attempt, intent);
 	}
 
-	return time.now >= attempt.settleBy
+	return time.now >= attempt.completeBy
 		? attempts.endAttempt(attempt)
-		: attempts.pauseFor(attempt, intent, time.now);
+		: attempts.pauseBeforeRetry(attempt, intent, time.now);
 };
--- a/packages/core/src/idempotency/settle.ts
+++ b/packages/core/src/idempotency/completion.ts
@@ -14,11 +14,11 @@
 	WriteResult,
 } from './attempt.js';
 import type {
-	SettledRow,
+	FinalRow,
 	StartedRow,
 	StoredAnswer,
 	StoredRow,
-	When,
+	Precondition,
 } from './row.js';
 import * as rows from './row.js';
 
@@ -30,7 +30,7 @@
 	`idempotency/${operationId}`;
 
 const writeSettled = (attempt: Attempt, intent: SettleIntent): Step =>
-	attempts.callFor(attempt, intent, {
+	attempts.startCall(attempt, intent, {
 		kind: 'write',
 		row: intent.row,
 		when: intent.when,
@@ -38,25 +38,25 @@
 	});
 
 /** Writes the last state of a row. */
-export const startSettle = (
+export const startCompletion = (
 	attempt: Attempt,
-	row: SettledRow,
-	when: When,
+	row: FinalRow,
+	when: Precondition,
 ): Step => writeSettled(attempt, {kind: 'settle', row, when});
 
 /** Gives the key back: the request was certainly not run. */
 export const startRelease = (
 	attempt: Attempt,
 	row: StartedRow,
-	when: When,
-): Step => startSettle(attempt, {...row, state: 'released'}, when);
+	when: Precondition,
+): Step => startCompletion(attempt, {...row, state: 'released'}, when);
 
 const startFinish = (
 	attempt: Attempt,
 	intent: {readonly row: StartedRow; readonly version: number},
 	answer: StoredAnswer,
 ): Step =>
-	startSettle(
+	startCompletion(
 		attempt,
 		{...intent.row, state: 'finished', answer},
 		{kind: 'version', version: intent.version},
@@ -71,7 +71,7 @@
 
 /** Puts a large answer in the object store; the row follows. */
 export const putAnswer = (attempt: Attempt, intent: KeepIntent): Step =>
-	attempts.callFor(attempt, intent, {
+	attempts.startCall(attempt, intent, {
 		kind: 'put-object',
 		name: formatObjectName(attempt.claim.holder.operationId),
 		body: intent.answer.body,
@@ -114,7 +114,7 @@
 	}
 
 	return attempt.failures + 1 < attempt.settings.putTries
-		? attempts.pauseFor(attempt, intent, now)
+		? attempts.pauseBeforeRetry(attempt, intent, now)
 		: startFinish(attempt, intent, {kind: 'not-kept', status});
 };
 
@@ -156,7 +156,8 @@
 			return attempts.replyThen(
 				attempt,
 				attempts.createErrorReply(result.error),
-				(next) => startSettle(next, {...intent.row, state: 'unknown'}, when),
+				(next) =>
+					startCompletion(next, {...intent.row, state: 'unknown'}, when),
 			);
 		}
 	}
@@ -168,9 +169,9 @@
 	intent: SettleIntent,
 	now: number,
 ): Step =>
-	now >= attempt.settleBy
+	now >= attempt.completeBy
 		? attempts.endAttempt(attempt)
-		: attempts.pauseFor(attempt, intent, now);
+		: attempts.pauseBeforeRetry(attempt, intent, now);
 
 /** Ends over a row that is certainly there; an own started one is replaced. */
 const settleOver = (
@@ -180,7 +181,7 @@
 	now: number,
 ): Step => {
 	const isOwn = rows.isHeldBy(stored, attempt.claim.holder);
-	const isLate = now >= attempt.settleBy;
+	const isLate = now >= attempt.completeBy;
 	if (stored === undefined || !isOwn || isLate) {
 		return attempts.endAttempt(attempt);
 	}
@@ -192,7 +193,7 @@
 };
 
 /** Goes on after a write of the last state. */
-export const updateSettle = (
+export const updateCompletion = (
 	attempt: Attempt,
 	intent: SettleIntent,
 	result: WriteResult,
@@ -215,28 +216,30 @@
 };
 
 /** Resumes after a pause, by reading: the last write may have committed. */
-export const resumeSettle = (attempt: Attempt, intent: SettleIntent): Step =>
-	attempts.callFor(attempt, intent, {kind: 'read'});
+export const resumeCompletion = (
+	attempt: Attempt,
+	intent: SettleIntent,
+): Step => attempts.startCall(attempt, intent, {kind: 'read'});
 
 /**
  * Goes on after the row was read back. Over a row that decides nothing the
  * same write is sent again, which also keeps a delayed started write of this
  * attempt from taking effect.
  */
-export const readSettle = (
+export const applyCompletionRead = (
 	attempt: Attempt,
 	intent: SettleIntent,
 	result: {readonly stored: StoredRow | undefined} | undefined,
 	now: number,
 ): Step => {
-	if (result === undefined || now >= attempt.settleBy) {
+	if (result === undefined || now >= attempt.completeBy) {
 		return pauseSettle(attempt, intent, now);
 	}
 
 	const {stored} = result;
 	const isDecided =
 		rows.isHeldBy(stored, attempt.claim.holder) ||
-		rows.isPast(stored, intent.when);
+		rows.isPreconditionRuledOut(stored, intent.when);
 	return isDecided
 		? settleOver(attempt, intent, stored, now)
 		: writeSettled(attempt, intent);
--- a/packages/core/src/idempotency/expiry.ts
+++ b/packages/core/src/idempotency/expiry.ts
@@ -1,7 +1,7 @@
 /** Which rows may be removed, and how soon to look for more. */
 import {isExpired} from './lookup.js';
 import type {KeyRow, StoredRow} from './row.js';
-import {formatObjectName} from './settle.js';
+import {formatObjectName} from './completion.js';
 
 /** A row to remove, on condition of its version. */
 export type ExpiredRow = {
--- a/packages/core/src/idempotency/group-commit.test.ts
+++ b/packages/core/src/idempotency/group-commit.test.ts
@@ -31,13 +31,13 @@
 
 for (const [name, entries, taken, left] of table) {
 	tap.t.test(`group: ${name}`, async (t) => {
-		const group = groups.takeGroup(entries, limits);
+		const group = groups.selectGroup(entries, limits);
 		t.same(
-			group.taken.map(({key}) => key),
+			group.selected.map(({key}) => key),
 			taken,
 		);
 		t.same(
-			group.left.map(({key}) => key),
+			group.remaining.map(({key}) => key),
 			left,
 		);
 	});
--- a/packages/core/src/idempotency/group-commit.ts
+++ b/packages/core/src/idempotency/group-commit.ts
@@ -18,15 +18,15 @@
 
 /** The next transaction and what is left for later ones. */
 export type Group<Entry> = {
-	readonly taken: readonly Entry[];
-	readonly left: readonly Entry[];
+	readonly selected: readonly Entry[];
+	readonly remaining: readonly Entry[];
 };
 
 /**
  * Takes writes in order up to the limits. A key stands in a transaction
  * once; a second write of it waits. The first write is always taken.
  */
-export const takeGroup = <Entry extends GroupEntry>(
+export const selectGroup = <Entry extends GroupEntry>(
 	entries: readonly Entry[],
 	limits: GroupLimits,
 ): Group<Entry> => {
@@ -48,7 +48,7 @@
 		bytes += entry.bytes;
 	}
 
-	return {taken, left};
+	return {selected: taken, remaining: left};
 };
 
 const halve = <Entry>(entries: readonly Entry[]): Array<readonly Entry[]> => {
--- a/packages/core/src/idempotency/lookup.ts
+++ b/packages/core/src/idempotency/lookup.ts
@@ -1,6 +1,12 @@
 /** Decides what a request does, given the row of its key. */
 import type {ErrorKind} from '../errors/error-table.js';
-import type {FinishedRow, Holder, StartedRow, StoredRow, When} from './row.js';
+import type {
+	FinishedRow,
+	Holder,
+	StartedRow,
+	StoredRow,
+	Precondition,
+} from './row.js';
 import type {Settings} from './settings.js';
 
 /** Time as an entry sees it. */
@@ -14,7 +20,7 @@
 /** What a request may do with its key. */
 export type Lookup =
 	/** Write `started` under this precondition, then dispatch. */
-	| {readonly kind: 'take'; readonly when: When}
+	| {readonly kind: 'take'; readonly when: Precondition}
 	/** Answer with what the request was answered before. */
 	| {readonly kind: 'replay'; readonly row: FinishedRow}
 	/** Another attempt runs: wait so long at most. */
--- a/packages/core/src/idempotency/row.ts
+++ b/packages/core/src/idempotency/row.ts
@@ -62,10 +62,10 @@
 export type UnknownRow = RowBase & {readonly state: 'unknown'};
 
 /** A row that its holder writes last. */
-export type SettledRow = FinishedRow | ReleasedRow | UnknownRow;
+export type FinalRow = FinishedRow | ReleasedRow | UnknownRow;
 
 /** Row of a key. */
-export type KeyRow = StartedRow | SettledRow;
+export type KeyRow = StartedRow | FinalRow;
 
 /** A row as read; `row` is missing if its value cannot be understood. */
 export type StoredRow = {
@@ -74,7 +74,7 @@
 };
 
 /** What must hold of the row for a write to commit. */
-export type When =
+export type Precondition =
 	| {readonly kind: 'absent'}
 	| {readonly kind: 'version'; readonly version: number};
 
@@ -162,7 +162,7 @@
 /** True if the precondition of a write still holds of a read row. */
 export const isUnchanged = (
 	stored: StoredRow | undefined,
-	when: When,
+	when: Precondition,
 ): boolean =>
 	when.kind === 'absent'
 		? stored === undefined
@@ -173,6 +173,9 @@
  * Reads may be older than others before, so that an earlier version, or no
  * row where one was, decides nothing.
  */
-export const isPast = (stored: StoredRow | undefined, when: When): boolean =>
+export const isPreconditionRuledOut = (
+	stored: StoredRow | undefined,
+	when: Precondition,
+): boolean =>
 	stored !== undefined &&
 	(when.kind === 'absent' || stored.version > when.version);
--- a/packages/core/src/idempotency/update-attempt.test.ts
+++ b/packages/core/src/idempotency/update-attempt.test.ts
@@ -387,7 +387,7 @@
 
 	const row = world.stored?.row;
 	const isLeft = row?.state === 'started' && row.holder.operationId === name;
-	if (isLeft && endedAt < attempt.settleBy) {
+	if (isLeft && endedAt < attempt.completeBy) {
 		world.faults.push(`${name} left its row started`);
 	}
 };
--- a/packages/core/src/idempotency/update-attempt.ts
+++ b/packages/core/src/idempotency/update-attempt.ts
@@ -8,7 +8,7 @@
 import * as claims from './claim.js';
 import type {Time} from './lookup.js';
 import type {Settings} from './settings.js';
-import * as settle from './settle.js';
+import * as settle from './completion.js';
 
 type EventOf<Kind extends Event['kind']> = Extract<Event, {kind: Kind}>;
 
@@ -25,12 +25,12 @@
 		pending: {kind: 'pause', until: time.now},
 		failures: 0,
 		isAnswered: false,
-		storeFrom: claim.createdAt,
-		settleBy: claim.deadline + settings.settleWithinMs,
+		storeWaitStartedAt: claim.createdAt,
+		completeBy: claim.deadline + settings.settleWithinMs,
 	};
 	return settings.isReadFirst
-		? claims.look(attempt, {kind: 'look', known: undefined})
-		: claims.take(attempt, {kind: 'absent'}, time);
+		? claims.readRow(attempt, {kind: 'look', known: undefined})
+		: claims.claimKey(attempt, {kind: 'absent'}, time);
 };
 
 /** True if nothing of the attempt is left to do. */
@@ -48,12 +48,14 @@
 	const {intent} = attempt;
 	const read = event.result.kind === 'row' ? event.result : undefined;
 	return match(intent)
-		.with({kind: 'look'}, (look) => claims.readLook(attempt, look, read, time))
+		.with({kind: 'look'}, (look) =>
+			claims.applyRowRead(attempt, look, read, time),
+		)
 		.with({kind: 'start'}, (start) =>
-			claims.readStart(attempt, start, read, time),
+			claims.applyStartedRead(attempt, start, read, time),
 		)
 		.with({kind: 'settle'}, (end) =>
-			settle.readSettle(attempt, end, read, time.now),
+			settle.applyCompletionRead(attempt, end, read, time.now),
 		)
 		.with({kind: 'run'}, {kind: 'keep'}, {kind: 'fetch'}, {kind: 'end'}, () =>
 			ignore(attempt),
@@ -72,7 +74,7 @@
 	}
 
 	return intent.kind === 'settle'
-		? settle.updateSettle(attempt, intent, event.result, time.now)
+		? settle.updateCompletion(attempt, intent, event.result, time.now)
 		: ignore(attempt);
 };
 
@@ -121,17 +123,17 @@
 /** Makes the next call after a pause. */
 const resume = (attempt: Attempt): Step =>
 	match(attempt.intent)
-		.with({kind: 'look'}, (look) => claims.look(attempt, look))
+		.with({kind: 'look'}, (look) => claims.readRow(attempt, look))
 		.with({kind: 'start'}, (start) => claims.resumeStart(attempt, start))
 		.with({kind: 'keep'}, (keep) => settle.putAnswer(attempt, keep))
-		.with({kind: 'settle'}, (end) => settle.resumeSettle(attempt, end))
+		.with({kind: 'settle'}, (end) => settle.resumeCompletion(attempt, end))
 		.with({kind: 'fetch'}, (fetch) => claims.fetchAnswer(attempt, fetch))
 		.with({kind: 'run'}, {kind: 'end'}, () => ignore(attempt))
 		.exhaustive();
 
 const updateTick = (attempt: Attempt, time: Time): Step => {
 	const isLate =
-		!attempt.isAnswered && time.now >= attempts.getAnswerBy(attempt);
+		!attempt.isAnswered && time.now >= attempts.getReplyDeadline(attempt);
 	const step = isLate ? answerNow(attempt) : ignore(attempt);
 	const {pending} = step.attempt;
 	if (pending.kind === 'call' || time.now < pending.until) {
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -17,17 +17,17 @@
 export * as viewDiff from './view/view-diff.js';
 export * as viewIndex from './view/view-index.js';
 export * as servicePromise from './contracts/service-promise.js';
-export * as contractForm from './contracts/contract-form.js';
+export * as contractValidation from './contracts/contract-validation.js';
 export * as contractCheck from './contracts/contract-check.js';
 export * as poolCheck from './contracts/pool-check.js';
 export * as budget from './budget/index.js';
-export * as health from './health/outlier.js';
+export * as health from './health/outlier-detection.js';
 export * as healthConfig from './health/health-config.js';
 export * as executorWeights from './health/weights.js';
 export * as retry from './retry/retry-decision.js';
-export * as retryBudget from './retry/budget.js';
+export * as retryBudget from './retry/retry-budget.js';
 export * as connectionReuse from './connections/reuse.js';
-export * as connectionSilence from './connections/silence.js';
+export * as unresponsiveConnections from './connections/unresponsive.js';
 export * as jobPhases from './job-legs/index.js';
 export * as attemptOutcome from './outcome/attempt-outcome.js';
 export * as idempotency from './idempotency/index.js';
@@ -54,26 +54,26 @@
 export * as failureAttribution from './blame/failure-attribution.js';
 export * as creditBorrower from './limits/borrower.js';
 export * as creditSlots from './limits/borrower-slots.js';
-export * as creditHome from './limits/home.js';
+export * as creditCoordinator from './limits/coordinator.js';
 export * as creditMessages from './limits/messages.js';
 export * as powerOfTwo from './limits/power-of-two.js';
 export * as rendezvous from './limits/rendezvous.js';
 export * as staticShare from './limits/static-share.js';
 export type {Borrower, PoolMembers} from './limits/borrower.js';
-export type {Home} from './limits/home-books.js';
+export type {CreditCoordinator} from './limits/coordinator-ledger.js';
 export type {
 	CreditGrant,
 	CreditReport,
 	CreditSettings,
 } from './limits/messages.js';
-export * as creditBooks from './limits/home-books.js';
+export * as creditLedger from './limits/coordinator-ledger.js';
 export * as poolLimits from './limits/pool-limits.js';
 export type {
 	CreditEnvelope,
 	CreditMessage,
 	PoolLimits,
 } from './limits/pool-limits.js';
-export * as silence from './limits/silence.js';
+export * as unresponsiveMembers from './limits/unresponsive-members.js';
 export type * from './types/job.js';
 export * as placement from './placement/index.js';
 export * as shardAssignment from './shards/shard-assignment.js';
--- a/packages/core/src/limits/allocation.ts
+++ b/packages/core/src/limits/allocation.ts
@@ -1,6 +1,6 @@
 /** How a home divides free credits over its borrowers. */
-import type {Home, Session} from './home-books.js';
-import * as books from './home-books.js';
+import type {CreditCoordinator, Session} from './coordinator-ledger.js';
+import * as books from './coordinator-ledger.js';
 import * as messages from './messages.js';
 
 /** Requests of a session that wait and have no credit on its way. */
@@ -48,7 +48,7 @@
 };
 
 const grantOne = (
-	home: Home,
+	home: CreditCoordinator,
 	session: Session,
 	free: Map<string, number>,
 ): boolean => {
@@ -65,7 +65,10 @@
 };
 
 /** Grants free credits one by one, each to the earliest deadline. */
-export const grantSlots = (home: Home, free: Map<string, number>) => {
+export const grantSlots = (
+	home: CreditCoordinator,
+	free: Map<string, number>,
+) => {
 	const unmet = new Map<Session, number[]>();
 	for (const session of home.sessions.values()) {
 		const waiting = getUnmet(session);
@@ -102,7 +105,7 @@
 const keptFree = 2;
 
 /** Gives each entry without a spare credit one in advance, while there are. */
-const parkSlots = (home: Home, free: Map<string, number>) => {
+const parkSlots = (home: CreditCoordinator, free: Map<string, number>) => {
 	let left = messages.sumCounts(free) - keptFree;
 	for (const session of home.sessions.values()) {
 		if (left <= 0) {
@@ -128,7 +131,7 @@
 			(session.released.get(executor) ?? 0),
 	);
 
-const recallOne = (home: Home, executor: string): boolean => {
+const recallOne = (home: CreditCoordinator, executor: string): boolean => {
 	let picked: Session | undefined;
 	let most = 0;
 	for (const session of home.sessions.values()) {
@@ -154,7 +157,10 @@
 	return true;
 };
 
-const countPendingRecalls = (home: Home, executor: string): number => {
+const countPendingRecalls = (
+	home: CreditCoordinator,
+	executor: string,
+): number => {
 	let pending = 0;
 	for (const session of home.sessions.values()) {
 		pending += session.open ? getPendingRecall(session, executor) : 0;
@@ -163,14 +169,17 @@
 	return pending;
 };
 
-const hasUnmet = (home: Home): boolean =>
+const hasUnmet = (home: CreditCoordinator): boolean =>
 	[...home.sessions.values()].some((each) => getUnmet(each).length > 0);
 
 /**
  * Where more is out than may be, asks those that hold most to give back; when
  * requests wait, asks for every spare credit.
  */
-export const recallSlots = (home: Home, free: ReadonlyMap<string, number>) => {
+export const recallSlots = (
+	home: CreditCoordinator,
+	free: ReadonlyMap<string, number>,
+) => {
 	for (const [executor, count] of free) {
 		let short = count < 0 ? -count - countPendingRecalls(home, executor) : 0;
 		while (short > 0 && recallOne(home, executor)) {
@@ -192,7 +201,7 @@
 
 /** What a message tells besides grants. */
 export const getHints = (
-	home: Home,
+	home: CreditCoordinator,
 	session: Session,
 	{free, now}: {readonly free: ReadonlyMap<string, number>; now: number},
 ): {spareLimit: number; urgentMs: number} => {
--- a/packages/core/src/limits/borrower-slots.ts
+++ b/packages/core/src/limits/borrower-slots.ts
@@ -67,7 +67,7 @@
 /** The request has ended, in whatever way; its credit is spare again. */
 export const finishSlot = (borrower: Borrower, executor: string) => {
 	messages.addCount(borrower.inFlight, executor, -1);
-	borrower.endedInTurn++;
+	borrower.endedSinceRotation++;
 };
 
 /**
@@ -77,14 +77,14 @@
 const requestsPerTurn = 8;
 
 const takeTurn = (borrower: Borrower, waiting: number) => {
-	if (borrower.endedInTurn < requestsPerTurn || waiting > 0) {
+	if (borrower.endedSinceRotation < requestsPerTurn || waiting > 0) {
 		return;
 	}
 
 	for (const executor of borrower.executors) {
 		if (borrowers.getSpare(borrower, executor) > 0) {
 			release(borrower, executor, 1);
-			borrower.endedInTurn = 0;
+			borrower.endedSinceRotation = 0;
 			return;
 		}
 	}
--- a/packages/core/src/limits/borrower.ts
+++ b/packages/core/src/limits/borrower.ts
@@ -15,7 +15,7 @@
 	/** Listed entries, by entry and incarnation, without those that ended. */
 	readonly listed: readonly string[];
 	/** Listed entries that have not been heard of for a while. */
-	readonly silent: ReadonlySet<string>;
+	readonly unresponsive: ReadonlySet<string>;
 	/** Entries about to stop: members still, but no homes. */
 	readonly leaving: ReadonlySet<string>;
 	/**
@@ -34,7 +34,7 @@
 	readonly settings: CreditSettings;
 	members: PoolMembers;
 	shares: ReadonlyMap<string, number>;
-	home: string | undefined;
+	coordinator: string | undefined;
 	session: number;
 	/** Term of the home; empty until its first answer of the session. */
 	term: string;
@@ -46,13 +46,13 @@
 	recalled: Map<string, number>;
 	readonly inFlight: Map<string, number>;
 	/** Requests that have ended since a credit was given back in turn. */
-	endedInTurn: number;
+	endedSinceRotation: number;
 	/** Every executor that credits are or were held for. */
 	readonly executors: Set<string>;
 	/** Credits beyond the static share may be used until then. */
 	leaseUntilMs: number;
 	/** When the newest report that the home has answered was sent. */
-	heardAtMs: number;
+	acknowledgedAtMs: number;
 	/** Without an answer, the static share is used from here. */
 	fallbackAtMs: number;
 	/** When the entry turned to this home. */
@@ -70,14 +70,14 @@
 
 const noMembers: PoolMembers = {
 	listed: [],
-	silent: new Set(),
+	unresponsive: new Set(),
 	leaving: new Set(),
 	ended: new Set(),
 	slots: new Map(),
 };
 
 /** What a home that resigns leaves to the borrower of its entry. */
-export type Inheritance = {
+export type CreditHandover = {
 	readonly free: ReadonlyMap<string, number>;
 	/** Time for which that home knows of credits elsewhere. */
 	readonly settleMs: number;
@@ -95,7 +95,7 @@
 	settings,
 	members: noMembers,
 	shares: new Map(),
-	home: undefined,
+	coordinator: undefined,
 	session: 0,
 	term: '',
 	carried: new Map(),
@@ -104,10 +104,10 @@
 	released: new Map(),
 	recalled: new Map(),
 	inFlight: new Map(),
-	endedInTurn: 0,
+	endedSinceRotation: 0,
 	executors: new Set(),
 	leaseUntilMs: Number.NEGATIVE_INFINITY,
-	heardAtMs: Number.NEGATIVE_INFINITY,
+	acknowledgedAtMs: Number.NEGATIVE_INFINITY,
 	fallbackAtMs: now + messages.getSettleMs(settings),
 	followsSinceMs: now,
 	settleUntilMs: Number.NEGATIVE_INFINITY,
@@ -206,15 +206,17 @@
 /** Not to be reached, and perhaps still granting to others. */
 const isLost = (members: PoolMembers, member: string): boolean =>
 	!members.ended.has(member) &&
-	(!members.listed.includes(member) || members.silent.has(member));
+	(!members.listed.includes(member) || members.unresponsive.has(member));
 
 /** The home that an entry with this knowledge follows. */
-export const pickHome = (
+export const pickCoordinator = (
 	pool: string,
 	self: string,
-	{listed, silent, leaving}: PoolMembers,
+	{listed, unresponsive, leaving}: PoolMembers,
 ): string | undefined => {
-	const heard = listed.filter((each) => each === self || !silent.has(each));
+	const heard = listed.filter(
+		(each) => each === self || !unresponsive.has(each),
+	);
 	const staying = heard.filter((each) => !leaving.has(each));
 	return rendezvous.pickMember(pool, staying.length > 0 ? staying : heard);
 };
@@ -227,9 +229,9 @@
 	borrower: Borrower,
 	members: PoolMembers,
 	now: number,
-	inherited?: Inheritance,
+	inherited?: CreditHandover,
 ) => {
-	const {settings, self, pool, home: oldHome} = borrower;
+	const {settings, self, pool, coordinator: oldHome} = borrower;
 	borrower.members = members;
 	for (const executor of members.slots.keys()) {
 		borrower.executors.add(executor);
@@ -249,7 +251,7 @@
 		borrower.settleUntilMs,
 		now + (inherited?.settleMs ?? 0),
 	);
-	const home = pickHome(pool, self, members);
+	const home = pickCoordinator(pool, self, members);
 	if (home === oldHome) {
 		return;
 	}
@@ -259,7 +261,7 @@
 		// What the old home granted to others ends so long after its last answer.
 		borrower.settleUntilMs = Math.max(
 			borrower.settleUntilMs,
-			Math.max(borrower.heardAtMs, borrower.followsSinceMs) + settleMs,
+			Math.max(borrower.acknowledgedAtMs, borrower.followsSinceMs) + settleMs,
 		);
 	}
 
@@ -268,7 +270,7 @@
 		messages.addCount(borrower.granted, executor, count);
 	}
 
-	borrower.home = home;
+	borrower.coordinator = home;
 	borrower.followsSinceMs = now;
 	borrower.fallbackAtMs = now + settleMs;
 	startSession(borrower, now, new Map());
@@ -322,7 +324,7 @@
 	}
 
 	messages.raiseCounts(borrower.recalled, grant.recalled);
-	borrower.heardAtMs = Math.max(borrower.heardAtMs, grant.echoMs);
+	borrower.acknowledgedAtMs = Math.max(borrower.acknowledgedAtMs, grant.echoMs);
 	// The home may count its own message as heard until it came in here.
 	borrower.fallbackAtMs = now + messages.getSettleMs(borrower.settings);
 	if (grant.leased) {
--- a/packages/core/src/limits/home-books.ts
+++ b/packages/core/src/limits/coordinator-ledger.ts
@@ -14,11 +14,11 @@
 	readonly recalled: Map<string, number>;
 	/** Closed: its credits have run out; only the number is remembered. */
 	open: boolean;
-	heardAtMs: number;
+	lastReportAtMs: number;
 	/** The borrower follows this home at least so long. */
 	followsUntilMs: number;
 	/** From here on no other home counts the borrower as following it. */
-	countsFromMs: number;
+	exclusiveFromMs: number;
 	/** Borrower's clock in its last report. */
 	borrowerAtMs: number;
 	grantedSeen: number;
@@ -37,7 +37,7 @@
 export type Shares = ReadonlyMap<string, ReadonlyMap<string, number>>;
 
 /** The home of one pool. */
-export type Home = {
+export type CreditCoordinator = {
 	readonly pool: string;
 	readonly term: string;
 	/** The entry that this home is on. */
@@ -48,7 +48,7 @@
 	/** Grants so far; executors equally free take turns by it. */
 	grants: number;
 	/** Credits that borrowers have brought along. */
-	readonly brought: Map<string, number>;
+	readonly carriedIn: Map<string, number>;
 	/** Older grants of other homes have run out from here on. */
 	settledAtMs: number;
 	/** True once older grants have run out, so that all slots are known. */
@@ -57,9 +57,9 @@
 	 * True while most of the listed entries follow this home; once complete,
 	 * only those count that no other home can count.
 	 */
-	leads: boolean;
+	hasMajority: boolean;
 	/** When it last led, or started. */
-	ledAtMs: number;
+	lastMajorityAtMs: number;
 	/**
 	 * Listed entries whose static share another home may count on, since they
 	 * do not follow this one or have not for long.
@@ -71,8 +71,8 @@
 	slots: ReadonlyMap<string, number>;
 	shares: Shares;
 	/** Shares before the list changed, still in use by absent entries. */
-	formerShares: Shares;
-	formerUntilMs: number;
+	previousShares: Shares;
+	previousSharesUntilMs: number;
 };
 
 /**
@@ -91,7 +91,10 @@
 		: 0;
 
 /** Credits of one executor that all borrowers may hold. */
-export const sumOutstanding = (home: Home, executor: string): number => {
+export const sumOutstanding = (
+	home: CreditCoordinator,
+	executor: string,
+): number => {
 	let outstanding = 0;
 	for (const session of home.sessions.values()) {
 		outstanding += getOutstanding(session, executor);
@@ -104,7 +107,11 @@
  * Credits of an absent entry that stand for its share. Of one that is joining
  * only those it brought: its share may be in use by the home that it left.
  */
-const getAccounted = (home: Home, member: string, executor: string): number => {
+const getAccounted = (
+	home: CreditCoordinator,
+	member: string,
+	executor: string,
+): number => {
 	const session = home.sessions.get(member);
 	if (!session) {
 		return 0;
@@ -117,13 +124,13 @@
 };
 
 /** What stays set aside for the static shares of absent entries. */
-const getReserved = (home: Home, executor: string): number => {
+const getReserved = (home: CreditCoordinator, executor: string): number => {
 	let reserved = 0;
 	for (const member of home.absent) {
 		const held = getAccounted(home, member, executor);
 		const share = Math.max(
 			home.shares.get(member)?.get(executor) ?? 0,
-			home.formerShares.get(member)?.get(executor) ?? 0,
+			home.previousShares.get(member)?.get(executor) ?? 0,
 		);
 		reserved += Math.max(0, share - held);
 	}
@@ -132,8 +139,8 @@
 };
 
 /** Slots of one executor that are this home's to divide. */
-const getTotal = (home: Home, executor: string): number => {
-	if (home.leads) {
+const getTotal = (home: CreditCoordinator, executor: string): number => {
+	if (home.hasMajority) {
 		return home.slots.get(executor) ?? 0;
 	}
 
@@ -145,17 +152,17 @@
 	return shared;
 };
 
-const getFreeOf = (home: Home, executor: string): number => {
+const getFreeOf = (home: CreditCoordinator, executor: string): number => {
 	const outstanding = sumOutstanding(home, executor);
 	const free =
 		getTotal(home, executor) - outstanding - getReserved(home, executor);
 	return home.complete
 		? free
-		: Math.min(free, (home.brought.get(executor) ?? 0) - outstanding);
+		: Math.min(free, (home.carriedIn.get(executor) ?? 0) - outstanding);
 };
 
 /** Slots by executor that may be granted; below 0, too many are out. */
-export const getFree = (home: Home): Map<string, number> => {
+export const getFree = (home: CreditCoordinator): Map<string, number> => {
 	const free = new Map<string, number>();
 	for (const executor of home.slots.keys()) {
 		free.set(executor, getFreeOf(home, executor));
@@ -173,7 +180,10 @@
 };
 
 /** Listed entries that follow this home now. */
-export const getFollowers = (home: Home, now: number): readonly Session[] => {
+export const getFollowers = (
+	home: CreditCoordinator,
+	now: number,
+): readonly Session[] => {
 	const followers: Session[] = [];
 	for (const member of home.members) {
 		const session = home.sessions.get(member);
@@ -187,7 +197,7 @@
 
 /** More than half, or half with the entry that ranks first for the pool. */
 export const isMajority = (
-	home: Home,
+	home: CreditCoordinator,
 	followers: readonly Session[],
 ): boolean => {
 	const half = home.members.length / 2;
--- a/packages/core/src/limits/home-sessions.ts
+++ b/packages/core/src/limits/coordinator-sessions.ts
@@ -2,14 +2,14 @@
  * Sessions of a home: opened by a borrower's first report, closed when their
  * credits have surely run out. Functions change the given state.
  */
-import type {Home, Session} from './home-books.js';
-import * as books from './home-books.js';
+import type {CreditCoordinator, Session} from './coordinator-ledger.js';
+import * as books from './coordinator-ledger.js';
 import type {CreditReport} from './messages.js';
 import * as messages from './messages.js';
 
 /** Opens the session that a first report asks for. */
 export const openSession = (
-	home: Home,
+	home: CreditCoordinator,
 	report: CreditReport,
 	now: number,
 ): Session => {
@@ -18,13 +18,13 @@
 	const getValid = (executor: string) =>
 		(carried.get(executor) ?? 0) - (report.expired[executor] ?? 0);
 	if (former) {
-		for (const executor of home.brought.keys()) {
+		for (const executor of home.carriedIn.keys()) {
 			const lost = books.getOutstanding(former, executor) - getValid(executor);
-			messages.addCount(home.brought, executor, -Math.max(0, lost));
+			messages.addCount(home.carriedIn, executor, -Math.max(0, lost));
 		}
 	} else {
 		for (const executor of carried.keys()) {
-			messages.addCount(home.brought, executor, getValid(executor));
+			messages.addCount(home.carriedIn, executor, getValid(executor));
 		}
 	}
 
@@ -36,12 +36,12 @@
 		released: new Map(),
 		recalled: new Map(),
 		open: true,
-		heardAtMs: now,
+		lastReportAtMs: now,
 		followsUntilMs:
 			report.borrower === home.self
 				? Number.POSITIVE_INFINITY
 				: Number.NEGATIVE_INFINITY,
-		countsFromMs: Number.POSITIVE_INFINITY,
+		exclusiveFromMs: Number.POSITIVE_INFINITY,
 		borrowerAtMs: report.sentAtMs,
 		grantedSeen: 0,
 		spare: 0,
@@ -58,17 +58,17 @@
 
 /** Takes over what is newer in a report. */
 export const updateSession = (
-	home: Home,
+	home: CreditCoordinator,
 	session: Session,
 	report: CreditReport,
 	now: number,
 ) => {
-	session.heardAtMs = now;
+	session.lastReportAtMs = now;
 	messages.raiseCounts(session.released, report.released);
 	home.settledAtMs = Math.max(home.settledAtMs, now + report.settleMs);
 	const settleMs = messages.getSettleMs(home.settings);
-	session.countsFromMs = Math.min(
-		session.countsFromMs,
+	session.exclusiveFromMs = Math.min(
+		session.exclusiveFromMs,
 		now - report.followedMs + settleMs,
 	);
 	if (report.echoMs >= 0) {
@@ -89,14 +89,14 @@
 };
 
 /** Closes sessions whose credits have run out; forgets those not listed. */
-export const expireGrants = (home: Home, now: number) => {
+export const expireGrants = (home: CreditCoordinator, now: number) => {
 	const holdMs = messages.getHoldMs(home.settings);
 	const listed = new Set(home.members);
 	for (const session of home.sessions.values()) {
-		if (now >= session.heardAtMs + holdMs) {
-			for (const executor of home.brought.keys()) {
+		if (now >= session.lastReportAtMs + holdMs) {
+			for (const executor of home.carriedIn.keys()) {
 				const lost = books.getOutstanding(session, executor);
-				messages.addCount(home.brought, executor, -lost);
+				messages.addCount(home.carriedIn, executor, -lost);
 			}
 
 			session.open = false;
@@ -109,36 +109,36 @@
 };
 
 /** Free credits that were brought end with the lease that they came on. */
-const dropUnleased = (home: Home) => {
-	for (const [executor, count] of home.brought) {
+const dropUnleased = (home: CreditCoordinator) => {
+	for (const [executor, count] of home.carriedIn) {
 		const outstanding = books.sumOutstanding(home, executor);
-		home.brought.set(executor, Math.min(count, outstanding));
+		home.carriedIn.set(executor, Math.min(count, outstanding));
 	}
 };
 
 /** Judges whether all slots are known, and whether most entries follow. */
-export const updateComplete = (home: Home, now: number) => {
+export const updateCompleteness = (home: CreditCoordinator, now: number) => {
 	const followers = books.getFollowers(home, now);
 	const settleMs = messages.getSettleMs(home.settings);
 	const allFollow =
 		now >= home.settledAtMs && followers.length === home.members.length;
 	if (allFollow) {
 		for (const session of followers) {
-			session.countsFromMs = Math.min(session.countsFromMs, now);
+			session.exclusiveFromMs = Math.min(session.exclusiveFromMs, now);
 		}
 	}
 
-	if (now >= home.formerUntilMs) {
-		home.formerShares = new Map();
+	if (now >= home.previousSharesUntilMs) {
+		home.previousShares = new Map();
 	}
 
-	const counted = followers.filter((each) => now >= each.countsFromMs);
+	const counted = followers.filter((each) => now >= each.exclusiveFromMs);
 	const present = new Set(counted.map((each) => each.borrower));
 	home.absent = home.members.filter((member) => !present.has(member));
 	home.joining = new Set(
 		home.absent.filter((member) => {
 			const session = home.sessions.get(member);
-			return session?.open && now < session.countsFromMs;
+			return session?.open && now < session.exclusiveFromMs;
 		}),
 	);
 	const isCounted = books.isMajority(home, counted);
@@ -147,10 +147,15 @@
 		allFollow ||
 		(isCounted && sinceStartMs >= settleMs) ||
 		sinceStartMs >= 2 * settleMs;
-	home.leads = home.complete ? isCounted : books.isMajority(home, followers);
-	if (home.leads) {
-		home.ledAtMs = now;
-	} else if (!home.complete && now >= home.ledAtMs + home.settings.leaseMs) {
+	home.hasMajority = home.complete
+		? isCounted
+		: books.isMajority(home, followers);
+	if (home.hasMajority) {
+		home.lastMajorityAtMs = now;
+	} else if (
+		!home.complete &&
+		now >= home.lastMajorityAtMs + home.settings.leaseMs
+	) {
 		dropUnleased(home);
 	}
 };
--- a/packages/core/src/limits/home.ts
+++ b/packages/core/src/limits/coordinator.ts
@@ -13,11 +13,11 @@
  * Functions change the given state; messages to send are returned.
  */
 import * as allocation from './allocation.js';
-import type {Inheritance, PoolMembers} from './borrower.js';
+import type {CreditHandover, PoolMembers} from './borrower.js';
 import type {CreditGrant, CreditReport, CreditSettings} from './messages.js';
-import type {Home, Session} from './home-books.js';
-import * as books from './home-books.js';
-import * as sessions from './home-sessions.js';
+import type {CreditCoordinator, Session} from './coordinator-ledger.js';
+import * as books from './coordinator-ledger.js';
+import * as sessions from './coordinator-sessions.js';
 import * as messages from './messages.js';
 import * as staticShare from './static-share.js';
 
@@ -28,12 +28,12 @@
  * Starts a home. `term` must differ between any two homes that ever were:
  * entry, incarnation and a count of starts.
  */
-export const createHome = (
+export const createCoordinator = (
 	pool: string,
 	{self, term}: {readonly self: string; readonly term: string},
 	settings: CreditSettings,
 	now: number,
-): Home => ({
+): CreditCoordinator => ({
 	pool,
 	term,
 	self,
@@ -41,26 +41,26 @@
 	startedAtMs: now,
 	sessions: new Map(),
 	grants: 0,
-	brought: new Map(),
+	carriedIn: new Map(),
 	settledAtMs: now,
 	complete: false,
-	leads: false,
-	ledAtMs: now,
+	hasMajority: false,
+	lastMajorityAtMs: now,
 	absent: [],
 	joining: new Set(),
 	members: [],
 	slots: new Map(),
 	shares: new Map(),
-	formerShares: new Map(),
-	formerUntilMs: now,
+	previousShares: new Map(),
+	previousSharesUntilMs: now,
 });
 
 /**
  * Takes over the listed entries and the executors' slots. Entries whose
  * process has surely ended hold nothing any more.
  */
-export const updateHome = (
-	home: Home,
+export const updateCoordinator = (
+	home: CreditCoordinator,
 	{listed: members, ended, slots}: PoolMembers,
 	now: number,
 ) => {
@@ -77,8 +77,8 @@
 		home.settledAtMs = Math.max(home.settledAtMs, now + settleMs);
 	}
 
-	home.formerShares = home.shares;
-	home.formerUntilMs = now + messages.getSettleMs(home.settings);
+	home.previousShares = home.shares;
+	home.previousSharesUntilMs = now + messages.getSettleMs(home.settings);
 	home.members = members;
 	home.slots = slots;
 	home.shares = new Map(
@@ -95,7 +95,7 @@
 };
 
 const createGrant = (
-	home: Home,
+	home: CreditCoordinator,
 	session: Session,
 	hints: {spareLimit: number; urgentMs: number},
 	now: number,
@@ -111,7 +111,7 @@
 		sentAtMs: now,
 		echoMs: session.borrowerAtMs,
 		known: session.open,
-		leased: home.complete || home.leads,
+		leased: home.complete || home.hasMajority,
 		granted: Object.fromEntries(session.granted),
 		recalled: Object.fromEntries(session.recalled),
 		...hints,
@@ -119,7 +119,11 @@
 	return {to: session.borrower, grant};
 };
 
-const createRefusal = (home: Home, report: CreditReport, now: number) => ({
+const createRefusal = (
+	home: CreditCoordinator,
+	report: CreditReport,
+	now: number,
+) => ({
 	to: report.borrower,
 	grant: {
 		pool: home.pool,
@@ -138,9 +142,12 @@
 });
 
 /** Expires, grants what is free, recalls what is short; returns messages. */
-export const decideGrants = (home: Home, now: number): readonly Outgoing[] => {
+export const decideGrants = (
+	home: CreditCoordinator,
+	now: number,
+): readonly Outgoing[] => {
 	sessions.expireGrants(home, now);
-	sessions.updateComplete(home, now);
+	sessions.updateCompleteness(home, now);
 	const free = books.getFree(home);
 	allocation.grantSlots(home, free);
 	allocation.recallSlots(home, free);
@@ -157,7 +164,7 @@
 
 /** Takes in one report and decides. */
 export const receiveReport = (
-	home: Home,
+	home: CreditCoordinator,
 	report: CreditReport,
 	now: number,
 ): readonly Outgoing[] => {
@@ -188,20 +195,20 @@
 	!listed.includes(borrower) && !ended.has(borrower);
 
 /** Credits that a home leaves behind when its entry follows another one. */
-export const resignHome = (
-	home: Home,
+export const resignCoordinator = (
+	home: CreditCoordinator,
 	members: PoolMembers,
 	now: number,
-): Inheritance => {
+): CreditHandover => {
 	sessions.expireGrants(home, now);
-	sessions.updateComplete(home, now);
+	sessions.updateCompleteness(home, now);
 	const free = new Map(
 		[...books.getFree(home)].filter(([, count]) => count > 0),
 	);
 	const holdMs = messages.getHoldMs(home.settings);
 	const ends = [...home.sessions.values()]
 		.filter((each) => each.open && isLost(members, each.borrower))
-		.map((each) => each.heardAtMs + holdMs - now);
+		.map((each) => each.lastReportAtMs + holdMs - now);
 	const startMs = home.complete ? 0 : home.settledAtMs - now;
 	return {free, settleMs: Math.max(0, startMs, ...ends)};
 };
--- a/packages/core/src/limits/credits.property.test.ts
+++ b/packages/core/src/limits/credits.property.test.ts
@@ -73,7 +73,7 @@
 
 const getMembers = (fleet: Fleet, entry: Entry) => ({
 	listed: entry.listed,
-	silent: new Set(
+	unresponsive: new Set(
 		entry.listed.filter(
 			(each) => !fleet.alive.has(each) || fleet.draw(20) === 0,
 		),
--- a/packages/core/src/limits/credits.test.ts
+++ b/packages/core/src/limits/credits.test.ts
@@ -1,7 +1,7 @@
 import * as tap from 'tap';
 import * as slots from './borrower-slots.js';
-import * as books from './home-books.js';
-import * as homes from './home.js';
+import * as books from './coordinator-ledger.js';
+import * as homes from './coordinator.js';
 import type {PoolMembers} from './borrower.js';
 import * as borrowers from './borrower.js';
 import type {CreditSettings} from './messages.js';
@@ -23,7 +23,7 @@
 
 const getMembers = (change: Partial<PoolMembers> = {}): PoolMembers => ({
 	listed: ranked,
-	silent: new Set(),
+	unresponsive: new Set(),
 	leaving: new Set(),
 	ended: new Set(),
 	slots: slotsByExecutor,
@@ -187,7 +187,7 @@
 		borrowers.getHeld(getEntry(fleet, third).borrower, 'x');
 	const share = getEntry(fleet, homeName).borrower.shares.get('x') ?? 0;
 	fleet.entries.delete(homeName);
-	update(fleet, getMembers({silent: new Set([homeName])}));
+	update(fleet, getMembers({unresponsive: new Set([homeName])}));
 	const lostAtMs = fleet.nowMs;
 	run(fleet, lostAtMs + 150);
 	const early = ask(fleet, third, 8);
@@ -226,7 +226,11 @@
 
 	for (const [name, entry] of fleet.entries) {
 		const silent = new Set(ranked.filter((each) => each !== name));
-		poolLimits.updatePool(entry, getMembers({silent}), fleet.nowMs);
+		poolLimits.updatePool(
+			entry,
+			getMembers({unresponsive: silent}),
+			fleet.nowMs,
+		);
 	}
 
 	run(fleet, fleet.nowMs + 2 * settleMs);
@@ -256,8 +260,8 @@
 
 tap.t.test('late copies of a forgotten session free nothing', async (t) => {
 	const self = {self: 'a', term: 'a:1'};
-	const home = homes.createHome('pool', self, settings, 0);
-	homes.updateHome(home, getMembers({listed: ['a']}), 0);
+	const home = homes.createCoordinator('pool', self, settings, 0);
+	homes.updateCoordinator(home, getMembers({listed: ['a']}), 0);
 	const own = borrowers.createBorrower('pool', 'a', settings, 0);
 	borrowers.updateMembers(own, getMembers({listed: ['a']}), 0);
 	homes.receiveReport(home, borrowers.createReport(own, [], 0), 0);
--- a/packages/core/src/limits/limits.test.ts
+++ b/packages/core/src/limits/limits.test.ts
@@ -1,7 +1,7 @@
 import * as tap from 'tap';
 import * as powerOfTwo from './power-of-two.js';
 import * as rendezvous from './rendezvous.js';
-import * as silence from './silence.js';
+import * as silence from './unresponsive-members.js';
 import * as staticShare from './static-share.js';
 
 const getEntries = (count: number) =>
@@ -106,9 +106,9 @@
 }
 
 tap.t.test('a listed entry is silent only after a while', async (t) => {
-	const heardAt: silence.HeardAt = new Map([['a', 0]]);
+	const heardAt: silence.LastContactAt = new Map([['a', 0]]);
 	const at = (now: number) => [
-		...silence.getSilentMembers(heardAt, ['a', 'b'], now, 250),
+		...silence.getUnresponsiveMembers(heardAt, ['a', 'b'], now, 250),
 	];
 	t.same(at(100), []);
 	t.same(at(300), ['a']);
--- a/packages/core/src/limits/pool-limits.ts
+++ b/packages/core/src/limits/pool-limits.ts
@@ -6,8 +6,8 @@
  */
 import type {Borrower, PoolMembers} from './borrower.js';
 import * as borrowers from './borrower.js';
-import type {Home} from './home-books.js';
-import * as homes from './home.js';
+import type {CreditCoordinator} from './coordinator-ledger.js';
+import * as homes from './coordinator.js';
 import type {CreditGrant, CreditReport, CreditSettings} from './messages.js';
 
 /** A message between entries. */
@@ -27,8 +27,8 @@
 	readonly self: string;
 	readonly settings: CreditSettings;
 	readonly borrower: Borrower;
-	home: Home | undefined;
-	homeStarts: number;
+	coordinator: CreditCoordinator | undefined;
+	coordinatorStarts: number;
 };
 
 /** Starts without a home; call `updatePool` with the first members. */
@@ -42,8 +42,8 @@
 	self,
 	settings,
 	borrower: borrowers.createBorrower(pool, self, settings, now),
-	home: undefined,
-	homeStarts: 0,
+	coordinator: undefined,
+	coordinatorStarts: 0,
 });
 
 const deliverGrants = (
@@ -76,10 +76,10 @@
 		}
 
 		case 'report': {
-			return limits.home
+			return limits.coordinator
 				? deliverGrants(
 						limits,
-						homes.receiveReport(limits.home, message.report, now),
+						homes.receiveReport(limits.coordinator, message.report, now),
 						now,
 					)
 				: [];
@@ -102,16 +102,16 @@
 	const {borrower, self} = limits;
 	const away: CreditEnvelope[] = [];
 	for (let round = 0; borrower.dirty && round < maxRounds; round++) {
-		if (borrower.home === undefined) {
+		if (borrower.coordinator === undefined) {
 			return away;
 		}
 
 		const report = borrowers.createReport(borrower, waitingDeadlines, now);
 		const message = {kind: 'report', report} as const;
-		if (borrower.home === self) {
+		if (borrower.coordinator === self) {
 			away.push(...receiveMessage(limits, message, now));
 		} else {
-			away.push({to: borrower.home, message});
+			away.push({to: borrower.coordinator, message});
 		}
 	}
 
@@ -124,20 +124,27 @@
 	members: PoolMembers,
 	now: number,
 ) => {
-	const {pool, self, settings, borrower, home} = limits;
-	const isHome = borrowers.pickHome(pool, self, members) === self;
+	const {pool, self, settings, borrower, coordinator} = limits;
+	const isHome = borrowers.pickCoordinator(pool, self, members) === self;
 	const inherited =
-		home && !isHome ? homes.resignHome(home, members, now) : undefined;
+		coordinator && !isHome
+			? homes.resignCoordinator(coordinator, members, now)
+			: undefined;
 	if (!isHome) {
-		limits.home = undefined;
-	} else if (!home) {
-		limits.homeStarts++;
-		const term = `${self}:${limits.homeStarts}`;
-		limits.home = homes.createHome(pool, {self, term}, settings, now);
+		limits.coordinator = undefined;
+	} else if (!coordinator) {
+		limits.coordinatorStarts++;
+		const term = `${self}:${limits.coordinatorStarts}`;
+		limits.coordinator = homes.createCoordinator(
+			pool,
+			{self, term},
+			settings,
+			now,
+		);
 	}
 
-	if (limits.home) {
-		homes.updateHome(limits.home, members, now);
+	if (limits.coordinator) {
+		homes.updateCoordinator(limits.coordinator, members, now);
 	}
 
 	borrowers.updateMembers(borrower, members, now, inherited);
@@ -149,7 +156,7 @@
 	now: number,
 ): readonly CreditEnvelope[] => {
 	borrowers.updateBorrower(limits.borrower, now);
-	return limits.home
-		? deliverGrants(limits, homes.decideGrants(limits.home, now), now)
+	return limits.coordinator
+		? deliverGrants(limits, homes.decideGrants(limits.coordinator, now), now)
 		: [];
 };
--- a/packages/core/src/limits/static-share.ts
+++ b/packages/core/src/limits/static-share.ts
@@ -45,7 +45,7 @@
  * Part of the listed entries that may be replaced at once, their connections
  * not yet closed, without more than the limit being open.
  */
-export const replacedAtOnce = 0.5;
+export const maxReplacedFraction = 0.5;
 
 /**
  * Connections that an entry may keep open to one executor besides those that
@@ -58,7 +58,10 @@
 	slots: number,
 	members: number,
 ): number => {
-	const holders = Math.max(1, members + Math.ceil(members * replacedAtOnce));
+	const holders = Math.max(
+		1,
+		members + Math.ceil(members * maxReplacedFraction),
+	);
 	return Math.max(0, Math.floor((connections - slots) / holders));
 };
 
--- a/packages/core/src/limits/silence.ts
+++ b/packages/core/src/limits/unresponsive-members.ts
@@ -1,17 +1,17 @@
 /** Which listed entries have not been heard of for too long. */
 
 /** When each peer was last heard of, or first listed; own clock, ms. */
-export type HeardAt = Map<string, number>;
+export type LastContactAt = Map<string, number>;
 
 /** Silence after which another home is turned to. */
-export const defaultSilentAfterMs = 250;
+export const defaultUnresponsiveAfterMs = 250;
 
 /**
  * Listed entries without any message for `silentAfterMs`; one that was not
  * listed before is given that time first.
  */
-export const getSilentMembers = (
-	heardAt: HeardAt,
+export const getUnresponsiveMembers = (
+	heardAt: LastContactAt,
 	listed: readonly string[],
 	now: number,
 	silentAfterMs: number,
--- a/packages/core/src/retry/retry-decision.test.ts
+++ b/packages/core/src/retry/retry-decision.test.ts
@@ -1,8 +1,8 @@
 import * as tap from 'tap';
-import * as retryBudget from './budget.js';
+import * as retryBudget from './retry-budget.js';
 import * as retry from './retry-decision.js';
 
-const facts: retry.RetryFacts = {
+const facts: retry.RetryContext = {
 	idempotent: true,
 	bodyReplayable: true,
 	attempts: 1,
@@ -23,7 +23,7 @@
 	readonly name: string;
 	readonly outcome: 'not-run' | 'unknown';
 	readonly error?: 'bad-request' | 'cancelled';
-	readonly change: Partial<retry.RetryFacts>;
+	readonly change: Partial<retry.RetryContext>;
 	readonly now?: number;
 	readonly tokens?: number;
 	readonly retried: 'retry' | retry.NoRetryReason;
--- a/packages/core/src/retry/retry-decision.ts
+++ b/packages/core/src/retry/retry-decision.ts
@@ -5,10 +5,10 @@
 import * as errors from '../errors/error-table.js';
 import type {ErrorKind} from '../errors/error-table.js';
 import type {Outcome} from '../types/outcome.js';
-import * as retryBudget from './budget.js';
+import * as retryBudget from './retry-budget.js';
 
 /** What the decision looks at. Times in milliseconds. */
-export type RetryFacts = {
+export type RetryContext = {
 	/** True if the request may run twice. */
 	readonly idempotent: boolean;
 	/** False once a streamed request body has been read in part. */
@@ -44,7 +44,7 @@
 });
 
 const decide = (
-	facts: RetryFacts,
+	facts: RetryContext,
 	budget: retryBudget.RetryBudget,
 	now: number,
 ): RetryDecision => {
@@ -73,7 +73,7 @@
 /** Decides after a failed attempt; a retry has spent its token. */
 export const decideRetry = (
 	failed: Failure,
-	facts: RetryFacts,
+	facts: RetryContext,
 	budget: retryBudget.RetryBudget,
 	now: number,
 ): RetryDecision => {
@@ -88,7 +88,7 @@
 
 /** Decides a second attempt beside one that is silent but not failed. */
 export const decideHedge = (
-	facts: RetryFacts,
+	facts: RetryContext,
 	budget: retryBudget.RetryBudget,
 	now: number,
 ): RetryDecision =>
--- a/packages/core/src/spec-system.test.fixture.ts
+++ b/packages/core/src/spec-system.test.fixture.ts
@@ -17,7 +17,7 @@
 type RoutedRequest = {instance: string; pool: string; isSent: boolean};
 
 type Entry = {
-	life: number;
+	incarnation: number;
 	isUp: boolean;
 	revision: number;
 	rowVersion: number;
@@ -63,19 +63,19 @@
 });
 
 /** A write without a condition. */
-export const put = (table: string, key: string, value: unknown) =>
+export const createPut = (table: string, key: string, value: unknown) =>
 	({kind: 'put', table, key, value, when: {kind: 'any'}}) as const;
 
 /** Creates rows of three instances in one pool, and nobody running. */
-export const createSystem = (left: Guard | undefined) => {
+export const createSystem = (omittedGuard: Guard | undefined) => {
 	const store = createStore();
 	const instances = ids.map((id) => createInstance(id));
 	store.commit([
-		put(tables.counter, singleRowKey, 0),
-		put(tables.membership, singleRowKey, {}),
-		...instances.map((each) => put(instanceTable, each.id, each)),
+		createPut(tables.counter, singleRowKey, 0),
+		createPut(tables.membership, singleRowKey, {}),
+		...instances.map((each) => createPut(instanceTable, each.id, each)),
 		...pools.map((pool) =>
-			put(
+			createPut(
 				budgetTables.ledgers,
 				pool,
 				core.budget.createLedger(pool, terms, pool === 'a' ? ids : []),
@@ -86,11 +86,11 @@
 		new Map(instances.map((each) => [each.id, each])),
 	];
 	return {
-		left,
+		left: omittedGuard,
 		store,
 		history,
 		entries: [0, 1].map((): Entry => ({
-			life: 0,
+			incarnation: 0,
 			isUp: false,
 			revision: 0,
 			rowVersion: 0,
@@ -99,7 +99,7 @@
 		})),
 		daemons: [{}, {}] as Daemon[],
 		/** Present life of each instance, and the one that was taken away. */
-		lives: new Map(ids.map((id) => [id, {now: 1, taken: 0}])),
+		incarnations: new Map(ids.map((id) => [id, {current: 1, withdrawn: 0}])),
 		moved: 0,
 		returned: 0,
 	};
@@ -109,11 +109,11 @@
 export type System = ReturnType<typeof createSystem>;
 
 /** Instances after the newest commit. */
-export const getTruth = ({history}: System) => history.at(-1)!;
+export const getCommittedInstances = ({history}: System) => history.at(-1)!;
 
 /** Fails by the name of the property in spec/ that does not hold. */
 export const checkProperties = (system: System) => {
-	const truth = getTruth(system);
+	const truth = getCommittedInstances(system);
 	for (const {instance, pool} of system.entries
 		.flatMap(({picks}) => picks)
 		.filter(({isSent}) => isSent)) {
@@ -140,8 +140,11 @@
 	}
 
 	for (const {id, state} of truth.values()) {
-		const {now, taken} = system.lives.get(id)!;
-		assert.ok(state !== 'serving' || now !== taken, 'give_back_new_life');
+		const {current, withdrawn} = system.incarnations.get(id)!;
+		assert.ok(
+			state !== 'serving' || current !== withdrawn,
+			'give_back_new_life',
+		);
 	}
 };
 
@@ -163,7 +166,7 @@
 	}
 
 	entry.sequence += 1;
-	const life = {entry: `e${index}`, incarnation: `${entry.life}`};
+	const life = {entry: `e${index}`, incarnation: `${entry.incarnation}`};
 	const acknowledged = core.acknowledgement.createAcknowledgement(
 		life,
 		entry.sequence,
@@ -201,7 +204,7 @@
 });
 
 /** Takes over what a decision asks to be written. */
-export const prepare = (
+export const prepareWrites = (
 	system: System,
 	daemon: Daemon,
 	writes: ReadonlyArray<StoreWrite<unknown>>,
@@ -219,7 +222,7 @@
 };
 
 /** Decides to take an instance away by plan. */
-export const takeAway = (system: System, id: string) =>
+export const withdrawInstance = (system: System, id: string) =>
 	core.budget.withdrawInstances(
 		{
 			operationId: 'op',
@@ -269,7 +272,7 @@
 /** Decides to move an instance to the other pool. */
 export const startMove = (system: System, id: string) => {
 	const instance = readInstance(system, id);
-	const taken = takeAway(system, id);
+	const taken = withdrawInstance(system, id);
 	const started = core.move.startMove({
 		instance,
 		to: instance.value.pool === 'a' ? 'b' : 'a',
--- a/packages/core/src/spec.test.ts
+++ b/packages/core/src/spec.test.ts
@@ -10,17 +10,17 @@
 	createRegistration,
 	createSystem,
 	getNextStep,
-	getTruth,
+	getCommittedInstances,
 	ids,
 	isMoving,
-	prepare,
-	put,
+	prepareWrites,
+	createPut,
 	readInstance,
 	readLedgers,
 	readMembership,
 	servicesByPool,
 	startMove,
-	takeAway,
+	withdrawInstance,
 	type Guard,
 	type System,
 } from './spec-system.test.fixture.js';
@@ -34,7 +34,7 @@
 		const entry = system.entries[index]!;
 		if (!entry.isUp) {
 			Object.assign(entry, {isUp: true, revision: 0, rowVersion: 0});
-			entry.life += 1;
+			entry.incarnation += 1;
 		}
 	},
 	applyRevision(system: System, index: number, age: number) {
@@ -96,13 +96,14 @@
 		Object.assign(system.entries[index]!, {isUp: false, picks: []});
 	},
 	forgetEntry(system: System, index: number) {
-		const {isUp, life} = system.entries[index]!;
+		const {isUp, incarnation} = system.entries[index]!;
 		const name = `e${index}`;
 		const row = system.store.read<registration.Registration>(
 			tables.entry,
 			name,
 		);
-		const isOver = !isUp || row?.value.acknowledged.incarnation !== `${life}`;
+		const isOver =
+			!isUp || row?.value.acknowledged.incarnation !== `${incarnation}`;
 		if (row && isOver) {
 			system.store.commit(
 				core.registration.removeEntry(name, row.version, 'operator'),
@@ -133,32 +134,32 @@
 	},
 	reserveAway(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
-		const taken = takeAway(system, ids[age % ids.length]!);
+		const taken = withdrawInstance(system, ids[age % ids.length]!);
 		if (daemon.held && taken.ok) {
-			prepare(system, daemon, taken.value.writes);
+			prepareWrites(system, daemon, taken.value.writes);
 		}
 	},
 	startDrain(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
 		const writes = startMove(system, ids[age % ids.length]!);
 		if (daemon.held && writes) {
-			prepare(system, daemon, writes);
+			prepareWrites(system, daemon, writes);
 		}
 	},
 	finishDrain(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
 		const writes = getNextStep(system, ids[age % ids.length]!, daemon);
 		if (writes) {
-			prepare(system, daemon, writes);
+			prepareWrites(system, daemon, writes);
 		}
 	},
 	reboot(system: System, _index: number, age: number) {
 		const id = ids[age % ids.length]!;
-		const life = system.lives.get(id)!;
+		const life = system.incarnations.get(id)!;
 		const {state} = readInstance(system, id).value;
 		const isOff = state === 'away' || state === 'returning';
-		if (isOff && !isMoving(system, id) && life.now === life.taken) {
-			life.now += 1;
+		if (isOff && !isMoving(system, id) && life.current === life.withdrawn) {
+			life.current += 1;
 		}
 	},
 	startReturn(system: System, index: number, age: number) {
@@ -168,7 +169,7 @@
 		const next = core.transition.applyTransition(value, 'startReturn');
 		if (daemon.held && next.ok && !isMoving(system, id)) {
 			const {instances} = core.budget.tables;
-			prepare(system, daemon, [
+			prepareWrites(system, daemon, [
 				core.budget.createRowPut(instances, id, next.value, version),
 			]);
 		}
@@ -176,7 +177,7 @@
 	giveBack(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
 		const id = ids[age % ids.length]!;
-		const life = system.lives.get(id)!;
+		const life = system.incarnations.get(id)!;
 		const change = core.budget.returnInstance({
 			operationId: 'back',
 			instance: readInstance(system, id),
@@ -184,38 +185,39 @@
 			servicesByPool,
 			evidence: {
 				listed: 'live',
-				incarnationBefore: system.left === 'new-life' ? '0' : `${life.taken}`,
-				incarnation: `${life.now}`,
+				incarnationBefore:
+					system.left === 'new-life' ? '0' : `${life.withdrawn}`,
+				incarnation: `${life.current}`,
 				probesPassed: core.budget.returnDefaults.probesNeeded,
 			},
 			settings: core.budget.returnDefaults,
 		});
 		if (daemon.held && change.ok && !isMoving(system, id)) {
-			prepare(system, daemon, change.value.writes);
+			prepareWrites(system, daemon, change.value.writes);
 		}
 	},
 	commit(system: System, index: number, age: number) {
-		const {store, history, daemons, lives} = system;
+		const {store, history, daemons, incarnations} = system;
 		const daemon = daemons[index]!;
 		const {prepared, held} = daemon;
 		if (!prepared) {
 			return;
 		}
 
-		const counter = put(tables.counter, singleRowKey, history.length);
+		const counter = createPut(tables.counter, singleRowKey, history.length);
 		if (store.commit([...prepared.writes, counter])) {
 			const lease = store.read<core.shardLease.ShardLease>(tables.shard, 's')!;
 			assert.equal(lease.value.token, held!.token, 'writes_fenced');
-			const truth = new Map(getTruth(system));
+			const truth = new Map(getCommittedInstances(system));
 			for (const instance of prepared.instances) {
 				const before = truth.get(instance.id)!;
 				const isTaken = instance.state === 'draining';
 				const isBack = instance.state === 'serving';
 				const isMoved = before.pool !== instance.pool;
-				const life = lives.get(instance.id)!;
+				const life = incarnations.get(instance.id)!;
 				const isByWave = !isMoving(system, instance.id);
-				life.taken = isTaken && isByWave ? life.now : life.taken;
-				life.taken = isMoved ? 0 : life.taken;
+				life.withdrawn = isTaken && isByWave ? life.current : life.withdrawn;
+				life.withdrawn = isMoved ? 0 : life.withdrawn;
 				system.moved += isMoved ? 1 : 0;
 				system.returned += isBack && !isMoved ? 1 : 0;
 				truth.set(instance.id, instance);
--- a/packages/daemon/src/idempotency/group-writer.ts
+++ b/packages/daemon/src/idempotency/group-writer.ts
@@ -14,7 +14,7 @@
 import type {Clock, Randomness} from './ports.js';
 
 type KeyRow = core.idempotency.KeyRow;
-type When = core.idempotency.When;
+type When = core.idempotency.Precondition;
 type WriteResult = core.idempotency.WriteResult;
 
 /** Table of the rows. */
@@ -200,9 +200,12 @@
 		state.wake = undefined;
 		state.lastSentAt = clock.getTime().now;
 		while (state.queue.length > 0 && state.commitsOut < settings.maxCommits) {
-			const {taken, left} = core.idempotency.takeGroup(state.queue, settings);
-			state.queue = [...left];
-			void send(taken);
+			const {selected, remaining} = core.idempotency.selectGroup(
+				state.queue,
+				settings,
+			);
+			state.queue = [...remaining];
+			void send(selected);
 		}
 	};
 
--- a/packages/daemon/src/limits/credit-limits.test.ts
+++ b/packages/daemon/src/limits/credit-limits.test.ts
@@ -124,7 +124,7 @@
 		},
 		now,
 		settings,
-		silentAfterMs: core.silence.defaultSilentAfterMs,
+		silentAfterMs: core.unresponsiveMembers.defaultUnresponsiveAfterMs,
 		listPeers: () => peers.filter((each) => each.member !== self),
 		getSlots: () => new Map([['quotes', new Map([['x', slots]])]]),
 		mayRoute: () => true,
@@ -226,7 +226,7 @@
 tap.t.test('an entry that ends gives its slots to the others', async (t) => {
 	const {entries, counts} = await startFleet(t, ['e1', 'e2', 'e3']);
 	const lost = entries.find(
-		({limits}) => limits.getGate('quotes').getLimits().home,
+		({limits}) => limits.getGate('quotes').getLimits().coordinator,
 	);
 	const left = entries.filter((each) => each !== lost);
 	for (const entry of entries) {
--- a/packages/daemon/src/limits/credit-limits.ts
+++ b/packages/daemon/src/limits/credit-limits.ts
@@ -69,7 +69,7 @@
 export const createCreditLimits = (deps: CreditLimitsDeps): CreditLimits => {
 	const {self, channel, now, settings, silentAfterMs} = deps;
 	const all = new Map<string, gates.PoolGate>();
-	const heardAt: core.silence.HeardAt = new Map();
+	const heardAt: core.unresponsiveMembers.LastContactAt = new Map();
 	const heard = new Set<string>();
 	const ended = new Set<string>();
 	const leaving = new Set<string>();
@@ -154,7 +154,7 @@
 
 		const peers = listPeers().filter((each) => !ended.has(each.member));
 		const names = peers.map((each) => each.member);
-		const silent = core.silence.getSilentMembers(
+		const silent = core.unresponsiveMembers.getUnresponsiveMembers(
 			heardAt,
 			names,
 			now(),
@@ -176,7 +176,7 @@
 		for (const pool of new Set([...slots.keys(), ...all.keys()])) {
 			getGate(pool).update({
 				listed,
-				silent,
+				unresponsive: silent,
 				leaving: new Set(leaving),
 				ended,
 				slots: slots.get(pool) ?? new Map<string, number>(),
--- a/packages/daemon/src/limits/pool-gate.ts
+++ b/packages/daemon/src/limits/pool-gate.ts
@@ -103,7 +103,7 @@
 		}
 
 		isServing = true;
-		const isHome = borrower.home === self;
+		const isHome = borrower.coordinator === self;
 		for (let round = 0; round < maxRounds; round++) {
 			letPass();
 			avoidFull();
@@ -119,7 +119,7 @@
 
 		isServing = false;
 		// Without a home there is nobody to tell; its coming calls `update`.
-		const mayReport = !isHome && borrower.home !== undefined;
+		const mayReport = !isHome && borrower.coordinator !== undefined;
 		if (mayReport && borrower.dirty && !isStopped) {
 			timer ??= setTimeout(flush, reportGapMs);
 		}
--- a/packages/daemon/src/upstream/attempt.ts
+++ b/packages/daemon/src/upstream/attempt.ts
@@ -51,7 +51,7 @@
 	const sentAt = state.clock();
 	const check = () => {
 		const quietMs = state.clock() - Math.max(sentAt, connection.provedAt);
-		const limitMs = core.connectionSilence.getSilenceMs(
+		const limitMs = core.unresponsiveConnections.getUnresponsiveAfterMs(
 			state.serviceTime,
 			state.cfg.silence,
 		);
--- a/packages/daemon/src/upstream/connection-pool.ts
+++ b/packages/daemon/src/upstream/connection-pool.ts
@@ -114,7 +114,7 @@
 
 const takeIdle = (
 	pool: ConnectionPool,
-	needs: core.connectionReuse.ReuseNeeds,
+	needs: core.connectionReuse.ReuseRequirements,
 ): Connection | undefined => {
 	const now = pool.clock();
 	for (;;) {
@@ -140,7 +140,7 @@
 /** Takes an idle connection that may carry the request, or opens one. */
 export const acquire = async (
 	pool: ConnectionPool,
-	needs: core.connectionReuse.ReuseNeeds,
+	needs: core.connectionReuse.ReuseRequirements,
 ): Promise<Connection | AcquireError> =>
 	takeIdle(pool, needs) ?? openNew(pool, 'request');
 
--- a/packages/daemon/src/upstream/dispatcher.ts
+++ b/packages/daemon/src/upstream/dispatcher.ts
@@ -85,7 +85,7 @@
 /** Takes a target and asks the decision; gives the slot back on a no. */
 const tryAgain = (
 	run: Run,
-	decide: (facts: core.retry.RetryFacts) => core.retry.RetryDecision,
+	decide: (facts: core.retry.RetryContext) => core.retry.RetryDecision,
 ): boolean => {
 	const target = targets.takeTarget(run.state, run.history);
 	const decision = decide(getFacts(run, target));
@@ -105,7 +105,7 @@
 const takeAnswer = (run: Run, attempt: Attempt, answer: Answer): void => {
 	const {state} = run;
 	const {link} = attempt;
-	core.connectionSilence.recordServiceTime(
+	core.unresponsiveConnections.recordServiceTime(
 		state.serviceTime,
 		state.cfg.silence,
 		state.clock() - attempt.startedAt,
--- a/packages/daemon/src/upstream/probe.ts
+++ b/packages/daemon/src/upstream/probe.ts
@@ -75,7 +75,7 @@
 		return;
 	}
 
-	const verdict = core.connectionSilence.recordProbe(
+	const verdict = core.unresponsiveConnections.recordProbe(
 		link.silence,
 		result === 'answered',
 		link.silentAttempts > 0,
@@ -94,7 +94,9 @@
 export const suspect = (state: UpstreamState, link: ExecutorLink): void => {
 	const {silence} = state.cfg;
 	const now = state.clock();
-	if (core.connectionSilence.recordSilence(link.silence, silence, now)) {
+	if (
+		core.unresponsiveConnections.recordUnresponsive(link.silence, silence, now)
+	) {
 		void probeSuspected(state, link);
 	}
 };
@@ -123,7 +125,9 @@
 	const now = state.clock();
 	const {silence} = state.cfg;
 	for (const link of state.links.values()) {
-		if (core.connectionSilence.startProbeIfDue(link.silence, silence, now)) {
+		if (
+			core.unresponsiveConnections.startProbeIfDue(link.silence, silence, now)
+		) {
 			void probeSuspected(state, link);
 		}
 	}
--- a/packages/daemon/src/upstream/state.ts
+++ b/packages/daemon/src/upstream/state.ts
@@ -8,7 +8,7 @@
 	readonly id: string;
 	readonly availabilityZone: string;
 	readonly pool: pools.ConnectionPool;
-	readonly silence: core.connectionSilence.SilenceState;
+	readonly silence: core.unresponsiveConnections.UnresponsiveState;
 	/** Attempts that went silent since the last probe and never answered. */
 	silentAttempts: number;
 };
@@ -26,7 +26,7 @@
 	readonly inFlight: Map<string, number>;
 	readonly health: core.health.PoolHealth;
 	readonly budget: core.retryBudget.RetryBudget;
-	readonly serviceTime: core.connectionSilence.ServiceTime;
+	readonly serviceTime: core.unresponsiveConnections.ServiceTime;
 	readonly stats: UpstreamStats;
 };
 
@@ -60,7 +60,7 @@
 		pool: pools.createPool(address, cfg, clock, () => {
 			onLost(link);
 		}),
-		silence: core.connectionSilence.createSilenceState(),
+		silence: core.unresponsiveConnections.createUnresponsiveState(),
 		silentAttempts: 0,
 	};
 	return link;
--- a/packages/daemon/src/upstream/types.ts
+++ b/packages/daemon/src/upstream/types.ts
@@ -49,7 +49,7 @@
 	readonly health: core.healthConfig.HealthConfig;
 	readonly retryBudget: core.retryBudget.RetryBudgetConfig;
 	readonly reuse: core.connectionReuse.ReuseConfig;
-	readonly silence: core.connectionSilence.SilenceConfig;
+	readonly silence: core.unresponsiveConnections.UnresponsiveConfig;
 	/** Attempts of one request that sent bytes, hedges included. */
 	readonly maxAttempts: number;
 	/** Attempts of one request beyond those, of which no byte went out. */
@@ -73,7 +73,7 @@
 	health: core.healthConfig.defaultHealthConfig,
 	retryBudget: core.retryBudget.defaultRetryBudgetConfig,
 	reuse: core.connectionReuse.defaultReuseConfig,
-	silence: core.connectionSilence.defaultSilenceConfig,
+	silence: core.unresponsiveConnections.defaultUnresponsiveConfig,
 	maxAttempts: 3,
 	maxUnsentAttempts: 8,
 	connectTimeoutMs: 500,
--- a/packages/daemon/src/upstream/upstream.ts
+++ b/packages/daemon/src/upstream/upstream.ts
@@ -80,7 +80,7 @@
 		inFlight: new Map(),
 		health: core.health.createPoolHealth(cfg.health),
 		budget: core.retryBudget.createRetryBudget(cfg.retryBudget),
-		serviceTime: core.connectionSilence.createServiceTime(),
+		serviceTime: core.unresponsiveConnections.createServiceTime(),
 		stats: {
 			requests: 0,
 			refused: 0,
