--- a/packages/core/src/admission/admission-helpers.test.ts
+++ b/packages/core/src/admission/admission-helpers.test.ts
@@ -3,7 +3,7 @@
 import * as slowdowns from './slowdown.js';
 import * as tokenBucket from './token-bucket.js';
 
-const near = (found: number, expected: number): boolean =>
+const isNear = (found: number, expected: number): boolean =>
 	Math.abs(found - expected) <= 0.1 * expected;
 
 tap.t.test('a service time starts at its prior', async (t) => {
@@ -20,12 +20,12 @@
 		serviceTime.recordServiceTime(estimate, serviceMs, index);
 	}
 
-	t.ok(near(estimate.p50Ms, 50), `${estimate.p50Ms}`);
-	t.ok(near(estimate.p90Ms, 90), `${estimate.p90Ms}`);
-	t.ok(near(estimate.meanMs, 50.5), `${estimate.meanMs}`);
+	t.ok(isNear(estimate.p50Ms, 50), `${estimate.p50Ms}`);
+	t.ok(isNear(estimate.p90Ms, 90), `${estimate.p90Ms}`);
+	t.ok(isNear(estimate.meanMs, 50.5), `${estimate.meanMs}`);
 });
 
-tap.t.test('an estimate follows a change and forgets', async (t) => {
+tap.t.test('an estimate follows a change as old samples decay', async (t) => {
 	const table = [
 		// Half-lives after the change, expected median.
 		[0.5, 10],
@@ -43,58 +43,61 @@
 			serviceTime.recordServiceTime(estimate, 100, now);
 		}
 
-		t.ok(near(estimate.p50Ms, expected), `${halfLives}: ${estimate.p50Ms}`);
+		t.ok(isNear(estimate.p50Ms, expected), `${halfLives}: ${estimate.p50Ms}`);
 	}
 });
 
+tap.t.test('after a long pause old samples have no weight', async (t) => {
+	const estimate = serviceTime.createServiceTime(10, 1000, 0);
+	for (let now = 0; now < 1000; now++) {
+		serviceTime.recordServiceTime(estimate, 5000, now);
+	}
+
+	const later = 100 * 24 * 3_600_000;
+	serviceTime.recordServiceTime(estimate, 12, later);
+	t.ok(estimate.p50Ms < 20, `${estimate.p50Ms}`);
+	t.ok(Number.isFinite(estimate.meanMs));
+});
+
 tap.t.test(
-	'after a long pause the first sample counts by itself',
+	'a slowdown is detected within a few answers, noise is not',
 	async (t) => {
-		const estimate = serviceTime.createServiceTime(10, 1000, 0);
-		for (let now = 0; now < 1000; now++) {
-			serviceTime.recordServiceTime(estimate, 5000, now);
+		const table = [
+			// Measured over expected, answers, lowest and highest factor.
+			[1, 100, 1, 1],
+			[1.3, 100, 1, 1],
+			[3, 5, 1.4, 3],
+			[3, 50, 2.8, 3],
+			[0.2, 50, 1, 1],
+		] as const;
+		for (const [ratio, answers, lowest, highest] of table) {
+			const estimate = serviceTime.createServiceTime(10, 1000, 0);
+			estimate.samples = 1000;
+			const slowdown = slowdowns.createSlowdown(0);
+			for (let index = 0; index < answers; index++) {
+				slowdowns.recordRatio(slowdown, estimate, 10 * ratio, 10);
+			}
+
+			const factor = slowdowns.getServiceFactor(slowdown);
+			t.ok(factor >= lowest && factor <= highest, `${ratio}: ${factor}`);
 		}
-
-		const later = 100 * 24 * 3_600_000;
-		serviceTime.recordServiceTime(estimate, 12, later);
-		t.ok(estimate.p50Ms < 20, `${estimate.p50Ms}`);
-		t.ok(Number.isFinite(estimate.meanMs));
 	},
 );
 
-tap.t.test('a slowdown shows within some answers, not by chance', async (t) => {
-	const table = [
-		// Measured over expected, answers, lowest and highest factor.
-		[1, 100, 1, 1],
-		[1.3, 100, 1, 1],
-		[3, 5, 1.4, 3],
-		[3, 50, 2.8, 3],
-		[0.2, 50, 1, 1],
-	] as const;
-	for (const [ratio, answers, lowest, highest] of table) {
+tap.t.test(
+	'answers are not compared with an estimate without samples',
+	async (t) => {
 		const estimate = serviceTime.createServiceTime(10, 1000, 0);
-		estimate.samples = 1000;
 		const slowdown = slowdowns.createSlowdown(0);
-		for (let index = 0; index < answers; index++) {
-			slowdowns.recordRatio(slowdown, estimate, 10 * ratio, 10);
+		for (let index = 0; index < 50; index++) {
+			slowdowns.recordRatio(slowdown, estimate, 100, 10);
 		}
 
-		const factor = slowdowns.getServiceFactor(slowdown);
-		t.ok(factor >= lowest && factor <= highest, `${ratio}: ${factor}`);
-	}
-});
-
-tap.t.test('a prior is nothing to compare with', async (t) => {
-	const estimate = serviceTime.createServiceTime(10, 1000, 0);
-	const slowdown = slowdowns.createSlowdown(0);
-	for (let index = 0; index < 50; index++) {
-		slowdowns.recordRatio(slowdown, estimate, 100, 10);
-	}
-
-	t.equal(slowdowns.getServiceFactor(slowdown), 1);
-});
+		t.equal(slowdowns.getServiceFactor(slowdown), 1);
+	},
+);
 
-tap.t.test('an overdue slot lengthens the wait', async (t) => {
+tap.t.test('an overdue slot release scales up the wait', async (t) => {
 	const slowdown = slowdowns.createSlowdown(100);
 	const table = [
 		[140, 1],
--- a/packages/core/src/admission/admission-properties.test.ts
+++ b/packages/core/src/admission/admission-properties.test.ts
@@ -42,8 +42,8 @@
 	},
 );
 
-/** Plays steps and keeps what became of each request. */
-const play = (steps: readonly Step[]) => {
+/** Applies the steps; returns every final decision and broken invariant. */
+const applySteps = (steps: readonly Step[]) => {
 	const settings = {...admission.defaultSettings, slots: 3, maxQueued: 40};
 	const state = admission.createAdmission(settings, 0);
 	const terms = customers.slice(0, 3).map((customer, index) => ({
@@ -53,27 +53,27 @@
 		requestsPerSecond: 5 * index,
 	}));
 	admission.updateTerms(state, terms, 1, 0);
-	const finals = new Map<string, string[]>();
+	const finalDecisions = new Map<string, string[]>();
 	const live: admission.Ticket[] = [];
 	const cancelled = new Set<admission.Ticket>();
 	const problems: string[] = [];
 	let now = 0;
 
-	const end = (id: string, how: string) => {
-		finals.get(id)?.push(how);
+	const recordFinal = (id: string, decision: string) => {
+		finalDecisions.get(id)?.push(decision);
 	};
 
 	const drain = () => {
 		for (const dropped of admission.expire(state, now)) {
-			end(dropped.ticket.request.id, 'dropped');
+			recordFinal(dropped.ticket.request.id, 'dropped');
 		}
 
 		let decision = admission.next(state, now);
 		while (decision) {
 			const {kind, ticket} = decision;
-			end(ticket.request.id, kind);
+			recordFinal(ticket.request.id, kind);
 			if (cancelled.has(ticket)) {
-				problems.push('cancelled, then dispatched');
+				problems.push('dispatched after its cancellation');
 			}
 
 			if (kind === 'dispatch' && now >= ticket.deadlineAt) {
@@ -85,7 +85,7 @@
 	};
 
 	const offer = (id: string, each: Extract<Step, {kind: 'offer'}>) => {
-		finals.set(id, []);
+		finalDecisions.set(id, []);
 		const request = {
 			id,
 			customer: customers[each.customer]!,
@@ -94,7 +94,7 @@
 		};
 		const decision = admission.offer(state, request, now);
 		if (decision.kind !== 'queued') {
-			end(id, decision.kind);
+			recordFinal(id, decision.kind);
 		}
 
 		if (decision.kind !== 'refused') {
@@ -105,7 +105,7 @@
 	const cancel = (ticket: admission.Ticket) => {
 		if (admission.cancel(state, ticket) === 'left-queue') {
 			cancelled.add(ticket);
-			end(ticket.request.id, 'cancelled');
+			recordFinal(ticket.request.id, 'cancelled');
 		}
 	};
 
@@ -162,16 +162,16 @@
 
 	now += 100_000;
 	drain();
-	return {finals, problems, state};
+	return {finalDecisions, problems, state};
 };
 
 tap.t.test('every request has one final decision', async (t) => {
 	fc.assert(
 		fc.property(fc.array(step, {maxLength: 150}), (steps) => {
-			const {finals, problems, state} = play(steps);
+			const {finalDecisions, problems, state} = applySteps(steps);
 			t.same(problems, []);
 			t.equal(state.queued, 0);
-			for (const decisions of finals.values()) {
+			for (const decisions of finalDecisions.values()) {
 				if (decisions.length !== 1) {
 					throw new Error(`decided: ${decisions.join(', ')}`);
 				}
@@ -181,7 +181,7 @@
 	);
 });
 
-/** Keeps all queues filled and counts dispatches by customer and class. */
+/** Keeps all queues non-empty; counts dispatches by customer and class. */
 const saturate = (
 	weights: readonly number[],
 	classes: readonly number[],
@@ -203,7 +203,7 @@
 	const counts = new Map<string, number>();
 	const inFlight: admission.Ticket[] = [];
 	let now = 0;
-	const fill = () => {
+	const offerAll = () => {
 		for (const customer of weights.keys()) {
 			for (const each of classes) {
 				const requestClass = requestClasses[each]!;
@@ -218,7 +218,7 @@
 	};
 
 	for (let done = 0; done < dispatches; done++) {
-		fill();
+		offerAll();
 		now += 5;
 		const oldest = inFlight.shift();
 		if (oldest) {
@@ -237,23 +237,26 @@
 	return counts;
 };
 
-tap.t.test('weights above contracts are kept within a tenth', async (t) => {
-	const weight = fc.integer({min: 1, max: 8});
-	fc.assert(
-		fc.property(fc.array(weight, {minLength: 2, maxLength: 4}), (weights) => {
-			const counts = saturate(weights, [0], 1000);
-			const sum = weights.reduce((total, each) => total + each, 0);
-			for (const [customer, each] of weights.entries()) {
-				const share = (counts.get(`${customer}/interactive`) ?? 0) / 1000;
-				if (Math.abs(share - each / sum) > 0.1 * (each / sum) + 0.01) {
-					throw new Error(`${each} of ${sum} got ${share}`);
+tap.t.test(
+	'slots above contracts are shared by weight, within a tenth',
+	async (t) => {
+		const weight = fc.integer({min: 1, max: 8});
+		fc.assert(
+			fc.property(fc.array(weight, {minLength: 2, maxLength: 4}), (weights) => {
+				const counts = saturate(weights, [0], 1000);
+				const sum = weights.reduce((total, each) => total + each, 0);
+				for (const [customer, each] of weights.entries()) {
+					const share = (counts.get(`${customer}/interactive`) ?? 0) / 1000;
+					if (Math.abs(share - each / sum) > 0.1 * (each / sum) + 0.01) {
+						throw new Error(`${each} of ${sum} got ${share}`);
+					}
 				}
-			}
-		}),
-		{seed: 42, numRuns: 25},
-	);
-	t.pass('all draws');
-});
+			}),
+			{seed: 42, numRuns: 25},
+		);
+		t.pass('all draws');
+	},
+);
 
 tap.t.test('no customer and no class is starved', async (t) => {
 	const counts = saturate([1, 8], [0, 1, 2], 3000);
--- a/packages/core/src/admission/admission.ts
+++ b/packages/core/src/admission/admission.ts
@@ -1,9 +1,9 @@
 /**
- * Admission: every request offered is dispatched, queued or refused at once,
- * and every queued one ends dispatched, dropped or cancelled, exactly once.
- * Two tiers share the slots: requests covered by their customer's contracted
- * rate go first, the rest by weight (as hierarchical token buckets do), each
- * tier by start-time fair queueing over customers.
+ * Admission control: `offer` dispatches, queues or refuses each request, and
+ * each queued request is dispatched, dropped or cancelled exactly once. Slots
+ * are shared in two tiers, each by start-time fair queueing over customers:
+ * requests within their customer's contracted rate go first, and the others
+ * share the remaining slots by weight.
  * Source: docs/design/admission.md.
  */
 import * as assessments from './assessment.js';
@@ -17,7 +17,7 @@
 	Refused,
 } from './decision.js';
 import * as dispatches from './dispatch.js';
-import * as returnTime from './retry-after.js';
+import * as retryAfter from './retry-after.js';
 import * as serviceTime from './service-time.js';
 import * as slowdowns from './slowdown.js';
 import * as states from './state.js';
@@ -34,36 +34,36 @@
 export {createAdmission} from './state.js';
 export {getTerms, updateTerms} from './terms.js';
 
-/** Changes the number of slots; what is in flight above it runs out. */
+/** Changes the number of slots; requests in flight above it may finish. */
 export const updateSlots = (state: AdmissionState, slots: number): void => {
 	state.slots = slots;
 };
 
-/** Decides where a slot is free and nobody waits for it. */
-const offerToIdle = (
+/** Decides on a request when a slot is free and the queue is empty. */
+const offerToFreeSlot = (
 	state: AdmissionState,
-	applicant: OfferedRequest,
+	offered: OfferedRequest,
 	now: number,
 ): Dispatched | Refused => {
-	const {customer, estimate, allowedMs} = applicant;
-	const hopeful =
+	const {customer, estimate, allowedMs} = offered;
+	const mayDispatch =
 		assessments.isLikelyInTime(state, estimate, allowedMs) ||
 		(allowedMs > 0 && assessments.tryProbe(state, estimate, now));
-	if (hopeful) {
+	if (mayDispatch) {
 		return dispatches.dispatch(
 			state,
-			assessments.createTicket(state, applicant, now),
+			assessments.createTicket(state, offered, now),
 			now,
 		);
 	}
 
 	const {settings} = state;
 	const spacingMs = estimate.meanMs / state.slots;
-	const room = {fromMs: settings.probeEveryMs, spacingMs};
-	const retryAfterMs = returnTime.reserveRetryAfter(
+	const retryWindow = {fromMs: settings.probeEveryMs, spacingMs};
+	const retryAfterMs = retryAfter.reserveRetryAfter(
 		settings,
 		customer,
-		room,
+		retryWindow,
 		now,
 	);
 	return {kind: 'refused', error: 'overloaded', retryAfterMs};
@@ -71,22 +71,27 @@
 
 const refuse = (
 	state: AdmissionState,
-	applicant: OfferedRequest,
+	offered: OfferedRequest,
 	{forecast, missingMs}: Assessment,
 	now: number,
 ): Refused => {
-	const {customer, estimate} = applicant;
+	const {customer, estimate} = offered;
 	const {settings} = state;
 	const spacingMs = estimate.meanMs / forecast.drainSlots;
-	const room = {fromMs: missingMs, spacingMs};
+	const retryWindow = {fromMs: missingMs, spacingMs};
 	return {
 		kind: 'refused',
 		error: forecast.contracted ? 'overloaded' : 'over-contract',
-		retryAfterMs: returnTime.reserveRetryAfter(settings, customer, room, now),
+		retryAfterMs: retryAfter.reserveRetryAfter(
+			settings,
+			customer,
+			retryWindow,
+			now,
+		),
 	};
 };
 
-/** Offers a request; ends at once in a dispatch, a place or a refusal. */
+/** Dispatches, queues or refuses a request at once. */
 export const offer = (
 	state: AdmissionState,
 	request: AdmissionRequest,
@@ -97,31 +102,31 @@
 		return {kind: 'refused', error: 'forbidden', retryAfterMs: 0};
 	}
 
-	const applicant = assessments.createOfferedRequest(state, request, customer);
+	const offered = assessments.createOfferedRequest(state, request, customer);
 	if (state.queued === 0 && state.inFlight < state.slots) {
-		return offerToIdle(state, applicant, now);
+		return offerToFreeSlot(state, offered, now);
 	}
 
-	const assessment = assessments.assessQueueing(state, applicant, now);
-	const full =
+	const assessment = assessments.assessQueueing(state, offered, now);
+	const isQueueFull =
 		customer.queued >= customer.maxQueued ||
 		state.queued >= state.settings.maxQueued;
-	if (assessment.missingMs > 0 || full) {
-		return refuse(state, applicant, assessment, now);
+	if (assessment.missingMs > 0 || isQueueFull) {
+		return refuse(state, offered, assessment, now);
 	}
 
-	const ticket = assessments.createTicket(state, applicant, now);
+	const ticket = assessments.createTicket(state, offered, now);
 	states.addToQueue(state, ticket, now);
 	return {kind: 'queued', ticket};
 };
 
-/** Ends a queued ticket that can't be answered in time. */
+/** Drops a queued request that can't be answered in time. */
 const drop = (state: AdmissionState, ticket: Ticket, now: number): Dropped => {
 	const {settings} = state;
 	states.removeFromQueue(state, ticket);
 	ticket.state = 'done';
 	const {meanMs} = state.estimates[ticket.classIndex]!;
-	const room = {
+	const retryWindow = {
 		fromMs: now - ticket.arrivedAt,
 		spacingMs: meanMs / Math.max(1, state.slots),
 	};
@@ -129,19 +134,19 @@
 		kind: 'dropped',
 		ticket,
 		error: 'deadline-in-queue',
-		retryAfterMs: returnTime.reserveRetryAfter(
+		retryAfterMs: retryAfter.reserveRetryAfter(
 			settings,
 			ticket.customer,
-			room,
+			retryWindow,
 			now,
 		),
 	};
 };
 
 /**
- * Gives a free slot to the next queued request, or drops that request if its
- * answer would likely be late. Call until undefined, after `finish`,
- * `updateSlots` and an `offer` that queued.
+ * Dispatches the next queued request to a free slot, or drops it if its answer
+ * would likely be late. After `finish`, `updateSlots` and an `offer` that
+ * queued a request, call it until it returns undefined.
  */
 export const next = (
 	state: AdmissionState,
@@ -167,9 +172,9 @@
 };
 
 /**
- * Drops queued requests whose answers would likely be late, and puts those
- * first that soon would be. Call every few milliseconds while requests are
- * queued.
+ * Drops queued requests whose answers would likely be late, and moves those
+ * that soon would be to the rescue queue. Call every few milliseconds while
+ * requests are queued.
  */
 export const expire = (state: AdmissionState, now: number): Dropped[] => {
 	const dropped: Dropped[] = [];
@@ -185,8 +190,8 @@
 };
 
 /**
- * Cancels a ticket. A queued one is gone at once. One in flight keeps its
- * slot until `finish`, when the attempt has really ended.
+ * Cancels a ticket. A queued one leaves the queue at once. One in flight keeps
+ * its slot until `finish`, since its attempt is still running.
  */
 export const cancel = (
 	state: AdmissionState,
@@ -201,13 +206,13 @@
 	return 'left-queue';
 };
 
-/** How a request in flight ended. */
+/** The result that is passed to `finish`. */
 export type FinishResult = {
-	/** False if its time tells nothing, such as after a cancellation. */
+	/** False if its duration is no service time, such as after a cancellation. */
 	readonly measured: boolean;
 };
 
-/** Frees the slot of a ticket in flight; a second call changes nothing. */
+/** Frees the slot of a ticket in flight; repeated calls have no effect. */
 export const finish = (
 	state: AdmissionState,
 	ticket: Ticket,
@@ -232,7 +237,7 @@
 	}
 };
 
-/** What stands in the queue and in flight, for operators. */
+/** Requests queued and in flight, as reported to operators. */
 export type AdmissionStatus = {
 	readonly slots: number;
 	readonly inFlight: number;
@@ -244,7 +249,7 @@
 	}>;
 };
 
-/** Reads the state for operators. */
+/** Returns the status that is reported to operators. */
 export const getStatus = (
 	state: AdmissionState,
 	now: number,
--- a/packages/core/src/admission/assessment.ts
+++ b/packages/core/src/admission/assessment.ts
@@ -1,4 +1,4 @@
-/** Who asks, and whether the answer can be in time as far as can be told. */
+/** Estimates whether an offered request can be answered before its deadline. */
 import type {Customer, Ticket} from './records.js';
 import * as forecasts from './forecast.js';
 import type {ServiceTime} from './service-time.js';
@@ -7,17 +7,16 @@
 import * as states from './state.js';
 import type {AdmissionRequest} from './types.js';
 
-/** One request on its way in. */
+/** A request with its customer and the estimate of its class. */
 export type OfferedRequest = {
 	readonly request: AdmissionRequest;
 	readonly customer: Customer;
 	readonly classIndex: number;
 	readonly estimate: ServiceTime;
-	/** Time that the entry has from now until it must have answered. */
+	/** Time from now until the entry must have sent the answer. */
 	readonly allowedMs: number;
 };
 
-/** Looks up what a request brings with it. */
 export const createOfferedRequest = (
 	state: AdmissionState,
 	request: AdmissionRequest,
@@ -35,20 +34,20 @@
 	};
 };
 
-/** Time before its last safe dispatch at which a request goes first. */
+/** How long before its last safe dispatch a request is moved to rescue. */
 const getRescueMs = (state: AdmissionState, estimate: ServiceTime): number => {
 	const releaseMs = estimate.meanMs / Math.max(1, state.slots);
 	return state.settings.rescueReleases * releaseMs;
 };
 
-/** Creates the ticket of a request that is let in. */
+/** Creates the ticket of an admitted request. */
 export const createTicket = (
 	state: AdmissionState,
-	applicant: OfferedRequest,
+	offered: OfferedRequest,
 	now: number,
 ): Ticket => {
-	const {request, customer, classIndex, estimate} = applicant;
-	const deadlineAt = now + applicant.allowedMs;
+	const {request, customer, classIndex, estimate} = offered;
+	const deadlineAt = now + offered.allowedMs;
 	const rescueMs = getRescueMs(state, estimate);
 	const rescueAt = deadlineAt - estimate.p90Ms - rescueMs;
 	return {
@@ -57,7 +56,7 @@
 		classIndex,
 		arrivedAt: now,
 		deadlineAt,
-		giveUpAt: deadlineAt - getUsualMs(state, estimate),
+		giveUpAt: deadlineAt - getMedianMs(state, estimate),
 		rescueAt,
 		dueAt: rescueAt,
 		state: 'queued',
@@ -72,20 +71,19 @@
 	};
 };
 
-/** What queueing would mean for a request. */
+/** Whether a request would be in time if it were queued. */
 export type Assessment = {
 	readonly forecast: forecasts.Forecast;
-	/** Time that is missing until its deadline, 0 if none is. */
+	/** By how much it would miss its deadline; 0 if it would be in time. */
 	readonly missingMs: number;
 };
 
-/** Predicts whether a queued request would be in time. */
 export const assessQueueing = (
 	state: AdmissionState,
-	applicant: OfferedRequest,
+	offered: OfferedRequest,
 	now: number,
 ): Assessment => {
-	const {customer, classIndex, estimate, allowedMs} = applicant;
+	const {customer, classIndex, estimate, allowedMs} = offered;
 	const forecast = forecasts.getForecast(state, customer, classIndex, now);
 	const factor = slowdowns.getServiceFactor(state.slowdown);
 	const gapMs = (estimate.meanMs * factor) / Math.max(1, state.slots);
@@ -94,21 +92,21 @@
 	return {forecast, missingMs: Math.max(0, neededMs - allowedMs)};
 };
 
-/** Median service time, by the latest answers. */
-const getUsualMs = (state: AdmissionState, estimate: ServiceTime): number =>
+/** Median service time, scaled by the current slowdown. */
+const getMedianMs = (state: AdmissionState, estimate: ServiceTime): number =>
 	estimate.p50Ms * slowdowns.getServiceFactor(state.slowdown);
 
-/** True if an answer by a slot given now is more likely in time than late. */
+/** True if a request dispatched now is more likely in time than late. */
 export const isLikelyInTime = (
 	state: AdmissionState,
 	estimate: ServiceTime,
 	leftMs: number,
-): boolean => leftMs > 0 && getUsualMs(state, estimate) <= leftMs;
+): boolean => leftMs > 0 && getMedianMs(state, estimate) <= leftMs;
 
 /**
- * True if a request may try although the estimate forbids it, which is so
- * once in a while: an estimate that refuses everything would never be
- * measured anew.
+ * True if a request may be dispatched although its estimate exceeds the time
+ * left. This is allowed every `probeEveryMs`, as an estimate that refuses all
+ * requests would receive no new samples.
  */
 export const tryProbe = (
 	state: AdmissionState,
--- a/packages/core/src/admission/customer.ts
+++ b/packages/core/src/admission/customer.ts
@@ -1,7 +1,7 @@
 /**
- * What admission keeps of one customer: its queues by class, the token bucket
- * of its contracted rate, and its tags for start-time fair queueing (Goyal,
- * Vin and Cheng, SIGCOMM 1996).
+ * Admission state of one customer: its queues by class, the token bucket of
+ * its contracted rate, and its tags for start-time fair queueing (Goyal, Vin
+ * and Cheng, SIGCOMM 1996).
  */
 import {requestClasses} from '../types/contract.js';
 import type {Customer, TicketQueue} from './records.js';
@@ -22,7 +22,7 @@
 		(each) => settings.agingShare[each] * terms.answerWithinMs,
 	);
 
-/** Creates a customer; the rate in its terms is this entry's part of it. */
+/** Creates a customer; `terms` holds this entry's part of the rate. */
 export const createCustomer = (
 	settings: AdmissionSettings,
 	terms: CustomerTerms,
@@ -48,7 +48,7 @@
 	};
 };
 
-/** Puts changed terms in force; the rate is this entry's part of it. */
+/** Applies changed terms; `terms` holds this entry's part of the rate. */
 export const updateCustomer = (
 	settings: AdmissionSettings,
 	customer: Customer,
@@ -64,9 +64,9 @@
 };
 
 /**
- * The queue whose head goes next: the earliest arrival, each class set back
- * by its aging delay, so that a less urgent class waits longer but not
- * without end. Undefined if nothing is queued.
+ * Returns the queue whose head is next: the one with the earliest arrival plus
+ * aging delay of its class. The delay lets urgent classes go first without
+ * starving the others. Undefined if nothing is queued.
  */
 export const getNextQueue = (customer: Customer): TicketQueue | undefined => {
 	let best: TicketQueue | undefined;
@@ -86,8 +86,8 @@
 };
 
 /**
- * Brings a moving average of busy slots up to date and adds `workMs` of slot
- * time dispatched now.
+ * Decays the moving average of busy slots to `now` and adds `workMs` of slot
+ * time.
  */
 export const updateContractUse = (
 	customer: Customer,
--- a/packages/core/src/admission/deadline-wheel.ts
+++ b/packages/core/src/admission/deadline-wheel.ts
@@ -1,19 +1,19 @@
 /**
  * Hashed timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing
  * Wheels", SOSP 1987): adding and removing a ticket take constant time, and
- * finding what is due costs one step a tick.
+ * finding the due tickets takes one step per tick.
  */
 import type {Ticket} from './records.js';
 
 /** Resolution of the wheel. */
 const tickMs = 4;
-/** Lists on the wheel; a later ticket stays for further turns. */
+/** Lists on the wheel; a ticket due after a full turn stays for another. */
 const listCount = 1024;
 
-/** Tickets by the time at which they are looked at. */
+/** Tickets by `dueAt`. */
 export type DeadlineWheel = {
 	readonly heads: Array<Ticket | undefined>;
-	/** Last tick whose list was looked at. */
+	/** Last tick whose list was checked. */
 	tick: number;
 	size: number;
 };
@@ -30,7 +30,7 @@
 	size: 0,
 });
 
-/** Adds a ticket by its `dueAt`, not before the next tick. */
+/** Adds a ticket; `dueAt` is raised to at least one tick from now. */
 export const addToWheel = (
 	wheel: DeadlineWheel,
 	ticket: Ticket,
@@ -52,7 +52,6 @@
 	wheel.size++;
 };
 
-/** Removes a ticket that was added. */
 export const removeFromWheel = (wheel: DeadlineWheel, ticket: Ticket): void => {
 	const {wheelPrevious, wheelNext} = ticket;
 	if (wheelPrevious) {
@@ -86,7 +85,7 @@
 	}
 };
 
-/** Tickets due at `now`, up to one tick late; they stay on the wheel. */
+/** Returns tickets due at `now`, up to one tick late, without removing them. */
 export const getDue = (wheel: DeadlineWheel, now: number): Ticket[] => {
 	const due: Ticket[] = [];
 	const lastTick = Math.floor(now / tickMs);
--- a/packages/core/src/admission/decision.ts
+++ b/packages/core/src/admission/decision.ts
@@ -1,24 +1,24 @@
-/** What admission decides about one request. */
+/** Decisions of admission control about one request. */
 import type {Ticket} from './records.js';
 import type {RefusalKind} from './types.js';
 
-/** The request goes out now; a slot is held until `finish`. */
+/** The request is sent now and holds a slot until `finish`. */
 export type Dispatched = {
 	readonly kind: 'dispatch';
 	readonly ticket: Ticket;
 };
 
-/** The request waits; `next`, `expire` or `cancel` ends that. */
+/** The request is queued until `next`, `expire` or `cancel` removes it. */
 export type Queued = {readonly kind: 'queued'; readonly ticket: Ticket};
 
-/** The request is answered now; it was not run. */
+/** An offered request is answered with an error; it was not run. */
 export type Refused = {
 	readonly kind: 'refused';
 	readonly error: RefusalKind;
 	readonly retryAfterMs: number;
 };
 
-/** A queued request is answered now; it was not run. */
+/** A queued request is answered with an error; it was not run. */
 export type Dropped = {
 	readonly kind: 'dropped';
 	readonly ticket: Ticket;
@@ -26,8 +26,8 @@
 	readonly retryAfterMs: number;
 };
 
-/** Answer to `offer`. */
+/** Result of `offer`. */
 export type OfferDecision = Dispatched | Queued | Refused;
 
-/** Answer to `next`. */
+/** Result of `next`. */
 export type NextDecision = Dispatched | Dropped;
--- a/packages/core/src/admission/dispatch.ts
+++ b/packages/core/src/admission/dispatch.ts
@@ -1,4 +1,4 @@
-/** Which customer's request gets the next slot, and what that is charged. */
+/** Picks the request that gets the next slot and charges its customer. */
 import * as customers from './customer.js';
 import {type Customer, type Ticket} from './records.js';
 import type {Dispatched} from './decision.js';
@@ -26,8 +26,8 @@
 };
 
 /**
- * The request that goes next: one that would be late otherwise, else one of
- * the customer with the lowest tag of the higher tier.
+ * Returns the next ticket to dispatch: the first in the rescue queue, else one
+ * of the customer with the lowest tag in the higher tier.
  */
 export const getNextTicket = (
 	state: AdmissionState,
@@ -59,7 +59,7 @@
 	state.contractUseAt = now;
 };
 
-/** Charges a dispatch to the customer's share of what contracts leave. */
+/** Charges a dispatch above the contracted rate to the customer's weight. */
 const chargeBorrow = (
 	state: AdmissionState,
 	customer: Customer,
@@ -69,7 +69,7 @@
 	customer.borrowTag = state.borrowVirtual + workMs / customer.terms.weight;
 };
 
-/** Gives a slot to a ticket that stands in no queue. */
+/** Assigns a slot to a ticket that is in no queue. */
 export const dispatch = (
 	state: AdmissionState,
 	ticket: Ticket,
@@ -92,7 +92,7 @@
 	return {kind: 'dispatch', ticket};
 };
 
-/** Corrects the charge of a ticket to the slot time that it really took. */
+/** Corrects the charge of a ticket to its measured service time. */
 export const correctCharge = (ticket: Ticket, serviceMs: number): void => {
 	const {customer} = ticket;
 	const correction = (serviceMs - ticket.chargedMs) / customer.terms.weight;
--- a/packages/core/src/admission/forecast.ts
+++ b/packages/core/src/admission/forecast.ts
@@ -1,6 +1,6 @@
 /**
- * Prediction of the time that a request would wait, in the order in which the
- * fair queue would serve it. Source: docs/design/admission.md.
+ * Predicts how long a request would wait in the fair queue.
+ * Source: docs/design/admission.md.
  */
 import {requestClasses} from '../types/contract.js';
 import * as customers from './customer.js';
@@ -8,33 +8,33 @@
 import type {AdmissionState} from './state.js';
 import * as tokenBucket from './token-bucket.js';
 
-/** Window of the moving average of slots used by contracted rates. */
+/** Time constant of the moving average of slots used by contracted rates. */
 export const useWindowMs = 1000;
-/** Part of the sold but unused rates that is taken for used. */
-const soldShare = 0.5;
-/** Factor on the time for everything queued, above the contract. */
+/** Part of the contracted but unused rates that is counted as used. */
+const unusedContractShare = 0.5;
+/** Factor on the time to serve the whole queue, for requests above contract. */
 const allBorrowMargin = 2;
-/** Measured service times after which half of the cold caution is gone. */
+/** Samples after which the cold start margin has halved. */
 const coldSamples = 32;
-/** Slots that a request above its contract can count on at least. */
+/** Minimum number of slots assumed for requests above their contract. */
 const leastBorrowSlots = 0.05;
 
-/** What a request would meet. */
+/** Predicted queueing of a request. */
 export type Forecast = {
 	/** Time until it would get a slot, with the margins of the settings. */
 	readonly waitMs: number;
 	/** True if its customer's contracted rate covers it. */
 	readonly contracted: boolean;
-	/** Slots that its customer can count on while it waits. */
+	/** Slots that are expected to serve its customer's queue. */
 	readonly drainSlots: number;
 };
 
-/** Queued requests of the customer that go before a new one. */
+/** Queued requests of the customer that are served before a new one. */
 type OwnQueue = {count: number; workMs: number; overtakenMs: number};
 
 /**
- * More urgent requests go first, also those that will arrive until the new
- * one has aged; less urgent ones only if they have aged already.
+ * Counts requests of more urgent classes, including those expected to arrive
+ * before the new one has aged, and less urgent ones that have already aged.
  */
 const getOwnQueue = (
 	state: AdmissionState,
@@ -68,22 +68,22 @@
 	return workMs / customer.queued;
 };
 
-/** What other customers put before a request. */
+/** Work of other customers that is served before a request. */
 type OtherLoad = {
 	/** Slot time of contracted requests that are queued now. */
 	contractMs: number;
-	/** The same with those to come, as far as weights let them go first. */
+	/** The same with requests yet to arrive, limited by customers' weights. */
 	contractTurnMs: number;
-	/** Weight of those with requests above their contracts. */
+	/** Total weight of customers with requests above their contracts. */
 	borrowWeight: number;
 	/** Slots that other customers' contracted rates use. */
 	useSlots: number;
 };
 
 /**
- * A customer with queued requests uses its tokens before the request's turn,
- * also for requests yet to come, but no more than its weight gives it until
- * then.
+ * Assumes that each customer with queued requests spends its tokens before the
+ * request's turn, also on requests yet to arrive, within the limit of its
+ * weight.
  */
 const getOtherLoad = (
 	state: AdmissionState,
@@ -131,12 +131,13 @@
 	const all = state.contractUse * Math.exp(-passedMs / useWindowMs);
 	customers.updateContractUse(customer, 0, useWindowMs, now);
 	const measured = Math.max(0, all - customer.contractUse);
-	// Quiet customers may use what they were sold at any time.
-	const sold = (state.contractedPerMs - customer.bucket.tokensPerMs) * meanMs;
-	return measured + Math.max(0, sold - measured) * soldShare;
+	// Idle customers may use their contracted rates at any time.
+	const contracted =
+		(state.contractedPerMs - customer.bucket.tokensPerMs) * meanMs;
+	return measured + Math.max(0, contracted - measured) * unusedContractShare;
 };
 
-/** Slots that the customer's queue drains by, once above its contract. */
+/** Slots that serve the customer's queue once it is above its contract. */
 const getDrainSlots = (
 	state: AdmissionState,
 	customer: Customer,
@@ -152,8 +153,8 @@
 };
 
 /**
- * Bound on the wait by the contracted rate alone: the bucket fills at that
- * rate, and contracted requests go first.
+ * Upper bound of the wait if only the contracted rate served the customer: the
+ * bucket refills at that rate, and requests within it go first.
  */
 const getContractWait = (
 	state: AdmissionState,
@@ -183,8 +184,8 @@
 	return workMs;
 };
 
-/** Factor on a predicted wait as long as few service times are measured. */
-const getCaution = (state: AdmissionState): number => {
+/** Margin on a predicted wait that shrinks as service times are measured. */
+const getColdStartMargin = (state: AdmissionState): number => {
 	let samples = 0;
 	for (const estimate of state.estimates) {
 		samples += estimate.samples;
@@ -193,7 +194,7 @@
 	return 1 + coldSamples / (coldSamples + samples);
 };
 
-/** Predicts the wait of a request that is queued now. */
+/** Predicts the wait of a request if it were queued now. */
 export const getForecast = (
 	state: AdmissionState,
 	customer: Customer,
@@ -222,8 +223,8 @@
 		Math.max(contractWaitMs, allMs * contractMargin),
 		Math.max(borrowWaitMs, allMs * allBorrowMargin),
 	);
-	const cautiousMs = turnMs * getCaution(state);
+	const turnWithMarginMs = turnMs * getColdStartMargin(state);
 	const waitMs =
-		Math.max(own.overtakenMs, cautiousMs) + releaseMs / state.slots;
+		Math.max(own.overtakenMs, turnWithMarginMs) + releaseMs / state.slots;
 	return {waitMs, contracted, drainSlots};
 };
--- a/packages/core/src/admission/records.ts
+++ b/packages/core/src/admission/records.ts
@@ -1,6 +1,6 @@
 /**
- * The records of admission that refer to one another: a customer holds queues
- * of tickets, and a ticket knows its customer.
+ * Record types of admission that refer to one another: a customer has queues
+ * of tickets, and a ticket refers to its customer.
  */
 import type {TokenBucket} from './token-bucket.js';
 import type {AdmissionRequest, CustomerTerms, TicketState} from './types.js';
@@ -14,19 +14,18 @@
 	readonly arrivedAt: number;
 	/** By when the entry must have sent the answer. */
 	readonly deadlineAt: number;
-	/** From when on no answer in time is likely. */
+	/** When an answer in time becomes unlikely, so that it is dropped. */
 	readonly giveUpAt: number;
-	/** From when on it goes before all others, so that it is in time. */
+	/** When it is moved to the rescue queue, which goes before all others. */
 	readonly rescueAt: number;
-	/** When the deadline wheel looks at it next. */
+	/** When the deadline wheel returns it next. */
 	dueAt: number;
 	state: TicketState;
 	dispatchedAt: number;
 	/** Slot time that its customer was charged at dispatch. */
 	chargedMs: number;
-	/** True if it was dispatched by the contracted rate. */
+	/** True if it was dispatched within the contracted rate. */
 	contracted: boolean;
-	/** Queue in which it stands. */
 	queue: TicketQueue | undefined;
 	queuePrevious: Ticket | undefined;
 	queueNext: Ticket | undefined;
@@ -44,26 +43,26 @@
 /** One customer of one service on one entry. */
 export type Customer = {
 	terms: CustomerTerms;
-	/** True if no contract names the customer any more. */
+	/** True if no contract names the customer any longer. */
 	removed: boolean;
 	readonly bucket: TokenBucket;
-	/** One queue a class, in the order of `requestClasses`. */
+	/** One queue per class, in the order of `requestClasses`. */
 	readonly queues: readonly TicketQueue[];
-	/** Delay by which each class counts as arrived later. */
+	/** Delay added to the arrival time of each class. */
 	agingMs: readonly number[];
 	queued: number;
 	maxQueued: number;
-	/** Place in the list of customers with queued requests, or -1. */
+	/** Index in the list of customers with queued requests, or -1. */
 	activeIndex: number;
 	/** Virtual start of the next request within the contracted rate. */
 	contractTag: number;
 	/** Virtual start of the next request above the contracted rate. */
 	borrowTag: number;
-	/** Slots that its dispatches by the contracted rate hold, on average. */
+	/** Moving average of slots used within the contracted rate. */
 	contractUse: number;
 	contractUseAt: number;
-	/** Latest time at which a refused caller was told to return. */
+	/** Latest retry time that a refused caller was given. */
 	lastRetryAt: number;
-	/** Where between two such times the next round begins, in [0, 1). */
+	/** Offset of the next round of retry times, in steps, in [0, 1). */
 	retryPhase: number;
 };
--- a/packages/core/src/admission/retry-after.ts
+++ b/packages/core/src/admission/retry-after.ts
@@ -1,18 +1,18 @@
 /**
- * When a refused caller is told to return. Callers of one customer are given
- * times one after another, at half the rate at which its queue drains, so
- * that those who return find room and do not return together.
+ * Retry times of refused callers. Callers of one customer are given successive
+ * times at half the rate at which its queue drains, so that their retries are
+ * spread out and find room.
  */
 import type {Customer} from './records.js';
 import type {AdmissionSettings} from './types.js';
 
-/** Part of the drain that is given to callers who return. */
-const returnShare = 0.5;
+/** Part of the drain rate that is reserved for retries. */
+const retryShare = 0.5;
 
-/** Its multiples, modulo 1, fall evenly between one another. */
+/** Multiples modulo 1 are evenly spread (a low-discrepancy sequence). */
 const goldenRatio = (Math.sqrt(5) - 1) / 2;
 
-/** When there will be room for a customer's requests. */
+/** When a customer's queue has room for retries. */
 export type RetryWindow = {
 	/** Time until the queue is short enough. */
 	readonly fromMs: number;
@@ -21,26 +21,29 @@
 };
 
 /**
- * Computes the time after which to return, in whole milliseconds, and keeps
- * it, so that the next caller is given a later one.
+ * Returns the time after which a caller should retry, in whole milliseconds,
+ * and reserves it: the next caller is given a later one.
  */
 export const reserveRetryAfter = (
 	settings: AdmissionSettings,
 	customer: Customer,
-	room: RetryWindow,
+	retryWindow: RetryWindow,
 	now: number,
 ): number => {
 	const {minRetryAfterMs, maxRetryAfterMs} = settings;
-	const soonestMs = Math.max(minRetryAfterMs, room.fromMs);
+	const soonestMs = Math.max(minRetryAfterMs, retryWindow.fromMs);
 	const firstMs = Math.min(maxRetryAfterMs / 2, soonestMs);
-	const stepMs = Math.min(room.spacingMs / returnShare, maxRetryAfterMs / 4);
-	let returnAt = Math.max(customer.lastRetryAt + stepMs, now + firstMs);
-	if (returnAt > now + maxRetryAfterMs) {
-		// Every time in the window is given; start over between the first two.
+	const stepMs = Math.min(
+		retryWindow.spacingMs / retryShare,
+		maxRetryAfterMs / 4,
+	);
+	let retryAt = Math.max(customer.lastRetryAt + stepMs, now + firstMs);
+	if (retryAt > now + maxRetryAfterMs) {
+		// All times in the window are taken: start over between the first two.
 		customer.retryPhase = (customer.retryPhase + goldenRatio) % 1;
-		returnAt = now + firstMs + customer.retryPhase * stepMs;
+		retryAt = now + firstMs + customer.retryPhase * stepMs;
 	}
 
-	customer.lastRetryAt = returnAt;
-	return Math.ceil(returnAt - now);
+	customer.lastRetryAt = retryAt;
+	return Math.ceil(retryAt - now);
 };
--- a/packages/core/src/admission/service-time.ts
+++ b/packages/core/src/admission/service-time.ts
@@ -1,8 +1,8 @@
 /**
  * Streaming estimate of service times: a histogram with buckets of constant
- * ratio whose samples lose weight exponentially with age (Cormode et al.,
- * "Forward Decay", ICDE 2009), and a prior that counts as a few samples, so
- * that a cold or long idle estimate falls back to it.
+ * ratio whose samples decay exponentially with age (Cormode et al., "Forward
+ * Decay", ICDE 2009). A prior counts as a few samples, so that a cold or long
+ * idle estimate falls back to it.
  */
 
 const lowestMs = 0.5;
@@ -11,16 +11,16 @@
 const bucketCount = 136;
 const logRatio = Math.log(bucketRatio);
 
-/** Samples that the prior counts as. */
+/** Number of samples that the prior counts as. */
 const priorSamples = 2;
-/** Part of the prior that lies at twice its median. */
+/** Part of the prior's weight at twice its median. */
 const priorTail = 0.2;
-/** The derived values are computed anew after this many samples or so long. */
+/** Mean and quantiles are recomputed after this many samples or this time. */
 const refreshEvery = 16;
 const refreshEveryMs = 100;
-/** Up to this many samples they are computed anew each time. */
+/** Up to this many samples they are recomputed for each sample. */
 const refreshAlwaysUpTo = 32;
-/** Above this weight of a new sample the counts are scaled back. */
+/** Above this weight of a new sample the counts are rescaled. */
 const maxWeight = 1e9;
 
 /** Estimate of one class of one service; times in milliseconds. */
@@ -30,11 +30,11 @@
 	readonly counts: Float64Array;
 	total: number;
 	sumMs: number;
-	/** When a new sample's weight is 1. */
+	/** When a new sample has weight 1. */
 	originAt: number;
 	samples: number;
 	refreshedAt: number;
-	/** When the last sample or probe was. */
+	/** Time of the last sample or probe. */
 	lastAt: number;
 	meanMs: number;
 	/** Median and 90th percentile. */
@@ -51,7 +51,7 @@
 const getBucketMs = (bucket: number): number =>
 	lowestMs * bucketRatio ** (bucket + 0.5);
 
-/** Creates an estimate that rests on its prior alone. */
+/** Creates an estimate without samples. */
 export const createServiceTime = (
 	priorMs: number,
 	halfLifeMs: number,
@@ -75,7 +75,7 @@
 	};
 };
 
-/** Changes the prior; the estimate follows at once if nothing is measured. */
+/** Changes the prior; an estimate without samples follows at once. */
 export const updatePrior = (estimate: ServiceTime, priorMs: number): void => {
 	const meanMs = priorMs * (1 + priorTail);
 	estimate.prior = {medianMs: priorMs, meanMs};
@@ -86,7 +86,7 @@
 	}
 };
 
-/** Weight that the prior has next to samples of weight `weight`. */
+/** Weight of the prior in a bucket if a new sample has weight `weight`. */
 const getPriorWeight = (
 	estimate: ServiceTime,
 	bucket: number,
@@ -136,7 +136,6 @@
 	estimate.originAt = now;
 };
 
-/** Takes in one measured service time. */
 export const recordServiceTime = (
 	estimate: ServiceTime,
 	serviceMs: number,
--- a/packages/core/src/admission/slowdown.ts
+++ b/packages/core/src/admission/slowdown.ts
@@ -1,37 +1,37 @@
 /**
- * How much slower service is than its estimates say. These look back many
- * seconds; a moving average over the last few answers of all classes tells of
- * a change within a few service times, and a slot that is long overdue tells
- * of one before any answer has come.
+ * Detects that service is slower than its estimates, which average over many
+ * seconds: a moving average over the last answers of all classes shows a
+ * change within a few service times, and an overdue slot release shows one
+ * before any answer has arrived.
  */
 
 import type {ServiceTime} from './service-time.js';
 
-/** Weight of one answer. */
+/** Weight of one answer in the moving average. */
 const answerWeight = 1 / 16;
-/** A ratio up to this is chance. */
-const chanceRatio = 1.4;
-/** Answers of a class after which its estimate is worth comparing with. */
+/** Ratios up to this are treated as noise. */
+const noiseRatio = 1.4;
+/** Answers of a class after which its estimate is reliable. */
 const warmSamples = 32;
-/** Longest ratio that one answer can tell. */
-const highestRatio = 20;
-/** Expected gaps between two free slots that may pass without one. */
-const patientGaps = 4;
+/** Cap on the ratio of one answer. */
+const maxRatio = 20;
+/** Expected release intervals without a release before waits are scaled up. */
+const toleratedGaps = 4;
 
 /** Moving average of measured over expected service time. */
 export type Slowdown = {
 	ratio: number;
-	/** When a slot was last given back. */
+	/** When a slot was last released. */
 	lastReleasedAt: number;
 };
 
-/** Creates a slowdown that says that the estimates are right. */
+/** Creates a slowdown of ratio 1. */
 export const createSlowdown = (now: number): Slowdown => ({
 	ratio: 1,
 	lastReleasedAt: now,
 });
 
-/** Takes in one answer to a request that was expected to take its mean. */
+/** Records the service time of one answer against its expected time. */
 export const recordRatio = (
 	slowdown: Slowdown,
 	estimate: ServiceTime,
@@ -42,20 +42,20 @@
 		return;
 	}
 
-	const ratio = Math.min(highestRatio, serviceMs / expectedMs);
+	const ratio = Math.min(maxRatio, serviceMs / expectedMs);
 	slowdown.ratio += (ratio - slowdown.ratio) * answerWeight;
 };
 
-/** Factor on times by recent answers; 1 unless it is beyond chance. */
+/** Factor on service times by recent answers; 1 within the noise. */
 export const getServiceFactor = ({ratio}: Slowdown): number =>
-	ratio <= chanceRatio ? 1 : ratio;
+	ratio <= noiseRatio ? 1 : ratio;
 
-/** Factor on a wait by the time since a slot was last given back. */
+/** Factor on a wait by the time since the last slot release; at least 1. */
 export const getStallFactor = (
 	slowdown: Slowdown,
 	expectedGapMs: number,
 	now: number,
 ): number => {
 	const overdueMs = now - slowdown.lastReleasedAt;
-	return Math.max(1, overdueMs / (expectedGapMs * patientGaps));
+	return Math.max(1, overdueMs / (expectedGapMs * toleratedGaps));
 };
--- a/packages/core/src/admission/state.ts
+++ b/packages/core/src/admission/state.ts
@@ -1,4 +1,4 @@
-/** State of admission for one service on one entry, and its small steps. */
+/** State of admission for one service on one entry, with queue operations. */
 import {requestClasses, type RequestClass} from '../types/contract.js';
 import {type Customer, type Ticket, type TicketQueue} from './records.js';
 import * as deadlineWheel from './deadline-wheel.js';
@@ -7,39 +7,39 @@
 import * as ticketQueue from './ticket-queue.js';
 import type {AdmissionSettings} from './types.js';
 
-/** Median service time assumed as long as no customer has terms. */
+/** Median service time assumed before any customer has terms. */
 const defaultPriorMs = 50;
 
-/** Everything that admission remembers; changed in place. */
+/** Admission state; updated in place. */
 export type AdmissionState = {
 	readonly settings: AdmissionSettings;
 	slots: number;
 	inFlight: number;
-	/** Slot time charged for what is in flight. */
+	/** Slot time charged for requests in flight. */
 	inFlightMs: number;
 	queued: number;
-	/** Queued requests by class, rescued ones with them. */
+	/** Queued requests by class, including those in `rescue`. */
 	readonly queuedByClass: number[];
 	readonly customers: Map<string, Customer>;
-	/** Customers with queued requests, in no order. */
+	/** Customers with queued requests, unordered. */
 	readonly active: Customer[];
-	/** One estimate a class, in the order of `requestClasses`. */
+	/** One estimate per class, in the order of `requestClasses`. */
 	readonly estimates: readonly serviceTime.ServiceTime[];
 	readonly slowdown: slowdowns.Slowdown;
 	readonly wheel: deadlineWheel.DeadlineWheel;
-	/** Queued requests that are late unless they go next. */
+	/** Queued requests that would be late unless they go next. */
 	readonly rescue: TicketQueue;
 	/** Virtual times of the two tiers. */
 	contractVirtual: number;
 	borrowVirtual: number;
-	/** Sum of the customers' moving averages, with its own time. */
+	/** Sum of the customers' `contractUse`, as of `contractUseAt`. */
 	contractUse: number;
-	/** Contracted requests a millisecond over all customers. */
+	/** Contracted requests per millisecond over all customers. */
 	contractedPerMs: number;
 	contractUseAt: number;
 };
 
-/** Creates the state; customers come with `updateTerms`. */
+/** Creates the state; customers are added by `updateTerms`. */
 export const createAdmission = (
 	settings: AdmissionSettings,
 	now: number,
@@ -65,11 +65,11 @@
 	contractUseAt: now,
 });
 
-/** Index of a class in `requestClasses`. */
+/** Returns the index of a class in `requestClasses`. */
 export const getClassIndex = (requestClass: RequestClass): number =>
 	requestClasses.indexOf(requestClass);
 
-/** Puts a ticket into its queue and on the wheel. */
+/** Adds a ticket to its queue and the wheel. */
 export const addToQueue = (
 	state: AdmissionState,
 	ticket: Ticket,
@@ -99,14 +99,14 @@
 	customer.activeIndex = -1;
 };
 
-const leaveCustomer = (state: AdmissionState, customer: Customer): void => {
+const decrementQueued = (state: AdmissionState, customer: Customer): void => {
 	customer.queued--;
 	if (customer.queued === 0) {
 		deactivate(state, customer);
 	}
 };
 
-/** Takes a ticket out of its queue and off the wheel, in constant time. */
+/** Removes a ticket from its queue and the wheel, in constant time. */
 export const removeFromQueue = (
 	state: AdmissionState,
 	ticket: Ticket,
@@ -118,18 +118,18 @@
 	state.queued--;
 	state.queuedByClass[ticket.classIndex]!--;
 	if (!rescued) {
-		leaveCustomer(state, customer);
+		decrementQueued(state, customer);
 	}
 };
 
-/** Moves a ticket to `rescue`; it is given up when its time comes. */
+/** Moves a ticket to `rescue`, where it is due again at `giveUpAt`. */
 export const moveToRescue = (
 	state: AdmissionState,
 	ticket: Ticket,
 	now: number,
 ): void => {
 	ticketQueue.removeTicket(ticket);
-	leaveCustomer(state, ticket.customer);
+	decrementQueued(state, ticket.customer);
 	ticketQueue.appendTicket(state.rescue, ticket);
 	deadlineWheel.removeFromWheel(state.wheel, ticket);
 	ticket.dueAt = ticket.giveUpAt;
--- a/packages/core/src/admission/terms.ts
+++ b/packages/core/src/admission/terms.ts
@@ -1,11 +1,11 @@
-/** Takes customers' terms from contracts and puts them in force. */
+/** Reads customers' terms from contracts and applies them. */
 import type {Contract} from '../types/contract.js';
 import * as customers from './customer.js';
 import * as serviceTime from './service-time.js';
 import type {AdmissionState} from './state.js';
 import type {CustomerTerms} from './types.js';
 
-/** The terms of one service in a set of contracts. */
+/** Lists the terms of one service in a set of contracts. */
 export const getTerms = (
 	contracts: Iterable<Contract>,
 	service: string,
@@ -23,9 +23,9 @@
 };
 
 /**
- * Puts the customers' terms in force. `share` is this entry's part of each
- * contracted rate, such as 1/9. Customers left out are refused from now on;
- * what they have queued stays.
+ * Applies the customers' terms. `share` is this entry's part of each
+ * contracted rate, such as 1/9. Requests of customers not in `terms` are
+ * refused from now on; those already queued stay.
  */
 export const updateTerms = (
 	state: AdmissionState,
--- a/packages/core/src/admission/ticket-queue.ts
+++ b/packages/core/src/admission/ticket-queue.ts
@@ -1,18 +1,15 @@
 /**
- * A ticket stands for one admitted request. It is a node of two doubly linked
- * lists (its class's queue and a list of the deadline wheel), so that it
- * leaves both in constant time from any place.
+ * Doubly linked queue of tickets. A ticket is a node of its class's queue and
+ * of a list of the deadline wheel, and is removed from both in constant time.
  */
 import type {Ticket, TicketQueue} from './records.js';
 
-/** Creates an empty queue. */
 export const createTicketQueue = (): TicketQueue => ({
 	head: undefined,
 	tail: undefined,
 	length: 0,
 });
 
-/** Adds a ticket at the end. */
 export const appendTicket = (queue: TicketQueue, ticket: Ticket): void => {
 	ticket.queue = queue;
 	ticket.queuePrevious = queue.tail;
@@ -26,7 +23,7 @@
 	queue.length++;
 };
 
-/** Takes a ticket out of its queue, from any place. */
+/** Removes a ticket from its queue, if it is in one. */
 export const removeTicket = (ticket: Ticket): void => {
 	const {queue, queuePrevious, queueNext} = ticket;
 	if (!queue) {
--- a/packages/core/src/admission/token-bucket.ts
+++ b/packages/core/src/admission/token-bucket.ts
@@ -1,6 +1,5 @@
 /** Token bucket: a rate with a bounded burst, refilled when it is read. */
 
-/** One bucket. */
 export type TokenBucket = {
 	tokens: number;
 	depth: number;
@@ -15,7 +14,7 @@
 	now: number,
 ): TokenBucket => ({tokens: depth, depth, tokensPerMs, refilledAt: now});
 
-/** Adds what has accrued since the last call; returns the tokens held. */
+/** Adds the tokens accrued since the last call; returns the tokens held. */
 export const refillTokens = (bucket: TokenBucket, now: number): number => {
 	const passedMs = now - bucket.refilledAt;
 	if (passedMs > 0) {
@@ -27,7 +26,7 @@
 	return bucket.tokens;
 };
 
-/** Changes rate and depth; tokens held stay, up to the new depth. */
+/** Changes rate and depth; tokens above the new depth are lost. */
 export const updateTokenBucket = (
 	bucket: TokenBucket,
 	depth: number,
--- a/packages/core/src/admission/types.ts
+++ b/packages/core/src/admission/types.ts
@@ -1,6 +1,6 @@
 /**
- * Types of admission: which request of one service gets a slot, which waits
- * and which is refused. Source: docs/design/admission.md.
+ * Settings and input types of admission control.
+ * Source: docs/design/admission.md.
  */
 import type {ErrorKind} from '../errors/error-table.js';
 import type {RequestClass} from '../types/contract.js';
@@ -11,39 +11,39 @@
 	readonly slots: number;
 	/** Requests queued at once over all customers, at most. */
 	readonly maxQueued: number;
-	/** Time that a request and its answer spend between caller and entry. */
+	/** Transit time of a request and its answer between caller and entry. */
 	readonly transitMs: number;
-	/** Depth of a customer's token bucket, as time at its contracted rate. */
+	/** Depth of a customer's token bucket, in time at its contracted rate. */
 	readonly burstMs: number;
-	/** Least depth of a customer's token bucket, in requests. */
+	/** Minimum depth of a customer's token bucket, in requests. */
 	readonly minBurst: number;
 	/**
-	 * How much later a class counts as arrived, as a share of the customer's
+	 * Delay added to the arrival time of a class, as a share of the customer's
 	 * `answerWithinMs`; a request that has waited longer than the difference
 	 * goes before a newer one of a more urgent class.
 	 */
 	readonly agingShare: Readonly<Record<RequestClass, number>>;
 	/**
-	 * Median service time assumed before anything was measured, as a share of
-	 * the shortest `answerWithinMs`.
+	 * Median service time assumed before the first sample, as a share of the
+	 * shortest `answerWithinMs`.
 	 */
 	readonly priorShare: number;
-	/** Age at which a measured service time counts half. */
+	/** Half-life of the weight of a measured service time. */
 	readonly halfLifeMs: number;
-	/** Factor on the predicted wait of a request inside its contract. */
+	/** Factor on the predicted wait of a request within its contract. */
 	readonly contractMargin: number;
 	/** Factor on the predicted wait of a request above its contract. */
 	readonly borrowMargin: number;
 	/** Slot releases within which a rescued request is expected to get one. */
 	readonly rescueReleases: number;
-	/** One request is tried this often although the estimate forbids it. */
+	/** Interval at which one request is sent despite a too high estimate. */
 	readonly probeEveryMs: number;
-	/** Bounds of the time after which a refused caller is told to return. */
+	/** Bounds of the retry delay that a refused caller is given. */
 	readonly minRetryAfterMs: number;
 	readonly maxRetryAfterMs: number;
 };
 
-/** Settings that suit the sizes of docs/design/admission.md. */
+/** Default settings. Source: docs/design/admission.md. */
 export const defaultSettings: AdmissionSettings = {
 	slots: 8,
 	maxQueued: 10_000,
@@ -61,7 +61,7 @@
 	maxRetryAfterMs: 10_000,
 };
 
-/** What admission needs of one customer's contract for the service. */
+/** The part of a customer's contract that admission uses. */
 export type CustomerTerms = {
 	readonly customer: string;
 	readonly weight: number;
@@ -69,20 +69,20 @@
 	readonly requestsPerSecond: number;
 };
 
-/** One request as it is offered. */
+/** A request as passed to `offer`. */
 export type AdmissionRequest = {
 	readonly id: string;
 	readonly customer: string;
 	readonly class: RequestClass;
-	/** Time that the caller waits, if shorter than its contract's. */
+	/** Time that the caller waits, if shorter than in its contract. */
 	readonly timeoutMs?: number;
 };
 
-/** Errors by which admission refuses; all have the outcome `not-run`. */
+/** Errors with which requests are refused; all have the outcome `not-run`. */
 export type RefusalKind = Extract<
 	ErrorKind,
 	'overloaded' | 'over-contract' | 'deadline-in-queue' | 'forbidden'
 >;
 
-/** Where a ticket stands; `done` is final. */
+/** State of a ticket; `done` is final. */
 export type TicketState = 'queued' | 'in-flight' | 'done';
--- a/packages/core/src/limits/allocation.ts
+++ b/packages/core/src/limits/allocation.ts
@@ -1,9 +1,9 @@
-/** How a home divides free credits over its borrowers. */
+/** How a credit coordinator divides free credits among its borrowers. */
 import type {CreditCoordinator, Session} from './coordinator-ledger.js';
-import * as books from './coordinator-ledger.js';
+import * as ledger from './coordinator-ledger.js';
 import * as messages from './messages.js';
 
-/** Requests of a session that wait and have no credit on its way. */
+/** Deadlines of waiting requests that no unacknowledged grant covers. */
 const getUnmet = (session: Session): readonly number[] =>
 	session.open
 		? session.waiting.slice(
@@ -26,7 +26,7 @@
 	return picked;
 };
 
-/** The executor with most free slots; equals take turns. */
+/** Picks the executor with most free slots; `turn` rotates between equals. */
 const pickExecutor = (
 	free: ReadonlyMap<string, number>,
 	avoid: ReadonlySet<string>,
@@ -48,11 +48,11 @@
 };
 
 const grantOne = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	session: Session,
 	free: Map<string, number>,
 ): boolean => {
-	const executor = pickExecutor(free, session.avoid, home.grants);
+	const executor = pickExecutor(free, session.avoid, coordinator.grants);
 	if (executor === undefined) {
 		return false;
 	}
@@ -60,17 +60,17 @@
 	messages.addCount(free, executor, -1);
 	messages.addCount(session.granted, executor, 1);
 	session.dirty = true;
-	home.grants++;
+	coordinator.grants++;
 	return true;
 };
 
-/** Grants free credits one by one, each to the earliest deadline. */
+/** Grants free credits one by one, each to the earliest deadline waiting. */
 export const grantSlots = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	free: Map<string, number>,
 ) => {
 	const unmet = new Map<Session, number[]>();
-	for (const session of home.sessions.values()) {
+	for (const session of coordinator.sessions.values()) {
 		const waiting = getUnmet(session);
 		if (waiting.length > 0) {
 			unmet.set(session, [...waiting]);
@@ -82,7 +82,7 @@
 		session;
 		session = pickMostUrgent(unmet)
 	) {
-		if (grantOne(home, session, free)) {
+		if (grantOne(coordinator, session, free)) {
 			unmet.get(session)?.shift();
 		} else {
 			unmet.delete(session);
@@ -90,24 +90,27 @@
 	}
 
 	if (unmet.size === 0) {
-		parkSlots(home, free);
+		grantSpares(coordinator, free);
 	}
 };
 
-/** Credits that the borrower has or will have without a request for them. */
-const countParked = (session: Session): number =>
+/** Credits granted to a borrower beyond its waiting requests. */
+const countUnrequested = (session: Session): number =>
 	session.spare +
 	messages.sumCounts(session.granted) -
 	session.grantedSeen -
 	session.waiting.length;
 
-/** Free credits that stay with the home, for the next request anywhere. */
-const keptFree = 2;
+/** Free credits kept for the next request of any entry. */
+const reservedCredits = 2;
 
-/** Gives each entry without a spare credit one in advance, while there are. */
-const parkSlots = (home: CreditCoordinator, free: Map<string, number>) => {
-	let left = messages.sumCounts(free) - keptFree;
-	for (const session of home.sessions.values()) {
+/** Grants one credit in advance to each entry without a spare one. */
+const grantSpares = (
+	coordinator: CreditCoordinator,
+	free: Map<string, number>,
+) => {
+	let left = messages.sumCounts(free) - reservedCredits;
+	for (const session of coordinator.sessions.values()) {
 		if (left <= 0) {
 			return;
 		}
@@ -115,15 +118,15 @@
 		if (
 			session.open &&
 			!session.leaving &&
-			home.members.includes(session.borrower) &&
-			countParked(session) <= 0
+			coordinator.members.includes(session.borrower) &&
+			countUnrequested(session) <= 0
 		) {
-			left -= grantOne(home, session, free) ? 1 : 0;
+			left -= grantOne(coordinator, session, free) ? 1 : 0;
 		}
 	}
 };
 
-/** Counts recalled and not yet given back. */
+/** Credits recalled and not yet released. */
 const getPendingRecall = (session: Session, executor: string): number =>
 	Math.max(
 		0,
@@ -131,12 +134,15 @@
 			(session.released.get(executor) ?? 0),
 	);
 
-const recallOne = (home: CreditCoordinator, executor: string): boolean => {
+const recallOne = (
+	coordinator: CreditCoordinator,
+	executor: string,
+): boolean => {
 	let picked: Session | undefined;
 	let most = 0;
-	for (const session of home.sessions.values()) {
+	for (const session of coordinator.sessions.values()) {
 		const left =
-			books.getOutstanding(session, executor) -
+			ledger.getOutstanding(session, executor) -
 			getPendingRecall(session, executor);
 		if (left > most) {
 			picked = session;
@@ -158,55 +164,58 @@
 };
 
 const countPendingRecalls = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	executor: string,
 ): number => {
 	let pending = 0;
-	for (const session of home.sessions.values()) {
+	for (const session of coordinator.sessions.values()) {
 		pending += session.open ? getPendingRecall(session, executor) : 0;
 	}
 
 	return pending;
 };
 
-const hasUnmet = (home: CreditCoordinator): boolean =>
-	[...home.sessions.values()].some((each) => getUnmet(each).length > 0);
+const hasUnmet = (coordinator: CreditCoordinator): boolean =>
+	[...coordinator.sessions.values()].some((each) => getUnmet(each).length > 0);
 
 /**
- * Where more is out than may be, asks those that hold most to give back; when
- * requests wait, asks for every spare credit.
+ * Recalls credits of overcommitted executors from the borrowers that hold
+ * most. If requests wait without a credit, reports a spare limit of 0 to all
+ * borrowers with spare credits.
  */
 export const recallSlots = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	free: ReadonlyMap<string, number>,
 ) => {
 	for (const [executor, count] of free) {
-		let short = count < 0 ? -count - countPendingRecalls(home, executor) : 0;
-		while (short > 0 && recallOne(home, executor)) {
-			short--;
+		let missing =
+			count < 0 ? -count - countPendingRecalls(coordinator, executor) : 0;
+		while (missing > 0 && recallOne(coordinator, executor)) {
+			missing--;
 		}
 	}
 
-	if (!hasUnmet(home)) {
+	if (!hasUnmet(coordinator)) {
 		return;
 	}
 
-	for (const session of home.sessions.values()) {
-		session.dirty ||= countParked(session) > 0 && session.sentSpareLimit > 0;
+	for (const session of coordinator.sessions.values()) {
+		session.dirty ||=
+			countUnrequested(session) > 0 && session.sentSpareLimit > 0;
 	}
 };
 
-/** Part of the idle credits that borrowers may keep together. */
-const parkedFraction = 0.5;
+/** Part of the idle credits that all borrowers together may keep as spares. */
+const spareFraction = 0.5;
 
-/** What a message tells besides grants. */
+/** Spare limit and most urgent deadline elsewhere, sent with each grant. */
 export const getHints = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	session: Session,
 	{free, now}: {readonly free: ReadonlyMap<string, number>; now: number},
 ): {spareLimit: number; urgentMs: number} => {
 	let urgentAt = Number.POSITIVE_INFINITY;
-	for (const other of home.sessions.values()) {
+	for (const other of coordinator.sessions.values()) {
 		const [first] = getUnmet(other);
 		if (first !== undefined && other !== session) {
 			urgentAt = Math.min(urgentAt, first);
@@ -222,10 +231,11 @@
 		idle += Math.max(0, count);
 	}
 
-	for (const other of home.sessions.values()) {
+	for (const other of coordinator.sessions.values()) {
 		idle += other.spare;
 	}
 
-	const limit = (idle * parkedFraction) / Math.max(1, home.members.length);
+	const limit =
+		(idle * spareFraction) / Math.max(1, coordinator.members.length);
 	return {spareLimit: Math.max(1, Math.floor(limit)), urgentMs: -1};
 };
--- a/packages/core/src/limits/borrower-slots.ts
+++ b/packages/core/src/limits/borrower-slots.ts
@@ -1,24 +1,25 @@
 /**
- * Use of a borrower's credits: take a slot for a request, end it, give back
- * what is not needed. Functions change the given state.
+ * Use of a borrower's credits: acquire a slot for a request, finish it, and
+ * release credits that are not needed. Functions change the given state.
  */
 import type {Borrower} from './borrower.js';
 import * as borrowers from './borrower.js';
 import * as messages from './messages.js';
 
-/** A request elsewhere must be this much more urgent to be let past. */
+/** How much more urgent a request of another entry must be to go first. */
 const yieldMarginMs = 50;
 
-/** A request elsewhere that should have the next free slot. */
+/** True if a request of another entry should get the next free slot. */
 const isMoreUrgentElsewhere = (
 	borrower: Borrower,
 	deadlineMs: number,
 ): boolean => deadlineMs > borrower.urgentAtMs + yieldMarginMs;
 
 /**
- * Takes a slot for one request: of the executors with a credit, the least
- * loaded for its weight (health, slow start; 0 is not used). Undefined if no
- * credit is free or one should go to a more urgent request elsewhere.
+ * Acquires a slot for one request on the executor with a free credit and the
+ * lowest load relative to its weight (from health and slow start; 0 excludes
+ * it). Undefined if no credit is free, or if the credit was released in favor
+ * of a more urgent request of another entry.
  */
 export const acquireSlot = (
 	borrower: Borrower,
@@ -57,33 +58,38 @@
 	return picked;
 };
 
-const release = (borrower: Borrower, executor: string, count: number) => {
+const releaseCredits = (
+	borrower: Borrower,
+	executor: string,
+	count: number,
+) => {
 	if (count > 0) {
 		messages.addCount(borrower.released, executor, count);
 		borrower.dirty = true;
 	}
 };
 
-/** The request has ended, in whatever way; its credit is spare again. */
+/** Ends a request with any result; its credit is spare again. */
 export const finishSlot = (borrower: Borrower, executor: string) => {
 	messages.addCount(borrower.inFlight, executor, -1);
 	borrower.endedSinceRotation++;
 };
 
 /**
- * One request in so many gives a spare credit back, so that the home grants
- * another: else a quiet entry would keep to the executors that it began with.
+ * Finished requests after which a spare credit is released, so that the
+ * coordinator grants one of another executor: an entry with little load would
+ * otherwise use the same executors forever.
  */
-const requestsPerTurn = 8;
+const requestsPerRotation = 8;
 
-const takeTurn = (borrower: Borrower, waiting: number) => {
-	if (borrower.endedSinceRotation < requestsPerTurn || waiting > 0) {
+const rotateSpare = (borrower: Borrower, waiting: number) => {
+	if (borrower.endedSinceRotation < requestsPerRotation || waiting > 0) {
 		return;
 	}
 
 	for (const executor of borrower.executors) {
 		if (borrowers.getSpare(borrower, executor) > 0) {
-			release(borrower, executor, 1);
+			releaseCredits(borrower, executor, 1);
 			borrower.endedSinceRotation = 0;
 			return;
 		}
@@ -91,8 +97,8 @@
 };
 
 /**
- * Gives back what is recalled, what is on executors not used, and all beyond
- * what the home lets the entry keep or the waiting requests will use.
+ * Releases credits that are recalled, that are for unusable executors, or that
+ * exceed both the coordinator's spare limit and the waiting requests.
  */
 export const releaseSpares = (
 	borrower: Borrower,
@@ -102,15 +108,19 @@
 	borrowers.expireLease(borrower, now);
 	const avoid = new Set(borrower.avoid);
 	for (const executor of borrower.executors) {
-		const asked = borrowers.getRecalled(borrower, executor);
+		const recalled = borrowers.getRecalled(borrower, executor);
 		const spare = borrowers.getSpare(borrower, executor);
 		const unusable =
 			avoid.has(executor) || !borrower.members.slots.has(executor);
-		release(borrower, executor, unusable ? spare : Math.min(spare, asked));
+		releaseCredits(
+			borrower,
+			executor,
+			unusable ? spare : Math.min(spare, recalled),
+		);
 	}
 
 	const limit = borrowers.isLeaving(borrower) ? 0 : borrower.spareLimit;
-	takeTurn(borrower, waiting);
+	rotateSpare(borrower, waiting);
 	let excess = borrowers.countSpare(borrower) - Math.max(limit, waiting);
 	for (const executor of borrower.executors) {
 		if (excess <= 0) {
@@ -118,12 +128,12 @@
 		}
 
 		const count = Math.min(excess, borrowers.getSpare(borrower, executor));
-		release(borrower, executor, count);
+		releaseCredits(borrower, executor, count);
 		excess -= count;
 	}
 };
 
-/** Executors that health has taken out; their credits go back. */
+/** Sets the executors that health has ejected; their credits are released. */
 export const updateAvoid = (borrower: Borrower, avoid: readonly string[]) => {
 	borrower.avoid = avoid;
 	borrower.dirty = true;
--- a/packages/core/src/limits/borrower.ts
+++ b/packages/core/src/limits/borrower.ts
@@ -1,33 +1,34 @@
 /**
- * Borrower side of slot credits: what one entry may send to the executors of
- * one pool. The entry uses only credits that it holds: carried into the
- * session, plus granted, less released. A lease renewed by the home's answers
- * limits the time of use, counted from the entry's own report; without a
- * lease the entry falls to its static share. Functions change the given state.
+ * Borrower side of slot credits: how many requests one entry may send to each
+ * executor of one pool. The entry uses only credits that it holds: those
+ * carried into the session, plus granted, minus released. They are leased: the
+ * coordinator's answers renew the lease, counted from the report that they
+ * answer. Without a lease the entry is limited to its static share. Functions
+ * change the given state.
  */
 import type {CreditGrant, CreditReport, CreditSettings} from './messages.js';
 import * as messages from './messages.js';
 import * as rendezvous from './rendezvous.js';
 import * as staticShare from './static-share.js';
 
-/** What an entry knows of the fleet for one pool. */
+/** Fleet members of one pool as an entry sees them. */
 export type PoolMembers = {
-	/** Listed entries, by entry and incarnation, without those that ended. */
+	/** Listed entries, by entry and incarnation, without terminated ones. */
 	readonly listed: readonly string[];
-	/** Listed entries that have not been heard of for a while. */
+	/** Listed entries that no message was received from for a while. */
 	readonly unresponsive: ReadonlySet<string>;
-	/** Entries about to stop: members still, but no homes. */
+	/** Entries about to stop: still members, but not picked as coordinator. */
 	readonly leaving: ReadonlySet<string>;
 	/**
-	 * Entries whose process has surely ended, so that all its connections are
-	 * closed: the host is there and refuses connections to its port.
+	 * Entries whose process has certainly terminated, so that its connections
+	 * are closed: the host answers and refuses connections to its port.
 	 */
 	readonly ended: ReadonlySet<string>;
 	/** Slots of each executor that may be used. */
 	readonly slots: ReadonlyMap<string, number>;
 };
 
-/** Credits of one entry for one pool. Times by the entry's own clock, ms. */
+/** Credits of one entry for one pool. Times by the local clock, ms. */
 export type Borrower = {
 	readonly pool: string;
 	readonly self: string;
@@ -36,34 +37,34 @@
 	shares: ReadonlyMap<string, number>;
 	coordinator: string | undefined;
 	session: number;
-	/** Term of the home; empty until its first answer of the session. */
+	/** Term of the coordinator; empty until its first answer in the session. */
 	term: string;
 	carried: Map<string, number>;
-	/** Part of `carried` that is in use on a lease that is over. */
+	/** Part of `carried` that is still in use after its lease expired. */
 	expired: ReadonlyMap<string, number>;
 	granted: Map<string, number>;
 	released: Map<string, number>;
 	recalled: Map<string, number>;
 	readonly inFlight: Map<string, number>;
-	/** Requests that have ended since a credit was given back in turn. */
+	/** Requests finished since a spare credit was released for rotation. */
 	endedSinceRotation: number;
-	/** Every executor that credits are or were held for. */
+	/** Every executor for which credits are or were held. */
 	readonly executors: Set<string>;
-	/** Credits beyond the static share may be used until then. */
+	/** Until when credits beyond the static share may be used. */
 	leaseUntilMs: number;
-	/** When the newest report that the home has answered was sent. */
+	/** When the newest report that the coordinator has answered was sent. */
 	acknowledgedAtMs: number;
-	/** Without an answer, the static share is used from here. */
+	/** When the static share comes into use unless an answer arrives. */
 	fallbackAtMs: number;
-	/** When the entry turned to this home. */
+	/** When the entry started to follow this coordinator. */
 	followsSinceMs: number;
 	settleUntilMs: number;
 	echoMs: number;
 	lastReportMs: number;
-	/** True if the home should hear a change now. */
+	/** True if a report should be sent now. */
 	dirty: boolean;
 	spareLimit: number;
-	/** Deadline of the most urgent request waiting elsewhere; or infinite. */
+	/** Deadline of the most urgent request waiting elsewhere, or infinite. */
 	urgentAtMs: number;
 	avoid: readonly string[];
 };
@@ -76,14 +77,14 @@
 	slots: new Map(),
 };
 
-/** What a home that resigns leaves to the borrower of its entry. */
+/** Credits that a resigning coordinator hands to the borrower of its entry. */
 export type CreditHandover = {
 	readonly free: ReadonlyMap<string, number>;
-	/** Time for which that home knows of credits elsewhere. */
+	/** Time for which credits may still be in use by other entries. */
 	readonly settleMs: number;
 };
 
-/** Starts without credits and without a home. */
+/** Creates a borrower without credits or a coordinator. */
 export const createBorrower = (
 	pool: string,
 	self: string,
@@ -125,7 +126,7 @@
 	(borrower.granted.get(executor) ?? 0) -
 	(borrower.released.get(executor) ?? 0);
 
-/** Credits that the home has asked back and that are not given back yet. */
+/** Credits that the coordinator has recalled and that are not yet released. */
 export const getRecalled = (borrower: Borrower, executor: string): number =>
 	Math.max(
 		0,
@@ -133,7 +134,11 @@
 			(borrower.released.get(executor) ?? 0),
 	);
 
-const getKept = (borrower: Borrower, executor: string, now: number): number => {
+const getLeased = (
+	borrower: Borrower,
+	executor: string,
+	now: number,
+): number => {
 	const held = getHeld(borrower, executor);
 	return now < borrower.leaseUntilMs
 		? held
@@ -147,7 +152,7 @@
 	now: number,
 ): number =>
 	Math.min(
-		getKept(borrower, executor, now),
+		getLeased(borrower, executor, now),
 		getHeld(borrower, executor) - getRecalled(borrower, executor),
 	);
 
@@ -155,7 +160,7 @@
 export const getInFlight = (borrower: Borrower, executor: string): number =>
 	borrower.inFlight.get(executor) ?? 0;
 
-/** Begins a session with what is held now, or at least a given count. */
+/** Starts a session with the credits held now, or at least a given count. */
 const startSession = (
 	borrower: Borrower,
 	now: number,
@@ -165,13 +170,13 @@
 	const expired = new Map<string, number>();
 	for (const executor of borrower.executors) {
 		const kept = Math.max(
-			getKept(borrower, executor, now),
+			getLeased(borrower, executor, now),
 			atLeast.get(executor) ?? 0,
 		);
 		const count = Math.max(kept, getInFlight(borrower, executor));
 		if (count > 0) {
 			carried.set(executor, count);
-			// What ran on a lease that is over goes back, and is not used again.
+			// Credits in use after their lease expired are recalled, not reused.
 			expired.set(executor, count - kept);
 		}
 	}
@@ -190,10 +195,10 @@
 };
 
 /**
- * When the lease has run out the session is over, since the home may have
- * closed it: what is left, in use or of the static share, is carried into a
- * new one. That no session outlives its lease keeps late copies of its first
- * report harmless.
+ * Ends the session when its lease has expired, since the coordinator may have
+ * closed it: credits in use and the static share are carried into a new
+ * session. Since no session outlives its lease, late copies of its first
+ * report have no effect.
  */
 export const expireLease = (borrower: Borrower, now: number) => {
 	const {leaseUntilMs} = borrower;
@@ -203,35 +208,36 @@
 	}
 };
 
-/** Not to be reached, and perhaps still granting to others. */
+/** True if a member is unreachable and may still grant credits to others. */
 const isLost = (members: PoolMembers, member: string): boolean =>
 	!members.ended.has(member) &&
 	(!members.listed.includes(member) || members.unresponsive.has(member));
 
-/** The home that an entry with this knowledge follows. */
+/** Picks the coordinator that an entry with these members follows. */
 export const pickCoordinator = (
 	pool: string,
 	self: string,
 	{listed, unresponsive, leaving}: PoolMembers,
 ): string | undefined => {
-	const heard = listed.filter(
+	const responsive = listed.filter(
 		(each) => each === self || !unresponsive.has(each),
 	);
-	const staying = heard.filter((each) => !leaving.has(each));
-	return rendezvous.pickMember(pool, staying.length > 0 ? staying : heard);
+	const staying = responsive.filter((each) => !leaving.has(each));
+	return rendezvous.pickMember(pool, staying.length > 0 ? staying : responsive);
 };
 
 /**
- * Takes over new knowledge of the fleet; moves to another home if it names
- * one, with all credits and those of a home on this entry that resigns.
+ * Applies changed members. If another coordinator is picked, a new session
+ * carries over all credits, including those handed over by a coordinator on
+ * this entry that resigns.
  */
 export const updateMembers = (
 	borrower: Borrower,
 	members: PoolMembers,
 	now: number,
-	inherited?: CreditHandover,
+	handover?: CreditHandover,
 ) => {
-	const {settings, self, pool, coordinator: oldHome} = borrower;
+	const {settings, self, pool, coordinator: previous} = borrower;
 	borrower.members = members;
 	for (const executor of members.slots.keys()) {
 		borrower.executors.add(executor);
@@ -249,37 +255,38 @@
 	);
 	borrower.settleUntilMs = Math.max(
 		borrower.settleUntilMs,
-		now + (inherited?.settleMs ?? 0),
+		now + (handover?.settleMs ?? 0),
 	);
-	const home = pickCoordinator(pool, self, members);
-	if (home === oldHome) {
+	const coordinator = pickCoordinator(pool, self, members);
+	if (coordinator === previous) {
 		return;
 	}
 
 	const settleMs = messages.getSettleMs(settings);
-	if (oldHome !== undefined && isLost(members, oldHome)) {
-		// What the old home granted to others ends so long after its last answer.
+	if (previous !== undefined && isLost(members, previous)) {
+		// Credits that the previous coordinator granted to others may be in use
+		// for this long after its last answer.
 		borrower.settleUntilMs = Math.max(
 			borrower.settleUntilMs,
 			Math.max(borrower.acknowledgedAtMs, borrower.followsSinceMs) + settleMs,
 		);
 	}
 
-	for (const [executor, count] of inherited?.free ?? []) {
+	for (const [executor, count] of handover?.free ?? []) {
 		borrower.executors.add(executor);
 		messages.addCount(borrower.granted, executor, count);
 	}
 
-	borrower.coordinator = home;
+	borrower.coordinator = coordinator;
 	borrower.followsSinceMs = now;
 	borrower.fallbackAtMs = now + settleMs;
 	startSession(borrower, now, new Map());
 };
 
 /**
- * Called at least once a heartbeat. When the home has been silent for so long
- * that it has surely set this entry's static share aside, that share is
- * carried into a new session and used.
+ * Call at least once per heartbeat. When the coordinator has been unresponsive
+ * for so long that it must have reserved this entry's static share, a new
+ * session with that share is started.
  */
 export const updateBorrower = (borrower: Borrower, now: number) => {
 	expireLease(borrower, now);
@@ -293,7 +300,7 @@
 	}
 };
 
-/** Takes in a message of the home; one of another session has no effect. */
+/** Applies a message of the coordinator; one of another session is ignored. */
 export const receiveGrant = (
 	borrower: Borrower,
 	grant: CreditGrant,
@@ -325,7 +332,8 @@
 
 	messages.raiseCounts(borrower.recalled, grant.recalled);
 	borrower.acknowledgedAtMs = Math.max(borrower.acknowledgedAtMs, grant.echoMs);
-	// The home may count its own message as heard until it came in here.
+	// Counted from arrival: the coordinator may count this entry as a follower
+	// from any time up to now.
 	borrower.fallbackAtMs = now + messages.getSettleMs(borrower.settings);
 	if (grant.leased) {
 		const untilMs = grant.echoMs + borrower.settings.leaseMs;
@@ -354,14 +362,13 @@
 	return spare;
 };
 
-/** True if this entry is about to stop. */
 export const isLeaving = ({members, self}: Borrower): boolean =>
 	members.leaving.has(self);
 
-/** Deadlines of waiting requests that one report names, at most. */
+/** Maximum number of waiting requests whose deadlines a report contains. */
 const maxReportedWaiting = 64;
 
-/** The report to send to the home now. */
+/** Creates the report to send to the coordinator now. */
 export const createReport = (
 	borrower: Borrower,
 	waitingDeadlines: readonly number[],
--- a/packages/core/src/limits/coordinator-ledger.ts
+++ b/packages/core/src/limits/coordinator-ledger.ts
@@ -1,10 +1,11 @@
 /**
- * Books of a home: what each borrower may hold, what is free, and who follows.
+ * Ledger of a credit coordinator: the credits that each borrower may hold,
+ * the free credits, and the entries that follow the coordinator.
  */
 import type {CreditSettings} from './messages.js';
 import * as rendezvous from './rendezvous.js';
 
-/** One borrower's session. Times by the home's clock, in milliseconds. */
+/** One borrower's session. Times by the coordinator's clock, in ms. */
 export type Session = {
 	readonly borrower: string;
 	readonly id: number;
@@ -12,12 +13,12 @@
 	readonly granted: Map<string, number>;
 	readonly released: Map<string, number>;
 	readonly recalled: Map<string, number>;
-	/** Closed: its credits have run out; only the number is remembered. */
+	/** False once its credits have expired; only the id is still used. */
 	open: boolean;
 	lastReportAtMs: number;
-	/** The borrower follows this home at least so long. */
+	/** The borrower follows this coordinator at least until then. */
 	followsUntilMs: number;
-	/** From here on no other home counts the borrower as following it. */
+	/** From then on no other coordinator counts the borrower as a follower. */
 	exclusiveFromMs: number;
 	/** Borrower's clock in its last report. */
 	borrowerAtMs: number;
@@ -29,56 +30,56 @@
 	leaving: boolean;
 	sentAtMs: number;
 	sentSpareLimit: number;
-	/** True if there is something to tell. */
+	/** True if a grant message should be sent now. */
 	dirty: boolean;
 };
 
 /** Static share by entry and executor. */
 export type Shares = ReadonlyMap<string, ReadonlyMap<string, number>>;
 
-/** The home of one pool. */
+/** Credit coordinator of one pool. */
 export type CreditCoordinator = {
 	readonly pool: string;
 	readonly term: string;
-	/** The entry that this home is on. */
+	/** The entry that runs this coordinator. */
 	readonly self: string;
 	readonly settings: CreditSettings;
 	readonly startedAtMs: number;
 	readonly sessions: Map<string, Session>;
-	/** Grants so far; executors equally free take turns by it. */
+	/** Number of grants; rotates between executors that are equally free. */
 	grants: number;
-	/** Credits that borrowers have brought along. */
+	/** Credits by executor that borrowers carried into their sessions. */
 	readonly carriedIn: Map<string, number>;
-	/** Older grants of other homes have run out from here on. */
+	/** When older grants of other coordinators have expired. */
 	settledAtMs: number;
-	/** True once older grants have run out, so that all slots are known. */
+	/** True once older grants have expired and all slots are accounted for. */
 	complete: boolean;
 	/**
-	 * True while most of the listed entries follow this home; once complete,
-	 * only those count that no other home can count.
+	 * True while a majority of the listed entries follow this coordinator; once
+	 * complete, only entries count that no other coordinator can count.
 	 */
 	hasMajority: boolean;
-	/** When it last led, or started. */
+	/** When it last had a majority, or started. */
 	lastMajorityAtMs: number;
 	/**
-	 * Listed entries whose static share another home may count on, since they
-	 * do not follow this one or have not for long.
+	 * Listed entries whose static share another coordinator may rely on, since
+	 * they do not follow this one or have only recently started to.
 	 */
 	absent: readonly string[];
-	/** Those of them that have turned to this home, but not for long. */
+	/** Absent entries that have recently started to follow this coordinator. */
 	joining: ReadonlySet<string>;
 	members: readonly string[];
 	slots: ReadonlyMap<string, number>;
 	shares: Shares;
-	/** Shares before the list changed, still in use by absent entries. */
+	/** Shares before the list changed, which absent entries may still use. */
 	previousShares: Shares;
 	previousSharesUntilMs: number;
 };
 
 /**
- * Credits of one executor that the borrower may hold, by this home's books.
- * Late copies from a session that the home has forgotten may give back more
- * than this one holds; they free nothing.
+ * Credits of one executor that the borrower may hold, by this ledger. Late
+ * copies of a report from a removed session may release more than this one
+ * holds, so the result is at least 0.
  */
 export const getOutstanding = (session: Session, executor: string): number =>
 	session.open
@@ -92,11 +93,11 @@
 
 /** Credits of one executor that all borrowers may hold. */
 export const sumOutstanding = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	executor: string,
 ): number => {
 	let outstanding = 0;
-	for (const session of home.sessions.values()) {
+	for (const session of coordinator.sessions.values()) {
 		outstanding += getOutstanding(session, executor);
 	}
 
@@ -104,33 +105,37 @@
 };
 
 /**
- * Credits of an absent entry that stand for its share. Of one that is joining
- * only those it brought: its share may be in use by the home that it left.
+ * Credits of an absent entry that count toward its share. For a joining entry
+ * only carried credits count: the coordinator that it left may still rely on
+ * its share.
  */
 const getAccounted = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	member: string,
 	executor: string,
 ): number => {
-	const session = home.sessions.get(member);
+	const session = coordinator.sessions.get(member);
 	if (!session) {
 		return 0;
 	}
 
 	const outstanding = getOutstanding(session, executor);
-	return home.joining.has(member)
+	return coordinator.joining.has(member)
 		? Math.min(session.carried.get(executor) ?? 0, outstanding)
 		: outstanding;
 };
 
-/** What stays set aside for the static shares of absent entries. */
-const getReserved = (home: CreditCoordinator, executor: string): number => {
+/** Credits reserved for the static shares of absent entries. */
+const getReserved = (
+	coordinator: CreditCoordinator,
+	executor: string,
+): number => {
 	let reserved = 0;
-	for (const member of home.absent) {
-		const held = getAccounted(home, member, executor);
+	for (const member of coordinator.absent) {
+		const held = getAccounted(coordinator, member, executor);
 		const share = Math.max(
-			home.shares.get(member)?.get(executor) ?? 0,
-			home.previousShares.get(member)?.get(executor) ?? 0,
+			coordinator.shares.get(member)?.get(executor) ?? 0,
+			coordinator.previousShares.get(member)?.get(executor) ?? 0,
 		);
 		reserved += Math.max(0, share - held);
 	}
@@ -138,40 +143,47 @@
 	return reserved;
 };
 
-/** Slots of one executor that are this home's to divide. */
-const getTotal = (home: CreditCoordinator, executor: string): number => {
-	if (home.hasMajority) {
-		return home.slots.get(executor) ?? 0;
+/** Slots of one executor that this coordinator may grant. */
+const getTotal = (coordinator: CreditCoordinator, executor: string): number => {
+	if (coordinator.hasMajority) {
+		return coordinator.slots.get(executor) ?? 0;
 	}
 
 	let shared = 0;
-	for (const shares of home.shares.values()) {
+	for (const shares of coordinator.shares.values()) {
 		shared += shares.get(executor) ?? 0;
 	}
 
 	return shared;
 };
 
-const getFreeOf = (home: CreditCoordinator, executor: string): number => {
-	const outstanding = sumOutstanding(home, executor);
+const getFreeOf = (
+	coordinator: CreditCoordinator,
+	executor: string,
+): number => {
+	const outstanding = sumOutstanding(coordinator, executor);
 	const free =
-		getTotal(home, executor) - outstanding - getReserved(home, executor);
-	return home.complete
+		getTotal(coordinator, executor) -
+		outstanding -
+		getReserved(coordinator, executor);
+	return coordinator.complete
 		? free
-		: Math.min(free, (home.carriedIn.get(executor) ?? 0) - outstanding);
+		: Math.min(free, (coordinator.carriedIn.get(executor) ?? 0) - outstanding);
 };
 
-/** Slots by executor that may be granted; below 0, too many are out. */
-export const getFree = (home: CreditCoordinator): Map<string, number> => {
+/** Free slots by executor; negative if the executor is overcommitted. */
+export const getFree = (
+	coordinator: CreditCoordinator,
+): Map<string, number> => {
 	const free = new Map<string, number>();
-	for (const executor of home.slots.keys()) {
-		free.set(executor, getFreeOf(home, executor));
+	for (const executor of coordinator.slots.keys()) {
+		free.set(executor, getFreeOf(coordinator, executor));
 	}
 
-	for (const session of home.sessions.values()) {
+	for (const session of coordinator.sessions.values()) {
 		for (const executor of session.granted.keys()) {
-			if (!home.slots.has(executor)) {
-				free.set(executor, -sumOutstanding(home, executor));
+			if (!coordinator.slots.has(executor)) {
+				free.set(executor, -sumOutstanding(coordinator, executor));
 			}
 		}
 	}
@@ -179,14 +191,14 @@
 	return free;
 };
 
-/** Listed entries that follow this home now. */
+/** Sessions of listed entries that follow this coordinator now. */
 export const getFollowers = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	now: number,
 ): readonly Session[] => {
 	const followers: Session[] = [];
-	for (const member of home.members) {
-		const session = home.sessions.get(member);
+	for (const member of coordinator.members) {
+		const session = coordinator.sessions.get(member);
 		if (session?.open && now < session.followsUntilMs) {
 			followers.push(session);
 		}
@@ -195,13 +207,13 @@
 	return followers;
 };
 
-/** More than half, or half with the entry that ranks first for the pool. */
+/** True for more than half, or for half including the first-ranked entry. */
 export const isMajority = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	followers: readonly Session[],
 ): boolean => {
-	const half = home.members.length / 2;
-	const first = rendezvous.pickMember(home.pool, home.members);
+	const half = coordinator.members.length / 2;
+	const first = rendezvous.pickMember(coordinator.pool, coordinator.members);
 	return (
 		followers.length > half ||
 		(followers.length === half &&
--- a/packages/core/src/limits/coordinator-sessions.ts
+++ b/packages/core/src/limits/coordinator-sessions.ts
@@ -1,30 +1,36 @@
 /**
- * Sessions of a home: opened by a borrower's first report, closed when their
- * credits have surely run out. Functions change the given state.
+ * Sessions of a credit coordinator: opened by a borrower's first report and
+ * closed when their credits must have expired. Functions change the given
+ * state.
  */
 import type {CreditCoordinator, Session} from './coordinator-ledger.js';
-import * as books from './coordinator-ledger.js';
+import * as ledger from './coordinator-ledger.js';
 import type {CreditReport} from './messages.js';
 import * as messages from './messages.js';
 
-/** Opens the session that a first report asks for. */
+/** Opens the session of a first report. */
 export const openSession = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	report: CreditReport,
 	now: number,
 ): Session => {
 	const carried = new Map(Object.entries(report.carried));
-	const former = home.sessions.get(report.borrower);
+	const previous = coordinator.sessions.get(report.borrower);
 	const getValid = (executor: string) =>
 		(carried.get(executor) ?? 0) - (report.expired[executor] ?? 0);
-	if (former) {
-		for (const executor of home.carriedIn.keys()) {
-			const lost = books.getOutstanding(former, executor) - getValid(executor);
-			messages.addCount(home.carriedIn, executor, -Math.max(0, lost));
+	if (previous) {
+		for (const executor of coordinator.carriedIn.keys()) {
+			const lostCredits =
+				ledger.getOutstanding(previous, executor) - getValid(executor);
+			messages.addCount(
+				coordinator.carriedIn,
+				executor,
+				-Math.max(0, lostCredits),
+			);
 		}
 	} else {
 		for (const executor of carried.keys()) {
-			messages.addCount(home.carriedIn, executor, getValid(executor));
+			messages.addCount(coordinator.carriedIn, executor, getValid(executor));
 		}
 	}
 
@@ -38,7 +44,7 @@
 		open: true,
 		lastReportAtMs: now,
 		followsUntilMs:
-			report.borrower === home.self
+			report.borrower === coordinator.self
 				? Number.POSITIVE_INFINITY
 				: Number.NEGATIVE_INFINITY,
 		exclusiveFromMs: Number.POSITIVE_INFINITY,
@@ -52,21 +58,24 @@
 		sentSpareLimit: 0,
 		dirty: true,
 	};
-	home.sessions.set(report.borrower, session);
+	coordinator.sessions.set(report.borrower, session);
 	return session;
 };
 
-/** Takes over what is newer in a report. */
+/** Applies a report; values older than those recorded are ignored. */
 export const updateSession = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	session: Session,
 	report: CreditReport,
 	now: number,
 ) => {
 	session.lastReportAtMs = now;
 	messages.raiseCounts(session.released, report.released);
-	home.settledAtMs = Math.max(home.settledAtMs, now + report.settleMs);
-	const settleMs = messages.getSettleMs(home.settings);
+	coordinator.settledAtMs = Math.max(
+		coordinator.settledAtMs,
+		now + report.settleMs,
+	);
+	const settleMs = messages.getSettleMs(coordinator.settings);
 	session.exclusiveFromMs = Math.min(
 		session.exclusiveFromMs,
 		now - report.followedMs + settleMs,
@@ -74,7 +83,7 @@
 	if (report.echoMs >= 0) {
 		session.followsUntilMs = Math.max(
 			session.followsUntilMs,
-			report.echoMs + home.settings.leaseMs,
+			report.echoMs + coordinator.settings.leaseMs,
 		);
 	}
 
@@ -88,74 +97,80 @@
 	}
 };
 
-/** Closes sessions whose credits have run out; forgets those not listed. */
-export const expireGrants = (home: CreditCoordinator, now: number) => {
-	const holdMs = messages.getHoldMs(home.settings);
-	const listed = new Set(home.members);
-	for (const session of home.sessions.values()) {
+/** Closes sessions whose credits have expired; removes unlisted entries. */
+export const expireGrants = (coordinator: CreditCoordinator, now: number) => {
+	const holdMs = messages.getHoldMs(coordinator.settings);
+	const listed = new Set(coordinator.members);
+	for (const session of coordinator.sessions.values()) {
 		if (now >= session.lastReportAtMs + holdMs) {
-			for (const executor of home.carriedIn.keys()) {
-				const lost = books.getOutstanding(session, executor);
-				messages.addCount(home.carriedIn, executor, -lost);
+			for (const executor of coordinator.carriedIn.keys()) {
+				const lostCredits = ledger.getOutstanding(session, executor);
+				messages.addCount(coordinator.carriedIn, executor, -lostCredits);
 			}
 
 			session.open = false;
 			session.waiting = [];
 			if (!listed.has(session.borrower)) {
-				home.sessions.delete(session.borrower);
+				coordinator.sessions.delete(session.borrower);
 			}
 		}
 	}
 };
 
-/** Free credits that were brought end with the lease that they came on. */
-const dropUnleased = (home: CreditCoordinator) => {
-	for (const [executor, count] of home.carriedIn) {
-		const outstanding = books.sumOutstanding(home, executor);
-		home.carriedIn.set(executor, Math.min(count, outstanding));
+/** Drops carried credits that nobody holds, as their leases have expired. */
+const dropUnleased = (coordinator: CreditCoordinator) => {
+	for (const [executor, count] of coordinator.carriedIn) {
+		const outstanding = ledger.sumOutstanding(coordinator, executor);
+		coordinator.carriedIn.set(executor, Math.min(count, outstanding));
 	}
 };
 
-/** Judges whether all slots are known, and whether most entries follow. */
-export const updateCompleteness = (home: CreditCoordinator, now: number) => {
-	const followers = books.getFollowers(home, now);
-	const settleMs = messages.getSettleMs(home.settings);
+/** Updates which entries count as followers, and with them the majority. */
+export const updateCompleteness = (
+	coordinator: CreditCoordinator,
+	now: number,
+) => {
+	const followers = ledger.getFollowers(coordinator, now);
+	const settleMs = messages.getSettleMs(coordinator.settings);
 	const allFollow =
-		now >= home.settledAtMs && followers.length === home.members.length;
+		now >= coordinator.settledAtMs &&
+		followers.length === coordinator.members.length;
 	if (allFollow) {
 		for (const session of followers) {
 			session.exclusiveFromMs = Math.min(session.exclusiveFromMs, now);
 		}
 	}
 
-	if (now >= home.previousSharesUntilMs) {
-		home.previousShares = new Map();
+	if (now >= coordinator.previousSharesUntilMs) {
+		coordinator.previousShares = new Map();
 	}
 
 	const counted = followers.filter((each) => now >= each.exclusiveFromMs);
 	const present = new Set(counted.map((each) => each.borrower));
-	home.absent = home.members.filter((member) => !present.has(member));
-	home.joining = new Set(
-		home.absent.filter((member) => {
-			const session = home.sessions.get(member);
+	coordinator.absent = coordinator.members.filter(
+		(member) => !present.has(member),
+	);
+	coordinator.joining = new Set(
+		coordinator.absent.filter((member) => {
+			const session = coordinator.sessions.get(member);
 			return session?.open && now < session.exclusiveFromMs;
 		}),
 	);
-	const isCounted = books.isMajority(home, counted);
-	const sinceStartMs = now - home.startedAtMs;
-	home.complete ||=
+	const hasCountedMajority = ledger.isMajority(coordinator, counted);
+	const sinceStartMs = now - coordinator.startedAtMs;
+	coordinator.complete ||=
 		allFollow ||
-		(isCounted && sinceStartMs >= settleMs) ||
+		(hasCountedMajority && sinceStartMs >= settleMs) ||
 		sinceStartMs >= 2 * settleMs;
-	home.hasMajority = home.complete
-		? isCounted
-		: books.isMajority(home, followers);
-	if (home.hasMajority) {
-		home.lastMajorityAtMs = now;
+	coordinator.hasMajority = coordinator.complete
+		? hasCountedMajority
+		: ledger.isMajority(coordinator, followers);
+	if (coordinator.hasMajority) {
+		coordinator.lastMajorityAtMs = now;
 	} else if (
-		!home.complete &&
-		now >= home.lastMajorityAtMs + home.settings.leaseMs
+		!coordinator.complete &&
+		now >= coordinator.lastMajorityAtMs + coordinator.settings.leaseMs
 	) {
-		dropUnleased(home);
+		dropUnleased(coordinator);
 	}
 };
--- a/packages/core/src/limits/coordinator.ts
+++ b/packages/core/src/limits/coordinator.ts
@@ -1,22 +1,22 @@
 /**
- * Home side of slot credits: one entry, picked by rendezvous hashing, grants
- * the slots of a pool's executors, always to the most urgent request that
- * waits at any entry. What it cannot account for it does not grant:
- * - a new home grants only credits that its borrowers bring along, until all
- *   listed entries follow it and older grants have run out;
- * - credits of a silent borrower stay committed until their lease and the
+ * Coordinator side of slot credits: one entry, picked by rendezvous hashing,
+ * grants the slots of a pool's executors, each to the most urgent request that
+ * waits at any entry. It never grants more slots than exist:
+ * - a new coordinator grants only credits that its borrowers carry over, until
+ *   all listed entries follow it and older grants have expired;
+ * - credits of an unresponsive borrower stay committed until its lease and the
  *   longest attempt have passed;
- * - of a listed entry that does not follow, the static share stays committed;
- * - a home that fewer than half of the listed entries follow grants no more
- *   than the static shares of those that do, so that two homes together never
- *   grant more than there is.
+ * - the static share of a listed entry that does not follow stays committed;
+ * - a coordinator without a majority of the listed entries grants no more than
+ *   the static shares of its followers, so that two coordinators together never
+ *   grant more slots than there are.
  * Functions change the given state; messages to send are returned.
  */
 import * as allocation from './allocation.js';
 import type {CreditHandover, PoolMembers} from './borrower.js';
 import type {CreditGrant, CreditReport, CreditSettings} from './messages.js';
 import type {CreditCoordinator, Session} from './coordinator-ledger.js';
-import * as books from './coordinator-ledger.js';
+import * as ledger from './coordinator-ledger.js';
 import * as sessions from './coordinator-sessions.js';
 import * as messages from './messages.js';
 import * as staticShare from './static-share.js';
@@ -25,8 +25,8 @@
 export type Outgoing = {readonly to: string; readonly grant: CreditGrant};
 
 /**
- * Starts a home. `term` must differ between any two homes that ever were:
- * entry, incarnation and a count of starts.
+ * Creates a coordinator. `term` must be unique to it: entry, incarnation and a
+ * count of starts.
  */
 export const createCoordinator = (
 	pool: string,
@@ -56,46 +56,47 @@
 });
 
 /**
- * Takes over the listed entries and the executors' slots. Entries whose
- * process has surely ended hold nothing any more.
+ * Applies the listed entries and the executors' slots. Sessions of entries
+ * whose process has certainly terminated are removed.
  */
 export const updateCoordinator = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	{listed: members, ended, slots}: PoolMembers,
 	now: number,
 ) => {
 	for (const member of ended) {
-		home.sessions.delete(member);
+		coordinator.sessions.delete(member);
 	}
 
-	const left = home.members.filter(
+	const removed = coordinator.members.filter(
 		(member) => !members.includes(member) && !ended.has(member),
 	);
-	if (left.some((member) => !home.sessions.has(member))) {
-		// It may have been the home before this one.
-		const settleMs = messages.getSettleMs(home.settings);
-		home.settledAtMs = Math.max(home.settledAtMs, now + settleMs);
+	if (removed.some((member) => !coordinator.sessions.has(member))) {
+		// It may have been the previous coordinator.
+		const settleMs = messages.getSettleMs(coordinator.settings);
+		coordinator.settledAtMs = Math.max(coordinator.settledAtMs, now + settleMs);
 	}
 
-	home.previousShares = home.shares;
-	home.previousSharesUntilMs = now + messages.getSettleMs(home.settings);
-	home.members = members;
-	home.slots = slots;
-	home.shares = new Map(
+	coordinator.previousShares = coordinator.shares;
+	coordinator.previousSharesUntilMs =
+		now + messages.getSettleMs(coordinator.settings);
+	coordinator.members = members;
+	coordinator.slots = slots;
+	coordinator.shares = new Map(
 		members.map((member) => [
 			member,
 			staticShare.getStaticShares(
 				slots,
 				members,
 				member,
-				home.settings.fallbackFraction,
+				coordinator.settings.fallbackFraction,
 			),
 		]),
 	);
 };
 
 const createGrant = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	session: Session,
 	hints: {spareLimit: number; urgentMs: number},
 	now: number,
@@ -104,14 +105,14 @@
 	session.sentSpareLimit = hints.spareLimit;
 	session.dirty = false;
 	const grant: CreditGrant = {
-		pool: home.pool,
+		pool: coordinator.pool,
 		borrower: session.borrower,
 		session: session.id,
-		term: home.term,
+		term: coordinator.term,
 		sentAtMs: now,
 		echoMs: session.borrowerAtMs,
 		known: session.open,
-		leased: home.complete || home.hasMajority,
+		leased: coordinator.complete || coordinator.hasMajority,
 		granted: Object.fromEntries(session.granted),
 		recalled: Object.fromEntries(session.recalled),
 		...hints,
@@ -120,16 +121,16 @@
 };
 
 const createRefusal = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	report: CreditReport,
 	now: number,
 ) => ({
 	to: report.borrower,
 	grant: {
-		pool: home.pool,
+		pool: coordinator.pool,
 		borrower: report.borrower,
 		session: report.session,
-		term: home.term,
+		term: coordinator.term,
 		sentAtMs: now,
 		echoMs: report.sentAtMs,
 		known: false,
@@ -141,74 +142,77 @@
 	},
 });
 
-/** Expires, grants what is free, recalls what is short; returns messages. */
+/** Expires sessions, grants free credits and recalls; returns messages. */
 export const decideGrants = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	now: number,
 ): readonly Outgoing[] => {
-	sessions.expireGrants(home, now);
-	sessions.updateCompleteness(home, now);
-	const free = books.getFree(home);
-	allocation.grantSlots(home, free);
-	allocation.recallSlots(home, free);
+	sessions.expireGrants(coordinator, now);
+	sessions.updateCompleteness(coordinator, now);
+	const free = ledger.getFree(coordinator);
+	allocation.grantSlots(coordinator, free);
+	allocation.recallSlots(coordinator, free);
 	const outgoing: Outgoing[] = [];
-	for (const session of home.sessions.values()) {
+	for (const session of coordinator.sessions.values()) {
 		if (session.open && session.dirty) {
-			const hints = allocation.getHints(home, session, {free, now});
-			outgoing.push(createGrant(home, session, hints, now));
+			const hints = allocation.getHints(coordinator, session, {free, now});
+			outgoing.push(createGrant(coordinator, session, hints, now));
 		}
 	}
 
 	return outgoing;
 };
 
-/** Takes in one report and decides. */
+/** Applies one report; returns the messages to send. */
 export const receiveReport = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	report: CreditReport,
 	now: number,
 ): readonly Outgoing[] => {
-	sessions.expireGrants(home, now);
-	let session = home.sessions.get(report.borrower);
+	sessions.expireGrants(coordinator, now);
+	let session = coordinator.sessions.get(report.borrower);
 	if (session && report.session < session.id) {
 		return [];
 	}
 
 	if (!session || report.session > session.id) {
 		if (report.term !== '') {
-			return [createRefusal(home, report, now)];
+			return [createRefusal(coordinator, report, now)];
 		}
 
-		session = sessions.openSession(home, report, now);
+		session = sessions.openSession(coordinator, report, now);
 	}
 
-	if (!session.open || (report.term !== '' && report.term !== home.term)) {
-		return [createRefusal(home, report, now)];
+	if (
+		!session.open ||
+		(report.term !== '' && report.term !== coordinator.term)
+	) {
+		return [createRefusal(coordinator, report, now)];
 	}
 
-	sessions.updateSession(home, session, report, now);
-	session.dirty ||= now - session.sentAtMs >= home.settings.heartbeatMs;
-	return decideGrants(home, now);
+	sessions.updateSession(coordinator, session, report, now);
+	session.dirty ||= now - session.sentAtMs >= coordinator.settings.heartbeatMs;
+	return decideGrants(coordinator, now);
 };
 
 const isLost = ({listed, ended}: PoolMembers, borrower: string): boolean =>
 	!listed.includes(borrower) && !ended.has(borrower);
 
-/** Credits that a home leaves behind when its entry follows another one. */
+/** Returns the credits to hand over when the entry follows another one. */
 export const resignCoordinator = (
-	home: CreditCoordinator,
+	coordinator: CreditCoordinator,
 	members: PoolMembers,
 	now: number,
 ): CreditHandover => {
-	sessions.expireGrants(home, now);
-	sessions.updateCompleteness(home, now);
+	sessions.expireGrants(coordinator, now);
+	sessions.updateCompleteness(coordinator, now);
 	const free = new Map(
-		[...books.getFree(home)].filter(([, count]) => count > 0),
+		[...ledger.getFree(coordinator)].filter(([, count]) => count > 0),
 	);
-	const holdMs = messages.getHoldMs(home.settings);
-	const ends = [...home.sessions.values()]
+	const holdMs = messages.getHoldMs(coordinator.settings);
+	const ends = [...coordinator.sessions.values()]
 		.filter((each) => each.open && isLost(members, each.borrower))
 		.map((each) => each.lastReportAtMs + holdMs - now);
-	const startMs = home.complete ? 0 : home.settledAtMs - now;
+	const startMs = coordinator.complete ? 0 : coordinator.settledAtMs - now;
 	return {free, settleMs: Math.max(0, startMs, ...ends)};
 };
--- a/packages/core/src/limits/credits.property.test.ts
+++ b/packages/core/src/limits/credits.property.test.ts
@@ -6,10 +6,9 @@
 import * as poolLimits from './pool-limits.js';
 
 /*
- * Entries with clocks of their own, over links that lose, repeat, delay and
- * reorder; entries die, pause, are replaced and read the list late; each
- * believes at random that others are silent. After every step the requests
- * really running on each executor are counted.
+ * Simulates entries with different clocks over links that lose, duplicate,
+ * delay and reorder messages. Entries crash, pause, are replaced, read the list
+ * late and falsely suspect others. No step may exceed an executor's slots.
  */
 const settings: CreditSettings = {
 	leaseMs: 100,
@@ -30,7 +29,7 @@
 	readonly limits: PoolLimits;
 	waiting: number[];
 	readonly running: Array<{executor: string; endsAtMs: number}>;
-	wakesAtMs: number;
+	resumesAtMs: number;
 	listed: readonly string[];
 	listVersion: number;
 	inbox: CreditMessage[];
@@ -39,14 +38,14 @@
 type Fleet = {
 	nowMs: number;
 	readonly alive: Map<string, Entry>;
-	/** Entries of lost machines, whose requests still run. */
-	readonly dead: Entry[];
+	/** Entries of failed machines, whose requests still run. */
+	readonly failed: Entry[];
 	listed: string[];
 	listVersion: number;
 	readonly events: Array<{atMs: number; run: () => void}>;
 	readonly draw: (below: number) => number;
 	lossPercent: number;
-	born: number;
+	startedEntries: number;
 	dispatched: number;
 };
 
@@ -60,7 +59,7 @@
 		for (let copy = 0; copy < copies; copy++) {
 			const isSlow = fleet.draw(30) === 0;
 			const atMs = fleet.nowMs + fleet.draw(isSlow ? 1500 : 30);
-			// A copy by value, as over a link.
+			// Messages are copied by value, as over a network.
 			const copied = structuredClone(message);
 			const run = () => {
 				fleet.alive.get(to)?.inbox.push(copied);
@@ -83,8 +82,8 @@
 	slots: slotsByExecutor,
 });
 
-const bear = (fleet: Fleet): Entry => {
-	const name = `entry-${fleet.born++}`;
+const startEntry = (fleet: Fleet): Entry => {
+	const name = `entry-${fleet.startedEntries++}`;
 	const clockOffsetMs = fleet.draw(1_000_000);
 	const now = fleet.nowMs + clockOffsetMs;
 	const entry: Entry = {
@@ -93,7 +92,7 @@
 		limits: poolLimits.createPoolLimits('pool', name, settings, now),
 		waiting: [],
 		running: [],
-		wakesAtMs: 0,
+		resumesAtMs: 0,
 		listed: [],
 		listVersion: 0,
 		inbox: [],
@@ -102,7 +101,7 @@
 	return entry;
 };
 
-/** The list changes; each entry reads it within a bounded time. */
+/** Publishes the list; each entry reads it within a bounded time. */
 const publish = (fleet: Fleet) => {
 	const listed = [...fleet.listed];
 	const version = ++fleet.listVersion;
@@ -125,8 +124,8 @@
 	}
 };
 
-/** All that an entry does in one step, unless it is paused. */
-const act = (fleet: Fleet, entry: Entry) => {
+/** Runs one step of an entry that is not paused. */
+const stepEntry = (fleet: Fleet, entry: Entry) => {
 	const now = fleet.nowMs + entry.clockOffsetMs;
 	const {limits} = entry;
 	const {borrower} = limits;
@@ -154,8 +153,8 @@
 
 		entry.waiting.shift();
 		fleet.dispatched++;
-		const lastsMs = fleet.draw(settings.longestAttemptMs);
-		entry.running.push({executor, endsAtMs: fleet.nowMs + lastsMs});
+		const durationMs = fleet.draw(settings.longestAttemptMs);
+		entry.running.push({executor, endsAtMs: fleet.nowMs + durationMs});
 	}
 
 	if (fleet.draw(50) === 0) {
@@ -171,18 +170,18 @@
 	send(fleet, poolLimits.flushReport(limits, entry.waiting, now));
 };
 
-const disturb = (fleet: Fleet) => {
+const injectFault = (fleet: Fleet) => {
 	const alive = [...fleet.alive.values()];
 	const picked = alive[fleet.draw(alive.length)];
 	switch (fleet.draw(400)) {
 		case 0: {
-			// The machine is lost; the list shows it later, with another entry.
+			// The machine fails; the list later replaces it by another entry.
 			if (picked && alive.length > 2) {
 				fleet.alive.delete(picked.name);
-				fleet.dead.push(picked);
+				fleet.failed.push(picked);
 				const run = () => {
 					fleet.listed = fleet.listed.filter((each) => each !== picked.name);
-					fleet.listed.push(bear(fleet).name);
+					fleet.listed.push(startEntry(fleet).name);
 					publish(fleet);
 				};
 
@@ -194,7 +193,7 @@
 
 		case 1: {
 			if (picked) {
-				picked.wakesAtMs = fleet.nowMs + fleet.draw(800);
+				picked.resumesAtMs = fleet.nowMs + fleet.draw(800);
 			}
 
 			break;
@@ -219,74 +218,79 @@
 		event.run();
 	}
 
-	disturb(fleet);
+	injectFault(fleet);
 	for (const entry of fleet.alive.values()) {
-		if (entry.wakesAtMs <= fleet.nowMs) {
-			act(fleet, entry);
+		if (entry.resumesAtMs <= fleet.nowMs) {
+			stepEntry(fleet, entry);
 		}
 	}
 };
 
 const countRunning = (fleet: Fleet, executor: string): number =>
-	[...fleet.alive.values(), ...fleet.dead]
+	[...fleet.alive.values(), ...fleet.failed]
 		.flatMap((entry) => entry.running)
 		.filter((each) => each.executor === executor && each.endsAtMs > fleet.nowMs)
 		.length;
 
 const createFleet = (numbers: readonly number[], entries: number): Fleet => {
 	let next = 0;
-	let mixed = 1;
+	let seed = 1;
 	const draw = (below: number) => {
 		const number = numbers[next++ % numbers.length] ?? 0;
-		mixed = (mixed * 48_271 + number) % 2_147_483_647;
-		return mixed % Math.max(1, below);
+		seed = (seed * 48_271 + number) % 2_147_483_647;
+		return seed % Math.max(1, below);
 	};
 
 	const fleet: Fleet = {
 		nowMs: 0,
 		alive: new Map(),
-		dead: [],
+		failed: [],
 		listed: [],
 		listVersion: 0,
 		events: [],
 		draw,
 		lossPercent: 5,
-		born: 0,
+		startedEntries: 0,
 		dispatched: 0,
 	};
 	for (let each = 0; each < entries; each++) {
-		fleet.listed.push(bear(fleet).name);
+		fleet.listed.push(startEntry(fleet).name);
 	}
 
 	publish(fleet);
 	return fleet;
 };
 
-tap.t.test('slots are never exceeded, whatever the links do', async (t) => {
-	let dispatched = 0;
-	fc.assert(
-		fc.property(
-			fc.array(fc.integer({min: 0, max: 1_000_000}), {
-				minLength: 50,
-				maxLength: 50,
-			}),
-			fc.integer({min: 2, max: 5}),
-			(numbers, entries) => {
-				const fleet = createFleet(numbers, entries);
-				for (let step = 0; step < 800; step++) {
-					runStep(fleet);
-					for (const [executor, count] of slotsByExecutor) {
-						const running = countRunning(fleet, executor);
-						if (running > count) {
-							throw new Error(`${running} on ${executor} at ${fleet.nowMs} ms`);
+tap.t.test(
+	'slots are never exceeded under link and machine faults',
+	async (t) => {
+		let dispatched = 0;
+		fc.assert(
+			fc.property(
+				fc.array(fc.integer({min: 0, max: 1_000_000}), {
+					minLength: 50,
+					maxLength: 50,
+				}),
+				fc.integer({min: 2, max: 5}),
+				(numbers, entries) => {
+					const fleet = createFleet(numbers, entries);
+					for (let step = 0; step < 800; step++) {
+						runStep(fleet);
+						for (const [executor, count] of slotsByExecutor) {
+							const running = countRunning(fleet, executor);
+							if (running > count) {
+								throw new Error(
+									`${running} on ${executor} at ${fleet.nowMs} ms`,
+								);
+							}
 						}
 					}
-				}
 
-				dispatched += fleet.dispatched;
-			},
-		),
-		{seed: 1, numRuns: 40},
-	);
-	t.ok(dispatched > 10_000, `${dispatched} requests were sent`);
-});
+					dispatched += fleet.dispatched;
+				},
+			),
+			{seed: 1, numRuns: 40},
+		);
+		t.ok(dispatched > 10_000, `${dispatched} requests were sent`);
+	},
+);
--- a/packages/core/src/limits/credits.test.ts
+++ b/packages/core/src/limits/credits.test.ts
@@ -1,7 +1,7 @@
 import * as tap from 'tap';
 import * as slots from './borrower-slots.js';
-import * as books from './coordinator-ledger.js';
-import * as homes from './coordinator.js';
+import * as ledger from './coordinator-ledger.js';
+import * as coordinators from './coordinator.js';
 import type {PoolMembers} from './borrower.js';
 import * as borrowers from './borrower.js';
 import type {CreditSettings} from './messages.js';
@@ -19,7 +19,7 @@
 const settleMs = messages.getSettleMs(settings);
 const slotsByExecutor = new Map([['x', 8]]);
 const ranked = rendezvous.rankMembers('pool', ['a', 'b', 'c']);
-const [homeName = '', deputy = '', third = ''] = ranked;
+const [coordinatorName = '', second = '', third = ''] = ranked;
 
 const getMembers = (change: Partial<PoolMembers> = {}): PoolMembers => ({
 	listed: ranked,
@@ -34,7 +34,7 @@
 	nowMs: number;
 	readonly entries: Map<string, PoolLimits>;
 	readonly waiting: Map<string, number[]>;
-	readonly cutOff: Set<string>;
+	readonly disconnected: Set<string>;
 };
 
 const createFleet = (names: readonly string[]): Fleet => ({
@@ -46,7 +46,7 @@
 		]),
 	),
 	waiting: new Map(),
-	cutOff: new Set(),
+	disconnected: new Set(),
 });
 
 const deliver = (
@@ -56,7 +56,7 @@
 ) => {
 	for (const {to, message} of envelopes) {
 		const entry = fleet.entries.get(to);
-		if (entry && !fleet.cutOff.has(to) && !fleet.cutOff.has(from)) {
+		if (entry && !fleet.disconnected.has(to) && !fleet.disconnected.has(from)) {
 			deliver(
 				fleet,
 				to,
@@ -76,7 +76,7 @@
 	}
 };
 
-/** Steps of 50 ms until a time. */
+/** Steps the fleet by 50 ms until a time. */
 const run = (fleet: Fleet, untilMs: number) => {
 	while (fleet.nowMs < untilMs) {
 		fleet.nowMs += 50;
@@ -101,15 +101,15 @@
 
 const acquire = (fleet: Fleet, name: string, times: number): number => {
 	const {borrower} = getEntry(fleet, name);
-	let taken = 0;
+	let acquired = 0;
 	while (
-		taken < times &&
+		acquired < times &&
 		slots.acquireSlot(borrower, fleet.nowMs, fleet.nowMs + 1000, () => 1)
 	) {
-		taken++;
+		acquired++;
 	}
 
-	return taken;
+	return acquired;
 };
 
 const startFleet = () => {
@@ -119,8 +119,8 @@
 	return fleet;
 };
 
-/** Queues requests, lets the home decide, takes what was granted. */
-const ask = (fleet: Fleet, name: string, count: number): number => {
+/** Queues requests, steps until grants arrive, acquires the granted slots. */
+const requestSlots = (fleet: Fleet, name: string, count: number): number => {
 	const deadlines = Array.from({length: count}, () => fleet.nowMs + 1000);
 	fleet.waiting.set(name, deadlines);
 	getEntry(fleet, name).borrower.dirty = true;
@@ -132,121 +132,130 @@
 	return acquire(fleet, name, count);
 };
 
-tap.t.test('a lone entry has every slot at once', async (t) => {
+tap.t.test('a single entry gets every slot at once', async (t) => {
 	const fleet = createFleet(['a']);
 	update(fleet, getMembers({listed: ['a']}));
 	step(fleet);
 	step(fleet);
-	t.equal(ask(fleet, 'a', 20), 8);
+	t.equal(requestSlots(fleet, 'a', 20), 8);
 });
 
-tap.t.test('a fleet that starts together waits for nobody', async (t) => {
-	const fleet = startFleet();
-	t.equal(ask(fleet, third, 20), 8);
-	t.equal(ask(fleet, deputy, 20), 0);
-});
+tap.t.test(
+	'entries that start together grant every slot without a wait',
+	async (t) => {
+		const fleet = startFleet();
+		t.equal(requestSlots(fleet, third, 20), 8);
+		t.equal(requestSlots(fleet, second, 20), 0);
+	},
+);
 
-tap.t.test('a freed slot goes to the request due first', async (t) => {
+tap.t.test('a released slot goes to the earliest deadline', async (t) => {
 	const fleet = startFleet();
-	t.equal(ask(fleet, homeName, 8), 8);
-	fleet.waiting.set(deputy, [fleet.nowMs + 900]);
+	t.equal(requestSlots(fleet, coordinatorName, 8), 8);
+	fleet.waiting.set(second, [fleet.nowMs + 900]);
 	fleet.waiting.set(third, [fleet.nowMs + 200]);
 	run(fleet, fleet.nowMs + 200);
-	const {borrower} = getEntry(fleet, homeName);
+	const {borrower} = getEntry(fleet, coordinatorName);
 	slots.finishSlot(borrower, 'x');
 	slots.releaseSpares(borrower, 0, fleet.nowMs);
 	run(fleet, fleet.nowMs + 100);
 	t.equal(borrowers.getHeld(getEntry(fleet, third).borrower, 'x'), 1);
-	t.equal(borrowers.getHeld(getEntry(fleet, deputy).borrower, 'x'), 0);
+	t.equal(borrowers.getHeld(getEntry(fleet, second).borrower, 'x'), 0);
 });
 
-tap.t.test('a borrower that is cut off stops, and is replaced', async (t) => {
-	const fleet = startFleet();
-	t.equal(ask(fleet, third, 8), 8);
-	const {borrower} = getEntry(fleet, third);
-	fleet.cutOff.add(third);
-	const cutAtMs = fleet.nowMs;
-	run(fleet, cutAtMs + settings.leaseMs);
-	for (let each = 0; each < 8; each++) {
-		slots.finishSlot(borrower, 'x');
-	}
+tap.t.test(
+	'credits of a disconnected borrower are granted again after the hold time',
+	async (t) => {
+		const fleet = startFleet();
+		t.equal(requestSlots(fleet, third, 8), 8);
+		const {borrower} = getEntry(fleet, third);
+		fleet.disconnected.add(third);
+		const disconnectedAtMs = fleet.nowMs;
+		run(fleet, disconnectedAtMs + settings.leaseMs);
+		for (let each = 0; each < 8; each++) {
+			slots.finishSlot(borrower, 'x');
+		}
 
-	const share = borrower.shares.get('x') ?? 0;
-	t.equal(acquire(fleet, third, 8), share, 'no more than its static share');
-	t.equal(ask(fleet, deputy, 8), 0, 'its requests may still run');
-	run(fleet, cutAtMs + messages.getHoldMs(settings) + 100);
-	t.equal(ask(fleet, deputy, 8), 8 - share);
-});
+		const share = borrower.shares.get('x') ?? 0;
+		t.equal(acquire(fleet, third, 8), share, 'no more than its static share');
+		t.equal(requestSlots(fleet, second, 8), 0, 'its requests may still run');
+		run(fleet, disconnectedAtMs + messages.getHoldMs(settings) + 100);
+		t.equal(requestSlots(fleet, second, 8), 8 - share);
+	},
+);
 
-tap.t.test('a new home grants only what it accounts for', async (t) => {
-	const fleet = startFleet();
-	t.equal(ask(fleet, deputy, 2), 2);
-	t.equal(ask(fleet, third, 1), 1);
-	const accounted =
-		borrowers.getHeld(getEntry(fleet, deputy).borrower, 'x') +
-		borrowers.getHeld(getEntry(fleet, third).borrower, 'x');
-	const share = getEntry(fleet, homeName).borrower.shares.get('x') ?? 0;
-	fleet.entries.delete(homeName);
-	update(fleet, getMembers({unresponsive: new Set([homeName])}));
-	const lostAtMs = fleet.nowMs;
-	run(fleet, lostAtMs + 150);
-	const early = ask(fleet, third, 8);
-	t.equal(early, accounted - 3, 'other grants may still be in use');
-	run(fleet, lostAtMs + settleMs + 100);
-	t.equal(ask(fleet, third, 8), 8 - share - 3 - early);
-});
+tap.t.test(
+	'a new coordinator grants only credits that it accounts for',
+	async (t) => {
+		const fleet = startFleet();
+		t.equal(requestSlots(fleet, second, 2), 2);
+		t.equal(requestSlots(fleet, third, 1), 1);
+		const accounted =
+			borrowers.getHeld(getEntry(fleet, second).borrower, 'x') +
+			borrowers.getHeld(getEntry(fleet, third).borrower, 'x');
+		const share =
+			getEntry(fleet, coordinatorName).borrower.shares.get('x') ?? 0;
+		fleet.entries.delete(coordinatorName);
+		update(fleet, getMembers({unresponsive: new Set([coordinatorName])}));
+		const lostAtMs = fleet.nowMs;
+		run(fleet, lostAtMs + 150);
+		const early = requestSlots(fleet, third, 8);
+		t.equal(early, accounted - 3, 'other grants may still be in use');
+		run(fleet, lostAtMs + settleMs + 100);
+		t.equal(requestSlots(fleet, third, 8), 8 - share - 3 - early);
+	},
+);
 
-tap.t.test('a home whose process has ended is replaced at once', async (t) => {
+tap.t.test('a terminated coordinator is replaced at once', async (t) => {
 	const fleet = startFleet();
-	t.equal(ask(fleet, deputy, 2), 2);
-	fleet.entries.delete(homeName);
-	const ended = new Set([homeName]);
-	update(fleet, getMembers({listed: [deputy, third], ended}));
+	t.equal(requestSlots(fleet, second, 2), 2);
+	fleet.entries.delete(coordinatorName);
+	const ended = new Set([coordinatorName]);
+	update(fleet, getMembers({listed: [second, third], ended}));
 	run(fleet, fleet.nowMs + 100);
-	t.equal(ask(fleet, third, 8), 6);
+	t.equal(requestSlots(fleet, third, 8), 6);
 });
 
-tap.t.test('a home that leaves hands over all credits', async (t) => {
+tap.t.test('a leaving coordinator hands over all credits', async (t) => {
 	const fleet = startFleet();
-	t.equal(ask(fleet, homeName, 2), 2);
-	update(fleet, getMembers({leaving: new Set([homeName])}));
+	t.equal(requestSlots(fleet, coordinatorName, 2), 2);
+	update(fleet, getMembers({leaving: new Set([coordinatorName])}));
 	run(fleet, fleet.nowMs + 100);
-	const {borrower} = getEntry(fleet, homeName);
+	const {borrower} = getEntry(fleet, coordinatorName);
 	slots.releaseSpares(borrower, 0, fleet.nowMs);
 	run(fleet, fleet.nowMs + 100);
 	t.equal(borrowers.getHeld(borrower, 'x'), 2);
-	t.equal(ask(fleet, third, 8), 6);
+	t.equal(requestSlots(fleet, third, 8), 6);
 });
 
-tap.t.test('entries cut off from one another keep their share', async (t) => {
-	const fleet = startFleet();
-	for (const name of ranked) {
-		fleet.cutOff.add(name);
-	}
+tap.t.test(
+	'entries disconnected from one another keep their static share',
+	async (t) => {
+		const fleet = startFleet();
+		for (const name of ranked) {
+			fleet.disconnected.add(name);
+		}
 
-	for (const [name, entry] of fleet.entries) {
-		const silent = new Set(ranked.filter((each) => each !== name));
-		poolLimits.updatePool(
-			entry,
-			getMembers({unresponsive: silent}),
-			fleet.nowMs,
-		);
-	}
+		for (const [name, entry] of fleet.entries) {
+			const unresponsive = new Set(ranked.filter((each) => each !== name));
+			poolLimits.updatePool(entry, getMembers({unresponsive}), fleet.nowMs);
+		}
 
-	run(fleet, fleet.nowMs + 2 * settleMs);
-	let sum = 0;
-	for (const name of ranked) {
-		const taken = ask(fleet, name, 8);
-		t.ok(taken >= 1, `${name} has ${taken}`);
-		sum += taken;
-	}
+		run(fleet, fleet.nowMs + 2 * settleMs);
+		let sum = 0;
+		for (const name of ranked) {
+			const acquired = requestSlots(fleet, name, 8);
+			t.ok(acquired >= 1, `${name} has ${acquired}`);
+			sum += acquired;
+		}
 
-	t.ok(sum <= 8);
-});
+		t.ok(sum <= 8);
+	},
+);
 
-tap.t.test('an executor taken out of use gets its credits back', async (t) => {
+tap.t.test('credits of a removed executor are released', async (t) => {
 	const fleet = startFleet();
-	t.equal(ask(fleet, third, 3), 3);
+	t.equal(requestSlots(fleet, third, 3), 3);
 	update(fleet, getMembers({slots: new Map()}));
 	const {borrower} = getEntry(fleet, third);
 	t.equal(acquire(fleet, third, 1), 0);
@@ -258,19 +267,31 @@
 	t.equal(borrowers.getHeld(borrower, 'x'), 0);
 });
 
-tap.t.test('late copies of a forgotten session free nothing', async (t) => {
-	const self = {self: 'a', term: 'a:1'};
-	const home = homes.createCoordinator('pool', self, settings, 0);
-	homes.updateCoordinator(home, getMembers({listed: ['a']}), 0);
-	const own = borrowers.createBorrower('pool', 'a', settings, 0);
-	borrowers.updateMembers(own, getMembers({listed: ['a']}), 0);
-	homes.receiveReport(home, borrowers.createReport(own, [], 0), 0);
-	const gone = borrowers.createBorrower('pool', 'gone', settings, 0);
-	const first = borrowers.createReport(gone, [], 0);
-	homes.receiveReport(home, first, 0);
-	const last = {...first, term: 'a:1', released: {x: 3}, sentAtMs: 1};
-	homes.receiveReport(home, last, 1);
-	t.equal(home.complete, true);
-	const parked = 1;
-	t.ok((books.getFree(home).get('x') ?? 0) <= 8 - parked);
-});
+tap.t.test(
+	'late copies of a report from a removed session free no slots',
+	async (t) => {
+		const self = {self: 'a', term: 'a:1'};
+		const coordinator = coordinators.createCoordinator(
+			'pool',
+			self,
+			settings,
+			0,
+		);
+		coordinators.updateCoordinator(coordinator, getMembers({listed: ['a']}), 0);
+		const own = borrowers.createBorrower('pool', 'a', settings, 0);
+		borrowers.updateMembers(own, getMembers({listed: ['a']}), 0);
+		coordinators.receiveReport(
+			coordinator,
+			borrowers.createReport(own, [], 0),
+			0,
+		);
+		const removed = borrowers.createBorrower('pool', 'gone', settings, 0);
+		const first = borrowers.createReport(removed, [], 0);
+		coordinators.receiveReport(coordinator, first, 0);
+		const last = {...first, term: 'a:1', released: {x: 3}, sentAtMs: 1};
+		coordinators.receiveReport(coordinator, last, 1);
+		t.equal(coordinator.complete, true);
+		const heldInAdvance = 1;
+		t.ok((ledger.getFree(coordinator).get('x') ?? 0) <= 8 - heldInAdvance);
+	},
+);
--- a/packages/core/src/limits/limits.test.ts
+++ b/packages/core/src/limits/limits.test.ts
@@ -1,7 +1,7 @@
 import * as tap from 'tap';
 import * as powerOfTwo from './power-of-two.js';
 import * as rendezvous from './rendezvous.js';
-import * as silence from './unresponsive-members.js';
+import * as unresponsiveMembers from './unresponsive-members.js';
 import * as staticShare from './static-share.js';
 
 const getEntries = (count: number) =>
@@ -45,16 +45,16 @@
 	t.equal(staticShare.getStaticShare('a', 8, getEntries(3), 'other'), 0);
 });
 
-tap.t.test('a lost member moves only its own keys', async (t) => {
+tap.t.test('removing a member moves only its keys', async (t) => {
 	const before = getEntries(9);
 	const after = before.filter((entry) => entry !== 'entry-4');
 	let moved = 0;
 	for (let key = 0; key < 1000; key++) {
-		const home = rendezvous.pickMember(`pool-${key}`, before);
-		if (home === 'entry-4') {
+		const picked = rendezvous.pickMember(`pool-${key}`, before);
+		if (picked === 'entry-4') {
 			moved++;
 		} else {
-			t.equal(rendezvous.pickMember(`pool-${key}`, after), home);
+			t.equal(rendezvous.pickMember(`pool-${key}`, after), picked);
 		}
 	}
 
@@ -72,7 +72,7 @@
 ];
 
 for (const [count, replaced] of connectionTable) {
-	const name = `${count} entries, ${replaced} replaced, keep 64 connections`;
+	const name = `${count} entries, ${replaced} replaced, stay within 64 connections`;
 	tap.t.test(name, async (t) => {
 		const spare = staticShare.getConnectionLimit(64, 8, count, 0);
 		t.ok(spare >= 1);
@@ -81,38 +81,73 @@
 	});
 }
 
-const load = (executor: string, inFlight: number, weight = 1) => ({
+const createLoad = (executor: string, inFlight: number, weight = 1) => ({
 	executor,
 	slots: 8,
 	inFlight,
 	weight,
 });
 
-const twoTable: Array<
+const pickTable: Array<
 	[string, powerOfTwo.ExecutorLoad[], [number, number], string | undefined]
 > = [
-	['the less loaded', [load('a', 5), load('b', 2)], [0, 0.9], 'b'],
-	['by weight', [load('a', 5), load('b', 2, 0.1)], [0, 0.9], 'a'],
-	['none that is full', [load('a', 8), load('b', 9)], [0, 0.9], undefined],
-	['only the drawn', [load('a', 7), load('b', 0)], [0, 0.1], 'a'],
-	['none of weight 0', [load('a', 0, 0), load('b', 3)], [0, 0], 'b'],
-	['none of none', [], [0, 0], undefined],
+	[
+		'the executor with less load',
+		[createLoad('a', 5), createLoad('b', 2)],
+		[0, 0.9],
+		'b',
+	],
+	[
+		'by load relative to weight',
+		[createLoad('a', 5), createLoad('b', 2, 0.1)],
+		[0, 0.9],
+		'a',
+	],
+	[
+		'no executor without a free slot',
+		[createLoad('a', 8), createLoad('b', 9)],
+		[0, 0.9],
+		undefined,
+	],
+	[
+		'only drawn executors',
+		[createLoad('a', 7), createLoad('b', 0)],
+		[0, 0.1],
+		'a',
+	],
+	[
+		'no executor of weight 0',
+		[createLoad('a', 0, 0), createLoad('b', 3)],
+		[0, 0],
+		'b',
+	],
+	['nothing without executors', [], [0, 0], undefined],
 ];
 
-for (const [name, loads, draws, picked] of twoTable) {
-	tap.t.test(`power of two choices takes ${name}`, async (t) => {
+for (const [name, loads, draws, picked] of pickTable) {
+	tap.t.test(`power of two choices picks ${name}`, async (t) => {
 		t.equal(powerOfTwo.pickOfTwo(loads, draws), picked);
 	});
 }
 
-tap.t.test('a listed entry is silent only after a while', async (t) => {
-	const heardAt: silence.LastContactAt = new Map([['a', 0]]);
-	const at = (now: number) => [
-		...silence.getUnresponsiveMembers(heardAt, ['a', 'b'], now, 250),
-	];
-	t.same(at(100), []);
-	t.same(at(300), ['a']);
-	t.same(at(351), ['a', 'b']);
-	heardAt.set('a', 350);
-	t.same(at(352), ['b']);
-});
+tap.t.test(
+	'a listed entry is unresponsive only after the timeout',
+	async (t) => {
+		const lastContactAt: unresponsiveMembers.LastContactAt = new Map([
+			['a', 0],
+		]);
+		const at = (now: number) => [
+			...unresponsiveMembers.getUnresponsiveMembers(
+				lastContactAt,
+				['a', 'b'],
+				now,
+				250,
+			),
+		];
+		t.same(at(100), []);
+		t.same(at(300), ['a']);
+		t.same(at(351), ['a', 'b']);
+		lastContactAt.set('a', 350);
+		t.same(at(352), ['b']);
+	},
+);
--- a/packages/core/src/limits/messages.ts
+++ b/packages/core/src/limits/messages.ts
@@ -1,87 +1,87 @@
 /**
- * Messages between the home of a pool, which grants slot credits, and the
- * entries that borrow them. Both sides send running totals of one session, so
- * a message that is lost, repeated or overtaken changes nothing: each side
- * keeps the largest total that it has seen. Times are durations, or readings
- * of the sender's own clock that the other side only echoes.
+ * Messages between the credit coordinator of a pool, which grants slot
+ * credits, and the entries that borrow them. Both sides send running totals of
+ * one session and keep the largest total received, so that lost, duplicated or
+ * reordered messages do no harm. Times are durations, or readings of the
+ * sender's clock that the other side only echoes.
  */
 
 /** Counts by executor. */
 export type Counts = Readonly<Record<string, number>>;
 
-/** From a borrower to the home. */
+/** Message from a borrower to the coordinator. */
 export type CreditReport = {
 	readonly pool: string;
 	/** Entry and incarnation of the borrower. */
 	readonly borrower: string;
-	/** Grows with every new session of this borrower. */
+	/** Number of the session; increases with each new one of this borrower. */
 	readonly session: number;
-	/** Term of the home that the session is with; empty before its answer. */
+	/** Term of the coordinator; empty before its first answer in the session. */
 	readonly term: string;
 	/** Borrower's clock. */
 	readonly sentAtMs: number;
-	/** The home's clock in its last message that came in; -1 if none. */
+	/** Coordinator's clock in its newest message received; -1 if none. */
 	readonly echoMs: number;
 	/** Credits held when the session began. */
 	readonly carried: Counts;
-	/** Of these, those in use on a lease that is over; not to be regranted. */
+	/** Part of `carried` in use after its lease expired; not to be regranted. */
 	readonly expired: Counts;
-	/** Credits given back since, running total. */
+	/** Credits released in the session, running total. */
 	readonly released: Counts;
-	/** Sum of the granted totals that the borrower has seen. */
+	/** Sum of the granted totals that the borrower has received. */
 	readonly grantedSeen: number;
 	/** Credits held and not in use. */
 	readonly spare: number;
-	/** Time left to the deadline of each waiting request, ascending, ms. */
+	/** Time until the deadline of each waiting request, ascending, ms. */
 	readonly waitingMs: readonly number[];
-	/** Executors that the borrower does not use now. */
+	/** Executors that the borrower currently does not use. */
 	readonly avoid: readonly string[];
-	/** Time for which entries that left the list may still hold credits. */
+	/** Time for which unlisted entries may still hold credits. */
 	readonly settleMs: number;
-	/** True if the entry is about to stop and wants no credit in advance. */
+	/** True if the entry is about to stop and needs no credit in advance. */
 	readonly leaving: boolean;
-	/** Time for which the borrower has followed this home and no other. */
+	/** Time for which the borrower has followed only this coordinator. */
 	readonly followedMs: number;
 };
 
-/** From the home to a borrower. */
+/** Message from the coordinator to a borrower. */
 export type CreditGrant = {
 	readonly pool: string;
 	readonly borrower: string;
 	readonly session: number;
-	/** Entry, incarnation and start of the home. */
+	/** Entry, incarnation and start count of the coordinator. */
 	readonly term: string;
-	/** Home's clock. */
+	/** Coordinator's clock. */
 	readonly sentAtMs: number;
-	/** Borrower's clock in its last message that came in. */
+	/** Borrower's clock in its newest message received. */
 	readonly echoMs: number;
-	/** False if the session is not known: the borrower begins a new one. */
+	/** False if the session is unknown: the borrower starts a new one. */
 	readonly known: boolean;
-	/** True if the lease runs on from the echoed report. */
+	/** True if the lease is renewed, counted from the echoed report. */
 	readonly leased: boolean;
 	/** Credits granted in the session, running total. */
 	readonly granted: Counts;
-	/** Released total that the home asks for. */
+	/** Released total that the coordinator asks for. */
 	readonly recalled: Counts;
 	/** Credits that the borrower may keep without using them. */
 	readonly spareLimit: number;
-	/** Time left to the most urgent request waiting elsewhere; -1 if none. */
+	/** Time until the most urgent deadline waiting elsewhere; -1 if none. */
 	readonly urgentMs: number;
 };
 
-/** Settings that both sides must share; times in milliseconds. */
+/** Settings that must be equal on both sides; times in milliseconds. */
 export type CreditSettings = {
-	/** A credit may be used so long after the report that renewed it. */
+	/** How long a credit may be used after the report that renewed its lease. */
 	readonly leaseMs: number;
-	/** The longest time from a request's dispatch to its end. */
+	/** Longest time from the dispatch of a request to its end. */
 	readonly longestAttemptMs: number;
 	/** Time between reports when nothing else is sent. */
 	readonly heartbeatMs: number;
-	/** Part of the slots that is divided statically when homes are silent. */
+	/** Part of the slots divided statically if coordinators are unresponsive. */
 	readonly fallbackFraction: number;
 };
 
-/** Settings for requests that end within a second. */
+/** Default settings, for requests that end within a second. */
 export const defaultSettings: CreditSettings = {
 	leaseMs: 300,
 	longestAttemptMs: 1000,
@@ -90,17 +90,18 @@
 };
 
 /**
- * Time after which the credits of a silent borrower are surely out of use.
- * One part in a hundred is added for clocks that run at different rates.
+ * Time after which the credits of an unresponsive borrower can't be in use any
+ * longer. One percent is added for clock drift.
  */
 export const getHoldMs = (settings: CreditSettings): number =>
 	(settings.leaseMs + settings.longestAttemptMs) * 1.01;
 
 /**
- * Time after which a home that lost a borrower has surely made room for that
- * borrower's static share: it notices within a lease, asks the others to give
- * back within a heartbeat, those that it cannot reach stop within a lease of
- * their own, and what is in flight ends within the longest attempt.
+ * Time after which a coordinator that lost contact with a borrower must have
+ * reserved that borrower's static share: it detects the loss within a lease,
+ * recalls credits of the others within a heartbeat, those that it can't reach
+ * stop within a lease of their own, and requests in flight end within the
+ * longest attempt.
  */
 export const getSettleMs = (settings: CreditSettings): number =>
 	(2 * settings.leaseMs +
@@ -119,7 +120,7 @@
 	return count;
 };
 
-/** Raises each count to that of the message; returns true if any grew. */
+/** Raises each count to that of the message; true if any increased. */
 export const raiseCounts = (
 	counts: Map<string, number>,
 	seen: Counts,
@@ -135,7 +136,6 @@
 	return grew;
 };
 
-/** Adds up the counts of a map. */
 export const sumCounts = (counts: ReadonlyMap<string, number>): number => {
 	let sum = 0;
 	for (const count of counts.values()) {
--- a/packages/core/src/limits/pool-limits.ts
+++ b/packages/core/src/limits/pool-limits.ts
@@ -1,13 +1,12 @@
 /**
- * Limits of one pool on one entry: its borrower and, while this entry is the
- * pool's home, the home. The daemon and the bench both drive these functions;
- * messages for other entries are returned, those for the entry itself are
- * handled at once.
+ * Limits of one pool on one entry: its borrower and, while this entry is
+ * picked for it, the pool's credit coordinator. Messages for other entries are
+ * returned; those for the entry itself are handled at once.
  */
 import type {Borrower, PoolMembers} from './borrower.js';
 import * as borrowers from './borrower.js';
 import type {CreditCoordinator} from './coordinator-ledger.js';
-import * as homes from './coordinator.js';
+import * as coordinators from './coordinator.js';
 import type {CreditGrant, CreditReport, CreditSettings} from './messages.js';
 
 /** A message between entries. */
@@ -15,7 +14,7 @@
 	| {readonly kind: 'report'; readonly report: CreditReport}
 	| {readonly kind: 'grant'; readonly grant: CreditGrant};
 
-/** A message and the entry that it goes to. */
+/** A message and its destination entry. */
 export type CreditEnvelope = {
 	readonly to: string;
 	readonly message: CreditMessage;
@@ -31,7 +30,7 @@
 	coordinatorStarts: number;
 };
 
-/** Starts without a home; call `updatePool` with the first members. */
+/** Creates the state; call `updatePool` with the first members. */
 export const createPoolLimits = (
 	pool: string,
 	self: string,
@@ -48,22 +47,22 @@
 
 const deliverGrants = (
 	limits: PoolLimits,
-	outgoing: readonly homes.Outgoing[],
+	outgoing: readonly coordinators.Outgoing[],
 	now: number,
 ): readonly CreditEnvelope[] => {
-	const away: CreditEnvelope[] = [];
+	const remote: CreditEnvelope[] = [];
 	for (const {to, grant} of outgoing) {
 		if (to === limits.self) {
 			borrowers.receiveGrant(limits.borrower, grant, now);
 		} else {
-			away.push({to, message: {kind: 'grant', grant}});
+			remote.push({to, message: {kind: 'grant', grant}});
 		}
 	}
 
-	return away;
+	return remote;
 };
 
-/** Takes in a message; one that is not for this entry's role is dropped. */
+/** Handles a message; reports are ignored unless this entry coordinates. */
 export const receiveMessage = (
 	limits: PoolLimits,
 	message: CreditMessage,
@@ -79,7 +78,7 @@
 			return limits.coordinator
 				? deliverGrants(
 						limits,
-						homes.receiveReport(limits.coordinator, message.report, now),
+						coordinators.receiveReport(limits.coordinator, message.report, now),
 						now,
 					)
 				: [];
@@ -87,12 +86,12 @@
 	}
 };
 
-/** More rounds than a session on the entry itself ever needs. */
+/** Upper bound of rounds between borrower and coordinator of one entry. */
 const maxRounds = 4;
 
 /**
- * Sends the report if there is something to tell. Call after every change,
- * once what can be dispatched has been.
+ * Sends a report if the borrower has changed. Call after every change, once
+ * all requests that can be dispatched have been.
  */
 export const flushReport = (
 	limits: PoolLimits,
@@ -100,42 +99,42 @@
 	now: number,
 ): readonly CreditEnvelope[] => {
 	const {borrower, self} = limits;
-	const away: CreditEnvelope[] = [];
+	const remote: CreditEnvelope[] = [];
 	for (let round = 0; borrower.dirty && round < maxRounds; round++) {
 		if (borrower.coordinator === undefined) {
-			return away;
+			return remote;
 		}
 
 		const report = borrowers.createReport(borrower, waitingDeadlines, now);
 		const message = {kind: 'report', report} as const;
 		if (borrower.coordinator === self) {
-			away.push(...receiveMessage(limits, message, now));
+			remote.push(...receiveMessage(limits, message, now));
 		} else {
-			away.push({to: borrower.coordinator, message});
+			remote.push({to: borrower.coordinator, message});
 		}
 	}
 
-	return away;
+	return remote;
 };
 
-/** Takes over new knowledge of the fleet; starts or resigns the home. */
+/** Applies changed members; starts or resigns the coordinator. */
 export const updatePool = (
 	limits: PoolLimits,
 	members: PoolMembers,
 	now: number,
 ) => {
 	const {pool, self, settings, borrower, coordinator} = limits;
-	const isHome = borrowers.pickCoordinator(pool, self, members) === self;
-	const inherited =
-		coordinator && !isHome
-			? homes.resignCoordinator(coordinator, members, now)
+	const isCoordinator = borrowers.pickCoordinator(pool, self, members) === self;
+	const handover =
+		coordinator && !isCoordinator
+			? coordinators.resignCoordinator(coordinator, members, now)
 			: undefined;
-	if (!isHome) {
+	if (!isCoordinator) {
 		limits.coordinator = undefined;
 	} else if (!coordinator) {
 		limits.coordinatorStarts++;
 		const term = `${self}:${limits.coordinatorStarts}`;
-		limits.coordinator = homes.createCoordinator(
+		limits.coordinator = coordinators.createCoordinator(
 			pool,
 			{self, term},
 			settings,
@@ -144,19 +143,23 @@
 	}
 
 	if (limits.coordinator) {
-		homes.updateCoordinator(limits.coordinator, members, now);
+		coordinators.updateCoordinator(limits.coordinator, members, now);
 	}
 
-	borrowers.updateMembers(borrower, members, now, inherited);
+	borrowers.updateMembers(borrower, members, now, handover);
 };
 
-/** Called once a heartbeat or more often; returns what is to be sent. */
+/** Call at least once per heartbeat; returns the messages to send. */
 export const tickPool = (
 	limits: PoolLimits,
 	now: number,
 ): readonly CreditEnvelope[] => {
 	borrowers.updateBorrower(limits.borrower, now);
 	return limits.coordinator
-		? deliverGrants(limits, homes.decideGrants(limits.coordinator, now), now)
+		? deliverGrants(
+				limits,
+				coordinators.decideGrants(limits.coordinator, now),
+				now,
+			)
 		: [];
 };
--- a/packages/core/src/limits/power-of-two.ts
+++ b/packages/core/src/limits/power-of-two.ts
@@ -1,21 +1,21 @@
 /**
- * Power of two choices: of two executors drawn at random, the one with fewer
- * requests in flight for its weight. Kept as the measured alternatives to
- * credits: by local counts, and by counts that peers have piggybacked.
+ * Power of two choices: of two executors drawn at random, picks the one with
+ * fewer requests in flight relative to its weight, by local counts or by those
+ * that peers piggyback. An alternative to credits, used for comparison.
  * Source: Mitzenmacher, 2001.
  */
 
-/** One executor as an entry sees it. */
+/** Load of one executor as an entry sees it. */
 export type ExecutorLoad = {
 	readonly executor: string;
 	readonly slots: number;
-	/** Requests of this entry, and with piggybacking those of its peers. */
+	/** Requests in flight of this entry and, with piggybacking, of its peers. */
 	readonly inFlight: number;
-	/** From health and slow start: 0 not used, 1 whole. */
+	/** Weight from health and slow start, in [0, 1]; 0 excludes it. */
 	readonly weight: number;
 };
 
-/** The draws are in [0, 1); undefined where neither has a slot left. */
+/** Picks by two draws in [0, 1); undefined if the pick has no free slot. */
 export const pickOfTwo = (
 	loads: readonly ExecutorLoad[],
 	draws: readonly [number, number],
@@ -32,7 +32,7 @@
 	return picked.inFlight < picked.slots ? picked.executor : undefined;
 };
 
-/** Adds up counts that peers have reported of themselves, by executor. */
+/** Sums the counts that peers report for themselves, by executor. */
 export const sumPeerCounts = (
 	peers: Iterable<ReadonlyMap<string, number>>,
 ): Map<string, number> => {
--- a/packages/core/src/limits/rendezvous.ts
+++ b/packages/core/src/limits/rendezvous.ts
@@ -1,7 +1,7 @@
 /**
- * Rendezvous (highest random weight) hashing: every entry that knows the same
- * members ranks them alike for a key, and a change of one member moves only
- * the keys that it gains or loses. Source: Thaler and Ravishankar, 1998.
+ * Rendezvous (highest random weight) hashing: all entries with the same
+ * members rank them alike for a key, and a change of one member moves only the
+ * keys that it gains or loses. Source: Thaler and Ravishankar, 1998.
  */
 /* eslint-disable no-bitwise -- a 32-bit hash is made of bit operations */
 
@@ -20,7 +20,7 @@
 	return (hash ^ (hash >>> 16)) >>> 0;
 };
 
-/** Ranks members for a key, the first one highest; equal hashes by name. */
+/** Ranks members for a key, highest first; equal hashes by name. */
 export const rankMembers = (
 	key: string,
 	members: readonly string[],
@@ -30,7 +30,7 @@
 		.toSorted((a, b) => b.hash - a.hash || (a.member < b.member ? -1 : 1))
 		.map((each) => each.member);
 
-/** The first member for a key, or undefined without members. */
+/** Returns the highest ranked member for a key, or undefined if none. */
 export const pickMember = (
 	key: string,
 	members: readonly string[],
--- a/packages/core/src/limits/static-share.ts
+++ b/packages/core/src/limits/static-share.ts
@@ -1,13 +1,13 @@
 /**
- * Static shares: slots and connections of an executor divided over the listed
- * entries without any message. Also the fallback when the home of a pool is
- * silent; docs/design/limits.md.
+ * Static shares: slots and connections of an executor divided among the listed
+ * entries without messages. Slot shares are the fallback when the credit
+ * coordinator of a pool is unresponsive. Source: docs/design/limits.md.
  */
 import * as rendezvous from './rendezvous.js';
 
 /**
- * Slots of one executor that one entry may use by itself. The shares of all
- * members add up to `slots`; the remainder goes to those ranked first.
+ * Slots of one executor that one entry may use without credits. The shares of
+ * all members add up to `slots`; the remainder goes to those ranked first.
  */
 export const getStaticShare = (
 	executor: string,
@@ -25,8 +25,8 @@
 };
 
 /**
- * Shares of every executor for one entry, of a part of the slots: 1 divides
- * all of them, a smaller fraction leaves the rest to be granted.
+ * Shares of one entry on every executor. `fraction` is the part of the slots to
+ * divide; the rest is left to be granted as credits.
  */
 export const getStaticShares = (
 	slots: ReadonlyMap<string, number>,
@@ -42,16 +42,16 @@
 	);
 
 /**
- * Part of the listed entries that may be replaced at once, their connections
- * not yet closed, without more than the limit being open.
+ * Replaced entries whose connections may still be open, as a part of the
+ * listed entries, for which the connection limit still holds.
  */
 export const maxReplacedFraction = 0.5;
 
 /**
- * Connections that an entry may keep open to one executor besides those that
- * carry a request in a granted slot. With `members` listed entries, half as
- * many replaced ones not yet closed, and every slot in use on top, the sum is
- * at most `connections`.
+ * Connections that an entry may keep open to one executor in addition to those
+ * in use by a granted slot. With `members` listed entries, half as many
+ * replaced ones still connected, and all slots in use, the sum is at most
+ * `connections`.
  */
 export const getSpareConnections = (
 	connections: number,
@@ -65,7 +65,7 @@
 	return Math.max(0, Math.floor((connections - slots) / holders));
 };
 
-/** Connections that an entry may have open to one executor now. */
+/** Connections that an entry may currently have open to one executor. */
 export const getConnectionLimit = (
 	connections: number,
 	slots: number,
--- a/packages/core/src/limits/unresponsive-members.ts
+++ b/packages/core/src/limits/unresponsive-members.ts
@@ -1,30 +1,30 @@
-/** Which listed entries have not been heard of for too long. */
+/** Detects listed entries without recent messages. */
 
-/** When each peer was last heard of, or first listed; own clock, ms. */
+/** When each peer last sent a message or was first listed; local clock, ms. */
 export type LastContactAt = Map<string, number>;
 
-/** Silence after which another home is turned to. */
+/** Time without a message after which another coordinator is picked. */
 export const defaultUnresponsiveAfterMs = 250;
 
 /**
- * Listed entries without any message for `silentAfterMs`; one that was not
+ * Lists entries without a message for `unresponsiveAfterMs`; one that was not
  * listed before is given that time first.
  */
 export const getUnresponsiveMembers = (
-	heardAt: LastContactAt,
+	lastContactAt: LastContactAt,
 	listed: readonly string[],
 	now: number,
-	silentAfterMs: number,
+	unresponsiveAfterMs: number,
 ): ReadonlySet<string> => {
-	const silent = new Set<string>();
+	const unresponsive = new Set<string>();
 	for (const member of listed) {
-		const heardAtMs = heardAt.get(member);
-		if (heardAtMs === undefined) {
-			heardAt.set(member, now);
-		} else if (now - heardAtMs > silentAfterMs) {
-			silent.add(member);
+		const lastContactAtMs = lastContactAt.get(member);
+		if (lastContactAtMs === undefined) {
+			lastContactAt.set(member, now);
+		} else if (now - lastContactAtMs > unresponsiveAfterMs) {
+			unresponsive.add(member);
 		}
 	}
 
-	return silent;
+	return unresponsive;
 };
