--- a/packages/core/src/idempotency/attempt.ts
+++ b/packages/core/src/idempotency/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * State of one attempt to run a request at most once, as an entry holds it.
- * The attempt is moved by `updateAttempt` in ./update-attempt.ts.
+ * State of one attempt to run a request at most once, held by an entry and
+ * updated by `updateAttempt` in ./update-attempt.ts.
  */
 import type {ErrorKind, ErrorAnswer} from '../errors/error-table.js';
 import * as errors from '../errors/error-table.js';
@@ -16,19 +16,19 @@
 } from './row.js';
 import type {Settings} from './settings.js';
 
-/** A whole answer of an upstream. */
+/** A complete answer of an upstream. */
 export type Answer = {
 	readonly status: number;
 	readonly headers: ReadonlyArray<readonly [string, string]>;
 	readonly body: Uint8Array;
 };
 
-/** What the caller is told. */
+/** Reply to the caller. */
 export type Reply =
 	| {
 			readonly kind: 'answer';
 			readonly answer: Answer;
-			/** True if the answer was given to an earlier request. */
+			/** True if the answer was recorded for an earlier request. */
 			readonly isReplay: boolean;
 	  }
 	| {
@@ -41,9 +41,9 @@
 /** How a dispatch ended. */
 export type RunResult =
 	| {readonly kind: 'answered'; readonly answer: Answer}
-	/** Answered with a body that is too large to be kept. */
+	/** Answered with a body that is too large to be stored. */
 	| {readonly kind: 'streamed'; readonly status: number}
-	/** Certainly not run: no byte was sent, or a declared refusal came. */
+	/** Certainly not run: no byte was sent, or the upstream refused it. */
 	| {readonly kind: 'refused'; readonly error: ErrorKind}
 	| {readonly kind: 'lost'; readonly error: ErrorKind};
 
@@ -51,12 +51,12 @@
 export type WriteResult =
 	| {readonly kind: 'committed'; readonly version: number}
 	| {readonly kind: 'conflict'; readonly current: StoredRow | undefined}
-	/** Certainly without effect, now and later. */
+	/** The write certainly has no effect, now or later. */
 	| {readonly kind: 'refused'}
-	/** No reply: the write may have had its effect, or may yet. */
+	/** No reply: the write may have taken effect, or may still do so. */
 	| {readonly kind: 'lost'};
 
-/** What happened. At most one call of an attempt is out at any time. */
+/** Input of `updateAttempt`. An attempt has at most one pending call. */
 export type Event =
 	| {
 			readonly kind: 'read';
@@ -69,22 +69,22 @@
 	| {readonly kind: 'object-put'; readonly isKept: boolean}
 	| {
 			readonly kind: 'object-got';
-			/** Missing if the object is not there or could not be read. */
+			/** Undefined if the object is missing or could not be read. */
 			readonly body: Uint8Array | undefined;
 	  }
-	/** The time of `getWakeAt` has come. */
+	/** The time returned by `getWakeAt` has been reached. */
 	| {readonly kind: 'tick'}
-	/** No caller waits for the answer any more. */
+	/** The caller no longer waits for the answer. */
 	| {readonly kind: 'caller-gone'};
 
-/** What the shell does next. */
+/** An effect that the daemon executes for the attempt. */
 export type Command =
 	| {readonly kind: 'read'}
 	| {
 			readonly kind: 'write';
 			readonly row: KeyRow;
 			readonly when: Precondition;
-			/** True if a caller waits for it. */
+			/** True if a caller waits for the write. */
 			readonly isUrgent: boolean;
 	  }
 	| {readonly kind: 'dispatch'; readonly dispatchBy: number}
@@ -96,18 +96,18 @@
 	| {readonly kind: 'get-object'; readonly name: string}
 	| {readonly kind: 'reply'; readonly reply: Reply};
 
-/** What an attempt is about to achieve. */
+/** Current phase of an attempt. */
 export type Intent =
-	/** Read the row and decide; `known` is a started row seen before. */
+	/** Read the row and decide; `known` is a started row read earlier. */
 	| {readonly kind: 'look'; readonly known: StartedRow | undefined}
-	/** Commit the started row; in doubt after a lost reply. */
+	/** Commit the started row. */
 	| {
 			readonly kind: 'start';
 			readonly row: StartedRow;
 			readonly when: Precondition;
-			/** When the row was made, before it was first sent. */
+			/** When the row was created, before it was first sent. */
 			readonly createdAt: number;
-			/** A write of it had no reply, and no read has decided since. */
+			/** True if a write had no reply and no read has resolved it. */
 			readonly isDoubtful: boolean;
 	  }
 	| {
@@ -115,14 +115,14 @@
 			readonly row: StartedRow;
 			readonly version: number;
 	  }
-	/** Put a large answer in the object store. */
+	/** Store a large answer in the object store. */
 	| {
 			readonly kind: 'keep';
 			readonly row: StartedRow;
 			readonly version: number;
 			readonly answer: Answer;
 	  }
-	/** Replace the started row for good. */
+	/** Replace the started row by the final one. */
 	| {
 			readonly kind: 'settle';
 			readonly row: FinalRow;
@@ -137,35 +137,34 @@
 	| {readonly kind: 'call'; readonly call: 'read' | 'write' | 'other'}
 	| {readonly kind: 'pause'; readonly until: number};
 
-/** What is asked, and by when. All times are of the entry's own clock. */
+/** The request of an attempt. All times are of the local clock. */
 export type Claim = {
 	readonly fingerprint: string;
 	readonly holder: Holder;
-	/** When the request came in. */
+	/** When the request was received. */
 	readonly createdAt: number;
-	/** The caller has an answer by then. */
+	/** When the caller must have a reply. */
 	readonly deadline: number;
-	/** From 0 to 1, chosen at random: spreads pauses of several entries. */
+	/** Random number from 0 to 1 that spreads the pauses of several entries. */
 	readonly jitter: number;
 };
 
-/** One attempt. */
 export type Attempt = {
 	readonly claim: Claim;
 	readonly settings: Settings;
 	readonly intent: Intent;
 	readonly pending: Pending;
-	/** Calls of this intent that failed, one after the other. */
+	/** Consecutive failed calls of this intent. */
 	readonly failures: number;
-	/** True once the caller was told; nothing is dispatched after that. */
+	/** True once the caller has a reply; nothing is dispatched after that. */
 	readonly isAnswered: boolean;
 	/** When the wait for the store began. */
 	readonly storeWaitStartedAt: number;
-	/** Nothing is written after this. */
+	/** When the attempt stops writing. */
 	readonly completeBy: number;
 };
 
-/** An attempt and what its shell does next, in this order. */
+/** An updated attempt and the commands to execute, in this order. */
 export type Step = {
 	readonly attempt: Attempt;
 	readonly commands: readonly Command[];
@@ -173,11 +172,11 @@
 
 const startingIntents: ReadonlySet<Intent['kind']> = new Set(['look', 'start']);
 
-/** True before anything could have been sent by this attempt. */
+/** True if this attempt cannot have sent anything yet. */
 export const isBeforeDispatch = (attempt: Attempt): boolean =>
 	startingIntents.has(attempt.intent.kind);
 
-/** When the store must have answered, for a request not yet dispatched. */
+/** When the store must have answered a request not yet dispatched. */
 export const getStoreDeadline = (attempt: Attempt): number => {
 	const {claim, settings} = attempt;
 	return Math.min(
@@ -186,7 +185,7 @@
 	);
 };
 
-/** When the caller is answered, whatever the attempt waits for. */
+/** When the caller is answered, whatever call is pending. */
 export const getReplyDeadline = (attempt: Attempt): number => {
 	const {intent, claim} = attempt;
 	const isWaiting = intent.kind === 'look' && intent.known !== undefined;
@@ -195,7 +194,7 @@
 		: claim.deadline;
 };
 
-/** When the shell sends the next `tick`, if nothing else happens. */
+/** When to send the next `tick` event, unless another event comes first. */
 export const getWakeAt = (attempt: Attempt): number => {
 	const answerBy = attempt.isAnswered
 		? Number.POSITIVE_INFINITY
@@ -205,7 +204,7 @@
 		: answerBy;
 };
 
-/** Moves to another intent, with one call out. */
+/** Sets the intent and starts its call. */
 export const startCall = (
 	attempt: Attempt,
 	intent: Intent,
@@ -222,7 +221,7 @@
 	};
 };
 
-/** Pauses before the next call of the same intent; the pause doubles. */
+/** Pauses before the next call of the intent, with exponential backoff. */
 export const pauseBeforeRetry = (
 	attempt: Attempt,
 	intent: Intent,
@@ -243,7 +242,7 @@
 	};
 };
 
-/** Ends the attempt: nothing of it is out and nothing is left to do. */
+/** Ends the attempt; it must have no pending call. */
 export const endAttempt = (attempt: Attempt): Step => ({
 	attempt: {
 		...attempt,
@@ -253,7 +252,7 @@
 	commands: [],
 });
 
-/** Answers the caller, unless that was done, before what a step does. */
+/** Puts the reply before the commands of `next`, unless one was sent. */
 export const replyThen = (
 	attempt: Attempt,
 	reply: Reply,
@@ -265,7 +264,6 @@
 		: {...step, commands: [{kind: 'reply', reply}, ...step.commands]};
 };
 
-/** Words an error of the table. */
 export const createErrorReply = (
 	error: ErrorKind,
 	retryAfterMs?: number,
@@ -276,7 +274,7 @@
 		: {kind: 'error', error, outcome, retryAfterMs};
 };
 
-/** Words the refusal of a request for which the store is out. */
+/** Creates the error reply for an unavailable store. */
 export const createOutageReply = (attempt: Attempt): Reply => {
 	const {outageOutcome, maxPauseMs} = attempt.settings;
 	const error =
@@ -284,7 +282,7 @@
 	return createErrorReply(error, maxPauseMs);
 };
 
-/** The row that is written before dispatch. */
+/** Creates the row that is written before dispatch. */
 export const createStartedRow = (attempt: Attempt, time: Time): StartedRow => {
 	const {claim, settings} = attempt;
 	const toDate = (at: number) => Math.round(time.date + (at - time.now));
--- a/packages/core/src/idempotency/claim.ts
+++ b/packages/core/src/idempotency/claim.ts
@@ -1,12 +1,13 @@
 /**
- * The beginning of an attempt: the row is read, and the started row is
- * committed before anything is sent.
+ * First phase of an attempt: reads the row of the key, and commits the started
+ * row before the request is sent.
  *
- * A started write without a reply is in doubt. It may take effect even after
- * a read that does not show it, so that only a row seen there decides: the
- * own row (committed), or another row (the precondition can no longer hold).
- * Over an unchanged row the write is sent again under the same precondition,
- * so that at most one of the two takes effect.
+ * The outcome of a started write without a reply is unknown. The write may
+ * take effect even after a read that does not show it, so it is resolved only
+ * by a row that rules out the other outcome: the attempt's own row (committed)
+ * or a newer row of another attempt (the precondition can no longer hold). If
+ * the row is unchanged, the write is repeated with the same precondition, so
+ * that at most one of the two takes effect.
  */
 import {Buffer} from 'node:buffer';
 import type {ErrorKind} from '../errors/error-table.js';
@@ -16,15 +17,15 @@
 import * as lookup from './lookup.js';
 import type {FinishedRow, StoredRow, Precondition} from './row.js';
 import * as rows from './row.js';
-import * as settle from './completion.js';
+import * as completion from './completion.js';
 
-type LookIntent = Extract<Intent, {kind: 'look'}>;
+type ReadIntent = Extract<Intent, {kind: 'look'}>;
 type StartIntent = Extract<Intent, {kind: 'start'}>;
 
-/** A read of the row: what is there, or `undefined` if the read failed. */
+/** Result of a read of the row; `undefined` if the read failed. */
 type Read = {readonly stored: StoredRow | undefined} | undefined;
 
-/** Answers with an error and ends; nothing of the attempt is in the store. */
+/** Replies with an error and ends; the attempt has written no row. */
 const refuse = (
 	attempt: Attempt,
 	error: ErrorKind,
@@ -73,7 +74,7 @@
 		: refuse(attempt, 'answer-unavailable');
 };
 
-/** Goes on after a large answer was read; one cut short is not given. */
+/** Replies with the answer that was read, unless it is incomplete. */
 export const updateFetch = (
 	attempt: Attempt,
 	intent: Extract<Intent, {kind: 'fetch'}>,
@@ -94,10 +95,10 @@
 };
 
 /** Reads the row of the key. */
-export const readRow = (attempt: Attempt, intent: LookIntent): Step =>
+export const readRow = (attempt: Attempt, intent: ReadIntent): Step =>
 	attempts.startCall(attempt, intent, {kind: 'read'});
 
-/** Sends the started write, the first time or again. */
+/** Sends the started write. */
 export const writeStarted = (attempt: Attempt, intent: StartIntent): Step =>
 	attempts.startCall(attempt, intent, {
 		kind: 'write',
@@ -106,7 +107,7 @@
 		isUrgent: true,
 	});
 
-/** Begins the started write under a precondition. */
+/** Creates the started row and writes it under a precondition. */
 export const claimKey = (
 	attempt: Attempt,
 	when: Precondition,
@@ -127,8 +128,8 @@
 	);
 };
 
-/** Pauses between two reads of a row that another attempt holds. */
-const wait = (
+/** Pauses before the next read of a row that another attempt holds. */
+const waitForHolder = (
 	attempt: Attempt,
 	step: Extract<Lookup, {kind: 'wait'}>,
 	now: number,
@@ -150,8 +151,8 @@
 	};
 };
 
-/** Goes on with the row of the key, which is not this attempt's. */
-const proceed = (
+/** Decides by the row of the key, which this attempt does not hold. */
+const decideByRow = (
 	attempt: Attempt,
 	stored: StoredRow | undefined,
 	time: Time,
@@ -159,30 +160,30 @@
 	const {claim, settings} = attempt;
 	const {fingerprint, holder} = claim;
 	const context = {fingerprint, holder, settings};
-	const found = lookup.decideLookup(stored, context, time.date);
-	switch (found.kind) {
+	const decision = lookup.decideLookup(stored, context, time.date);
+	switch (decision.kind) {
 		case 'take': {
-			return claimKey(attempt, found.when, time);
+			return claimKey(attempt, decision.when, time);
 		}
 
 		case 'replay': {
-			return replay(attempt, found.row);
+			return replay(attempt, decision.row);
 		}
 
 		case 'wait': {
-			return wait(attempt, found, time.now);
+			return waitForHolder(attempt, decision, time.now);
 		}
 
 		case 'refuse': {
-			return refuse(attempt, found.error, found.retryAfterMs);
+			return refuse(attempt, decision.error, decision.retryAfterMs);
 		}
 	}
 };
 
-/** Pauses before another call, or refuses after the last try. */
+/** Pauses before the next try, or refuses after the last one. */
 const pauseOrRefuse = (
 	attempt: Attempt,
-	intent: LookIntent | StartIntent,
+	intent: ReadIntent | StartIntent,
 	now: number,
 ): Step => {
 	const {failures, settings, isAnswered} = attempt;
@@ -195,10 +196,10 @@
 			);
 };
 
-/** Goes on after the row was read. */
+/** Applies the first or a repeated read of the row. */
 export const applyRowRead = (
 	attempt: Attempt,
-	intent: LookIntent,
+	intent: ReadIntent,
 	read: Read,
 	time: Time,
 ): Step => {
@@ -207,7 +208,7 @@
 	}
 
 	if (read !== undefined) {
-		return proceed(attempt, read.stored, time);
+		return decideByRow(attempt, read.stored, time);
 	}
 
 	return intent.known === undefined
@@ -215,7 +216,7 @@
 		: attempts.pauseBeforeRetry(attempt, intent, time.now);
 };
 
-/** True if a request may still be sent, by both clocks of the entry. */
+/** True if the request may still be sent, by both clocks of the entry. */
 const mayDispatch = (
 	attempt: Attempt,
 	intent: StartIntent,
@@ -231,15 +232,15 @@
 	);
 };
 
-/** Last moment of a dispatch, counted from before the started write. */
+/** Latest time of dispatch, counted from before the started write. */
 export const getDispatchBy = (attempt: Attempt, intent: StartIntent): number =>
 	Math.min(
 		attempt.claim.deadline,
 		intent.createdAt + attempt.settings.dispatchWithinMs,
 	);
 
-/** The started row is certainly there: dispatch, or give the key back. */
-const goOn = (
+/** Dispatches after the started row is committed, or releases the key. */
+const dispatchOrRelease = (
 	attempt: Attempt,
 	intent: StartIntent,
 	version: number,
@@ -257,33 +258,33 @@
 	return attempts.replyThen(
 		attempt,
 		attempts.createErrorReply('deadline-in-queue'),
-		(next) => settle.startRelease(next, row, {kind: 'version', version}),
+		(next) => completion.startRelease(next, row, {kind: 'version', version}),
 	);
 };
 
-/** Sends the started write again, or gives up and releases in its place. */
-const writeAgain = (attempt: Attempt, intent: StartIntent): Step =>
+/** Repeats the started write, or releases the key if already answered. */
+const repeatStartedWrite = (attempt: Attempt, intent: StartIntent): Step =>
 	attempt.isAnswered
-		? settle.startRelease(attempt, intent.row, intent.when)
+		? completion.startRelease(attempt, intent.row, intent.when)
 		: writeStarted(attempt, intent);
 
-/** Goes on with the row as it certainly is after a started write. */
-const compareStarted = (
+/** Applies the row that resolves a started write. */
+const resolveStarted = (
 	attempt: Attempt,
 	intent: StartIntent,
 	stored: StoredRow | undefined,
 	time: Time,
 ): Step => {
 	if (stored !== undefined && rows.isHeldBy(stored, attempt.claim.holder)) {
-		return goOn(attempt, intent, stored.version, time);
+		return dispatchOrRelease(attempt, intent, stored.version, time);
 	}
 
 	return attempt.isAnswered
 		? attempts.endAttempt(attempt)
-		: proceed(attempt, stored, time);
+		: decideByRow(attempt, stored, time);
 };
 
-/** Goes on after the started write. */
+/** Applies the result of the started write. */
 export const updateStart = (
 	attempt: Attempt,
 	intent: StartIntent,
@@ -292,11 +293,11 @@
 ): Step => {
 	switch (result.kind) {
 		case 'committed': {
-			return goOn(attempt, intent, result.version, time);
+			return dispatchOrRelease(attempt, intent, result.version, time);
 		}
 
 		case 'conflict': {
-			return compareStarted(attempt, intent, result.current, time);
+			return resolveStarted(attempt, intent, result.current, time);
 		}
 
 		case 'refused': {
@@ -306,22 +307,22 @@
 		}
 
 		case 'lost': {
-			const doubtful = {...intent, isDoubtful: true};
-			return attempts.pauseBeforeRetry(attempt, doubtful, time.now);
+			const unresolved = {...intent, isDoubtful: true};
+			return attempts.pauseBeforeRetry(attempt, unresolved, time.now);
 		}
 	}
 };
 
-/** Resumes after a pause: a write in doubt is read back first. */
+/** Resumes after a pause; reads the row first if a write is unresolved. */
 export const resumeStart = (attempt: Attempt, intent: StartIntent): Step => {
 	if (intent.isDoubtful) {
 		return attempts.startCall(attempt, intent, {kind: 'read'});
 	}
 
-	return writeAgain(attempt, intent);
+	return repeatStartedWrite(attempt, intent);
 };
 
-/** Goes on after a started write in doubt was read back. */
+/** Applies the read after an unresolved started write. */
 export const applyStartedRead = (
 	attempt: Attempt,
 	intent: StartIntent,
@@ -334,8 +335,8 @@
 			rows.isHeldBy(stored, attempt.claim.holder) ||
 			rows.isPreconditionRuledOut(stored, intent.when);
 		return isDecided
-			? compareStarted(attempt, intent, stored, time)
-			: writeAgain(attempt, intent);
+			? resolveStarted(attempt, intent, stored, time)
+			: repeatStartedWrite(attempt, intent);
 	}
 
 	return time.now >= attempt.completeBy
--- a/packages/core/src/idempotency/completion.ts
+++ b/packages/core/src/idempotency/completion.ts
@@ -1,7 +1,7 @@
 /**
- * The end of an attempt: what is recorded after the dispatch, or in place of
- * it. Every write is conditional on the holder's own started row, so that it
- * may be sent again after a lost reply.
+ * Last phase of an attempt: records the result after the dispatch, or releases
+ * the key without one. Every write is conditional on the holder's own started
+ * row, so that it can be repeated after a lost reply.
  */
 import {Buffer} from 'node:buffer';
 import * as attempts from './attempt.js';
@@ -22,14 +22,14 @@
 } from './row.js';
 import * as rows from './row.js';
 
-type SettleIntent = Extract<Intent, {kind: 'settle'}>;
+type FinalIntent = Extract<Intent, {kind: 'settle'}>;
 type KeepIntent = Extract<Intent, {kind: 'keep'}>;
 
 /** Name of the object that holds a large answer. */
 export const formatObjectName = (operationId: string): string =>
 	`idempotency/${operationId}`;
 
-const writeSettled = (attempt: Attempt, intent: SettleIntent): Step =>
+const writeFinalRow = (attempt: Attempt, intent: FinalIntent): Step =>
 	attempts.startCall(attempt, intent, {
 		kind: 'write',
 		row: intent.row,
@@ -37,14 +37,14 @@
 		isUrgent: false,
 	});
 
-/** Writes the last state of a row. */
+/** Writes the final row. */
 export const startCompletion = (
 	attempt: Attempt,
 	row: FinalRow,
 	when: Precondition,
-): Step => writeSettled(attempt, {kind: 'settle', row, when});
+): Step => writeFinalRow(attempt, {kind: 'settle', row, when});
 
-/** Gives the key back: the request was certainly not run. */
+/** Releases the key: the request was certainly not run. */
 export const startRelease = (
 	attempt: Attempt,
 	row: StartedRow,
@@ -69,7 +69,7 @@
 	bodyBase64: Buffer.from(answer.body).toString('base64'),
 });
 
-/** Puts a large answer in the object store; the row follows. */
+/** Stores a large answer in the object store, before the row is written. */
 export const putAnswer = (attempt: Attempt, intent: KeepIntent): Step =>
 	attempts.startCall(attempt, intent, {
 		kind: 'put-object',
@@ -77,7 +77,7 @@
 		body: intent.answer.body,
 	});
 
-const keepAnswer = (
+const storeAnswer = (
 	attempt: Attempt,
 	run: Extract<Intent, {kind: 'run'}>,
 	answer: Answer,
@@ -93,7 +93,7 @@
 		: startFinish(attempt, run, {kind: 'not-kept', status});
 };
 
-/** Goes on after the put of a large answer. */
+/** Applies the result of storing a large answer. */
 export const updateKeep = (
 	attempt: Attempt,
 	intent: KeepIntent,
@@ -118,7 +118,7 @@
 		: startFinish(attempt, intent, {kind: 'not-kept', status});
 };
 
-/** Goes on after the dispatch. The caller is told before the row is written. */
+/** Applies the result of the dispatch; replies before the row is written. */
 export const updateRun = (
 	attempt: Attempt,
 	intent: Extract<Intent, {kind: 'run'}>,
@@ -131,7 +131,7 @@
 			return attempts.replyThen(
 				attempt,
 				{kind: 'answer', answer, isReplay: false},
-				(next) => keepAnswer(next, intent, answer),
+				(next) => storeAnswer(next, intent, answer),
 			);
 		}
 
@@ -163,20 +163,20 @@
 	}
 };
 
-/** Pauses, or gives up for good: the row stays as it is until it expires. */
-const pauseSettle = (
+/** Pauses, or gives up; the row then stays as it is until it expires. */
+const pauseOrGiveUp = (
 	attempt: Attempt,
-	intent: SettleIntent,
+	intent: FinalIntent,
 	now: number,
 ): Step =>
 	now >= attempt.completeBy
 		? attempts.endAttempt(attempt)
 		: attempts.pauseBeforeRetry(attempt, intent, now);
 
-/** Ends over a row that is certainly there; an own started one is replaced. */
-const settleOver = (
+/** Ends the attempt, or first replaces its own started row if present. */
+const resolveFinalWrite = (
 	attempt: Attempt,
-	intent: SettleIntent,
+	intent: FinalIntent,
 	stored: StoredRow | undefined,
 	now: number,
 ): Step => {
@@ -188,14 +188,14 @@
 
 	const when = {kind: 'version', version: stored.version} as const;
 	return stored.row?.state === 'started'
-		? writeSettled(attempt, {...intent, when})
+		? writeFinalRow(attempt, {...intent, when})
 		: attempts.endAttempt(attempt);
 };
 
-/** Goes on after a write of the last state. */
+/** Applies the result of writing the final row. */
 export const updateCompletion = (
 	attempt: Attempt,
-	intent: SettleIntent,
+	intent: FinalIntent,
 	result: WriteResult,
 	now: number,
 ): Step => {
@@ -205,35 +205,33 @@
 		}
 
 		case 'conflict': {
-			return settleOver(attempt, intent, result.current, now);
+			return resolveFinalWrite(attempt, intent, result.current, now);
 		}
 
 		case 'refused':
 		case 'lost': {
-			return pauseSettle(attempt, intent, now);
+			return pauseOrGiveUp(attempt, intent, now);
 		}
 	}
 };
 
-/** Resumes after a pause, by reading: the last write may have committed. */
-export const resumeCompletion = (
-	attempt: Attempt,
-	intent: SettleIntent,
-): Step => attempts.startCall(attempt, intent, {kind: 'read'});
+/** Resumes after a pause with a read: the last write may have committed. */
+export const resumeCompletion = (attempt: Attempt, intent: FinalIntent): Step =>
+	attempts.startCall(attempt, intent, {kind: 'read'});
 
 /**
- * Goes on after the row was read back. Over a row that decides nothing the
- * same write is sent again, which also keeps a delayed started write of this
+ * Applies the read after a failed write. If the row does not resolve the write,
+ * the same write is repeated, which also keeps a delayed started write of this
  * attempt from taking effect.
  */
 export const applyCompletionRead = (
 	attempt: Attempt,
-	intent: SettleIntent,
+	intent: FinalIntent,
 	result: {readonly stored: StoredRow | undefined} | undefined,
 	now: number,
 ): Step => {
 	if (result === undefined || now >= attempt.completeBy) {
-		return pauseSettle(attempt, intent, now);
+		return pauseOrGiveUp(attempt, intent, now);
 	}
 
 	const {stored} = result;
@@ -241,6 +239,6 @@
 		rows.isHeldBy(stored, attempt.claim.holder) ||
 		rows.isPreconditionRuledOut(stored, intent.when);
 	return isDecided
-		? settleOver(attempt, intent, stored, now)
-		: writeSettled(attempt, intent);
+		? resolveFinalWrite(attempt, intent, stored, now)
+		: writeFinalRow(attempt, intent);
 };
--- a/packages/core/src/idempotency/expiry.ts
+++ b/packages/core/src/idempotency/expiry.ts
@@ -1,37 +1,37 @@
-/** Which rows may be removed, and how soon to look for more. */
+/** Selects expired rows for removal and paces the scan of the table. */
 import {isExpired} from './lookup.js';
 import type {KeyRow, StoredRow} from './row.js';
 import {formatObjectName} from './completion.js';
 
-/** A row to remove, on condition of its version. */
+/** A row to remove if it still has this version. */
 export type ExpiredRow = {
 	readonly key: string;
 	readonly version: number;
-	/** Object to remove before the row. */
+	/** Object to remove before the row, if any. */
 	readonly objectName: string | undefined;
 };
 
-/** How rows are looked through. */
+/** Settings of the scan for expired rows. */
 export type SweepSettings = {
-	/** Rows read at once. */
+	/** Rows per page. */
 	readonly pageRows: number;
-	/** Pause between pages with little to remove. */
+	/** Pause after a page with few expired rows. */
 	readonly intervalMs: number;
-	/** Pause between pages with much to remove. */
+	/** Pause after a page with many expired rows. */
 	readonly busyIntervalMs: number;
 };
 
-/** Settings where the operator gives none. */
+/** Default settings. */
 export const defaultSweepSettings: SweepSettings = {
 	pageRows: 500,
 	intervalMs: 10_000,
 	busyIntervalMs: 1000,
 };
 
-/** Share of a page above which the next page is read sooner. */
+/** Share of expired rows above which a page counts as busy. */
 const busyShare = 0.1;
 
-/** A holder that died may have put an answer without having written so. */
+/** A terminated holder may have stored an object without recording it. */
 const getObjectName = (row: KeyRow): string | undefined => {
 	switch (row.state) {
 		case 'started': {
@@ -50,8 +50,8 @@
 };
 
 /**
- * Rows that no entry's clock lets anyone use any more. Rows that cannot be
- * understood stay, for an operator to look at.
+ * Lists rows that are expired by the clocks of all entries. Rows that cannot be
+ * parsed are kept for an operator to inspect.
  */
 export const listExpired = (
 	page: ReadonlyArray<readonly [key: string, stored: StoredRow]>,
@@ -64,14 +64,14 @@
 			: [],
 	);
 
-/** Pause before the next page; `drawn` is a random number from 0 to 1. */
+/** Returns the pause before the next page; `random` is from 0 to 1. */
 export const getSweepPauseMs = (
 	settings: SweepSettings,
 	rows: number,
 	expired: number,
-	drawn: number,
+	random: number,
 ): number => {
 	const isBusy = expired > rows * busyShare;
 	const pauseMs = isBusy ? settings.busyIntervalMs : settings.intervalMs;
-	return pauseMs * (0.5 + drawn);
+	return pauseMs * (0.5 + random);
 };
--- a/packages/core/src/idempotency/group-commit.test.ts
+++ b/packages/core/src/idempotency/group-commit.test.ts
@@ -2,58 +2,68 @@
 import * as tap from 'tap';
 import * as groups from './group-commit.js';
 
-type Entry = groups.GroupEntry & {readonly isLoser: boolean};
+type Entry = groups.GroupEntry & {readonly hasConflict: boolean};
 
-const entry = (key: string, bytes = 1, isLoser = false): Entry => ({
+const createEntry = (key: string, bytes = 1, hasConflict = false): Entry => ({
 	key,
 	bytes,
-	isLoser,
+	hasConflict,
 });
 const limits = {maxRows: 3, maxBytes: 10};
 
 const table: Array<[string, Entry[], string[], string[]]> = [
 	['nothing', [], [], []],
 	[
-		'up to the rows',
-		['a', 'b', 'c', 'd'].map((key) => entry(key)),
+		'up to maxRows',
+		['a', 'b', 'c', 'd'].map((key) => createEntry(key)),
 		['a', 'b', 'c'],
 		['d'],
 	],
 	[
-		'up to the bytes',
-		[entry('a', 6), entry('b', 5), entry('c', 4)],
+		'up to maxBytes',
+		[createEntry('a', 6), createEntry('b', 5), createEntry('c', 4)],
 		['a', 'c'],
 		['b'],
 	],
-	['one above the bytes', [entry('a', 11), entry('b', 1)], ['a'], ['b']],
-	['a key twice', [entry('a'), entry('a'), entry('b')], ['a', 'b'], ['a']],
+	[
+		'a write above maxBytes',
+		[createEntry('a', 11), createEntry('b', 1)],
+		['a'],
+		['b'],
+	],
+	[
+		'two writes of one key',
+		[createEntry('a'), createEntry('a'), createEntry('b')],
+		['a', 'b'],
+		['a'],
+	],
 ];
 
-for (const [name, entries, taken, left] of table) {
+for (const [name, entries, selected, remaining] of table) {
 	tap.t.test(`group: ${name}`, async (t) => {
 		const group = groups.selectGroup(entries, limits);
 		t.same(
 			group.selected.map(({key}) => key),
-			taken,
+			selected,
 		);
 		t.same(
 			group.remaining.map(({key}) => key),
-			left,
+			remaining,
 		);
 	});
 }
 
 type Cost = {commits: number; depth: number; committed: string[]};
 
-/** Commits as a store does that names the first conflict it finds. */
+/** Commits to a store that reports only the first conflict. */
 const commitAll = (entries: readonly Entry[], conflicts = 0): Cost => {
-	const loser = entries.find(({isLoser}) => isLoser);
-	if (loser === undefined) {
+	const conflicting = entries.find(({hasConflict}) => hasConflict);
+	if (conflicting === undefined) {
 		return {commits: 1, depth: 1, committed: entries.map(({key}) => key)};
 	}
 
 	const rest = groups
-		.regroupAfterConflict(entries, loser.key, conflicts)
+		.regroupAfterConflict(entries, conflicting.key, conflicts)
 		.map((group) => commitAll(group, conflicts + 1));
 	return {
 		commits: 1 + rest.reduce((sum, {commits}) => sum + commits, 0),
@@ -65,20 +75,20 @@
 tap.t.test('one conflict never fails another key', async (t) => {
 	const property = fc.property(
 		fc.array(fc.boolean(), {minLength: 1, maxLength: 100}),
-		(losers) => {
-			const entries = losers.map((isLoser, index) =>
-				entry(String(index), 1, isLoser),
+		(conflictFlags) => {
+			const entries = conflictFlags.map((hasConflict, index) =>
+				createEntry(String(index), 1, hasConflict),
 			);
 			const cost = commitAll(entries);
-			const winners = entries.filter(({isLoser}) => !isLoser);
-			const losses = entries.length - winners.length;
+			const succeeding = entries.filter(({hasConflict}) => !hasConflict);
+			const conflictCount = entries.length - succeeding.length;
 			const committed = cost.committed.map(Number).sort((a, b) => a - b);
 			const isIsolated =
 				JSON.stringify(committed) ===
-				JSON.stringify(winners.map(({key}) => Number(key)));
+				JSON.stringify(succeeding.map(({key}) => Number(key)));
 			return (
 				isIsolated &&
-				cost.commits <= 2 * losses + 1 &&
+				cost.commits <= 2 * conflictCount + 1 &&
 				cost.depth <= 3 + Math.log2(entries.length)
 			);
 		},
--- a/packages/core/src/idempotency/group-commit.ts
+++ b/packages/core/src/idempotency/group-commit.ts
@@ -1,10 +1,11 @@
 /**
- * Group commit: writes of several keys share one transaction. The store's
- * rate counts transactions, and one key's conflict must not fail the others.
+ * Group commit: writes of several keys share one transaction, since the store
+ * limits the rate of transactions. A conflict of one key must not fail the
+ * others.
  * Source: docs/design/at-most-once.md.
  */
 
-/** Bounds of one transaction. */
+/** Limits of one transaction. */
 export type GroupLimits = {
 	readonly maxRows: number;
 	readonly maxBytes: number;
@@ -16,39 +17,40 @@
 	readonly bytes: number;
 };
 
-/** The next transaction and what is left for later ones. */
+/** Writes of the next transaction, and those left for later ones. */
 export type Group<Entry> = {
 	readonly selected: readonly Entry[];
 	readonly remaining: readonly Entry[];
 };
 
 /**
- * Takes writes in order up to the limits. A key stands in a transaction
- * once; a second write of it waits. The first write is always taken.
+ * Selects writes in order up to the limits. A transaction has at most one
+ * write per key; further ones wait. The first write is always selected.
  */
 export const selectGroup = <Entry extends GroupEntry>(
 	entries: readonly Entry[],
 	limits: GroupLimits,
 ): Group<Entry> => {
-	const taken: Entry[] = [];
-	const left: Entry[] = [];
+	const selected: Entry[] = [];
+	const remaining: Entry[] = [];
 	const keys = new Set<string>();
 	let bytes = 0;
 	for (const entry of entries) {
-		const isFull =
-			taken.length > 0 &&
-			(taken.length >= limits.maxRows || bytes + entry.bytes > limits.maxBytes);
-		if (isFull || keys.has(entry.key)) {
-			left.push(entry);
+		const isGroupFull =
+			selected.length > 0 &&
+			(selected.length >= limits.maxRows ||
+				bytes + entry.bytes > limits.maxBytes);
+		if (isGroupFull || keys.has(entry.key)) {
+			remaining.push(entry);
 			continue;
 		}
 
-		taken.push(entry);
+		selected.push(entry);
 		keys.add(entry.key);
 		bytes += entry.bytes;
 	}
 
-	return {selected: taken, remaining: left};
+	return {selected, remaining};
 };
 
 const halve = <Entry>(entries: readonly Entry[]): Array<readonly Entry[]> => {
@@ -59,17 +61,17 @@
 };
 
 /**
- * What to commit after a transaction failed by the conflict of one key. The
- * rest goes whole after the first conflict, and in halves after each later
- * one: with n rows, a row waits for at most 2 + log2(n) commits, and c
- * conflicts cost at most 2c + 1 commits.
+ * Returns the transactions to commit after one failed by the conflict of one
+ * key: the other writes together after the first conflict, and in halves after
+ * each later one. With n rows, a row waits for at most 2 + log2(n) commits, and
+ * c conflicts cost at most 2c + 1 commits.
  */
 export const regroupAfterConflict = <Entry extends GroupEntry>(
-	taken: readonly Entry[],
+	selected: readonly Entry[],
 	conflictKey: string,
 	conflictsBefore: number,
 ): Array<readonly Entry[]> => {
-	const rest = taken.filter((entry) => entry.key !== conflictKey);
+	const rest = selected.filter((entry) => entry.key !== conflictKey);
 	if (rest.length === 0) {
 		return [];
 	}
@@ -77,7 +79,7 @@
 	return conflictsBefore === 0 ? [rest] : halve(rest);
 };
 
-/** What to commit after a transaction was too large for the store. */
+/** Returns the transactions to commit after one was too large. */
 export const regroupAfterTooLarge = <Entry extends GroupEntry>(
-	taken: readonly Entry[],
-): Array<readonly Entry[]> => (taken.length > 1 ? halve(taken) : []);
+	selected: readonly Entry[],
+): Array<readonly Entry[]> => (selected.length > 1 ? halve(selected) : []);
--- a/packages/core/src/idempotency/key.test.ts
+++ b/packages/core/src/idempotency/key.test.ts
@@ -9,10 +9,10 @@
 	['empty', '', 'key-required'],
 	['255 characters', 'a'.repeat(255), 'taken'],
 	['256 characters', 'a'.repeat(256), 'key-invalid'],
-	['all visible ASCII ends', '!~', 'taken'],
+	['first and last visible ASCII characters', '!~', 'taken'],
 	['a space', 'a b', 'key-invalid'],
 	['a line end', 'a\n', 'key-invalid'],
-	['a letter beyond ASCII', 'ä', 'key-invalid'],
+	['a non-ASCII letter', 'ä', 'key-invalid'],
 	['a control character', 'a\u007F', 'key-invalid'],
 ];
 
@@ -50,7 +50,7 @@
 	t.not(keys.formatRowKey('a/b', 'c'), keys.formatRowKey('a', 'b/c'));
 });
 
-tap.t.test('any JSON is read as a row or as none', async (t) => {
+tap.t.test('any JSON value is parsed as a row or rejected', async (t) => {
 	fc.assert(
 		fc.property(fc.jsonValue(), (value) => {
 			const row = rows.parseRow(value);
@@ -76,7 +76,7 @@
 	};
 	t.same(rows.parseRow(row), row);
 	const broken: Array<[string, unknown]> = [
-		['another state', {...row, state: 'done'}],
+		['an unknown state', {...row, state: 'done'}],
 		['no answer', {...row, answer: undefined}],
 		[
 			'a header without value',
@@ -91,7 +91,7 @@
 	}
 });
 
-tap.t.test('settings that cannot be kept are found', async (t) => {
+tap.t.test('invalid settings are found', async (t) => {
 	const {defaultSettings, checkSettings} = settings;
 	t.same(checkSettings(defaultSettings), []);
 	const problems = checkSettings({
--- a/packages/core/src/idempotency/key.ts
+++ b/packages/core/src/idempotency/key.ts
@@ -4,16 +4,16 @@
  */
 import {fail, succeed, type Result} from '../types/result.js';
 
-/** Longest key taken, in characters. */
+/** Maximum length of a key, in characters. */
 export const maxKeyLength = 255;
 
-/** Visible ASCII only, so that a key reads the same in logs and rows. */
+/** Visible ASCII only, so that a key is unambiguous in logs and rows. */
 const visibleAscii = /^[!-~]+$/;
 
-/** Why a key header is not taken; kinds of the error table. */
+/** Kinds of the error table for a rejected key header. */
 export type KeyError = 'key-required' | 'key-invalid';
 
-/** Checks the header of a request; `undefined` means that it is missing. */
+/** Validates the header of a request; `undefined` if it is missing. */
 export const parseKey = (
 	header: string | undefined,
 ): Result<string, KeyError> => {
@@ -21,11 +21,11 @@
 		return fail('key-required');
 	}
 
-	const isTaken = header.length <= maxKeyLength && visibleAscii.test(header);
-	return isTaken ? succeed(header) : fail('key-invalid');
+	const isValid = header.length <= maxKeyLength && visibleAscii.test(header);
+	return isValid ? succeed(header) : fail('key-invalid');
 };
 
-/** True if a request to a path of a service needs a key. */
+/** True if a request to this path of the service needs a key. */
 export const isKeyRequired = (
 	service: {
 		readonly idempotent: boolean;
@@ -36,20 +36,20 @@
 	!service.idempotent ||
 	service.nonRepeatableRoutes.some((prefix) => path.startsWith(prefix));
 
-/** Key of the row. The customer is encoded, so that no two scopes meet. */
+/** Row key. The customer is encoded, so that keys of customers differ. */
 export const formatRowKey = (customer: string, key: string): string =>
 	`${encodeURIComponent(customer)}/${key}`;
 
-/** What makes two requests under one key the same. */
+/** Parts that must be equal for two requests with the same key. */
 export type FingerprintParts = {
 	readonly service: string;
 	readonly method: string;
-	/** Path with its query. */
+	/** Path including the query. */
 	readonly path: string;
 	/** Digest of the whole body. */
 	readonly bodyHash: string;
 };
 
-/** Text of a fingerprint; an entry keeps a digest of it in the row. */
+/** Text of a fingerprint; the row contains a digest of it. */
 export const formatFingerprint = (parts: FingerprintParts): string =>
 	JSON.stringify([parts.service, parts.method, parts.path, parts.bodyHash]);
--- a/packages/core/src/idempotency/lookup.test.ts
+++ b/packages/core/src/idempotency/lookup.test.ts
@@ -35,7 +35,7 @@
 
 const table: Array<[string, StoredRow | undefined, string, number, Lookup]> = [
 	['no row', undefined, 'same', 0, {kind: 'take', when: {kind: 'absent'}}],
-	['not understood', store(undefined), 'same', 0, unknown],
+	['unparsable row', store(undefined), 'same', 0, unknown],
 	['another body', store(started), 'other', 0, reused],
 	['another body, finished', store(finished), 'other', 0, reused],
 	[
@@ -53,16 +53,16 @@
 		{kind: 'wait', row: started, forMs: 4000 + maxPollMs},
 	],
 	[
-		'started, late',
+		'started, past the deadline',
 		store(started),
 		'same',
 		5000 + maxPollMs,
 		{kind: 'refuse', error: 'still-running', retryAfterMs: maxPollMs},
 	],
-	['started, given up', store(started), 'same', 75_001, unknown],
+	['started, past the last write', store(started), 'same', 75_001, unknown],
 	['finished', store(finished), 'same', 0, {kind: 'replay', row: finished}],
 	[
-		'finished, not kept',
+		'finished, answer not stored',
 		store(notKept),
 		'same',
 		0,
@@ -71,7 +71,7 @@
 	['released', store({...base, state: 'released'}), 'same', 0, take],
 	['unknown', store({...base, state: 'unknown'}), 'same', 0, unknown],
 	[
-		'finished, expired but for the clocks',
+		'finished, expired within the clock skew',
 		store(finished),
 		'same',
 		expiredAt - 1,
@@ -84,27 +84,27 @@
 
 for (const [name, stored, fingerprint, date, expected] of table) {
 	tap.t.test(name, async (t) => {
-		const asker = {...holder, entry: 'entry-2', operationId: 'op-2'};
-		const context = {fingerprint, holder: asker, settings: defaultSettings};
+		const self = {...holder, entry: 'entry-2', operationId: 'op-2'};
+		const context = {fingerprint, holder: self, settings: defaultSettings};
 		t.same(lookup.decideLookup(stored, context, date), expected);
 	});
 }
 
-const lives: Array<[string, string, string, string]> = [
-	['another life of this entry', 'entry-1', 'b', 'still-running'],
-	['this life of this entry', 'entry-1', 'a', 'wait'],
+const holderCases: Array<[string, string, string, string]> = [
+	['another incarnation of this entry', 'entry-1', 'b', 'still-running'],
+	['the same incarnation of this entry', 'entry-1', 'a', 'wait'],
 	['another entry', 'entry-2', 'b', 'wait'],
 ];
 
-for (const [name, entry, incarnation, kind] of lives) {
+for (const [name, entry, incarnation, kind] of holderCases) {
 	tap.t.test(`started by ${name}`, async (t) => {
-		const asker = {entry, incarnation, operationId: 'op-2'};
+		const self = {entry, incarnation, operationId: 'op-2'};
 		const context = {
 			fingerprint: 'same',
-			holder: asker,
+			holder: self,
 			settings: defaultSettings,
 		};
-		const found = lookup.decideLookup(store(started), context, 0);
-		t.equal(found.kind === 'refuse' ? found.error : found.kind, kind);
+		const decision = lookup.decideLookup(store(started), context, 0);
+		t.equal(decision.kind === 'refuse' ? decision.error : decision.kind, kind);
 	});
 }
--- a/packages/core/src/idempotency/lookup.ts
+++ b/packages/core/src/idempotency/lookup.ts
@@ -1,4 +1,4 @@
-/** Decides what a request does, given the row of its key. */
+/** Decides how to handle a request, given the row of its key. */
 import type {ErrorKind} from '../errors/error-table.js';
 import type {
 	FinishedRow,
@@ -11,43 +11,43 @@
 
 /** Time as an entry sees it. */
 export type Time = {
-	/** Milliseconds of a clock that never goes back. */
+	/** Milliseconds of a monotonic clock. */
 	readonly now: number;
-	/** Unix milliseconds; entries' clocks differ. */
+	/** Unix milliseconds; the clocks of entries differ. */
 	readonly date: number;
 };
 
-/** What a request may do with its key. */
+/** Decision about a request. */
 export type Lookup =
-	/** Write `started` under this precondition, then dispatch. */
+	/** Write the started row under this precondition, then dispatch. */
 	| {readonly kind: 'take'; readonly when: Precondition}
-	/** Answer with what the request was answered before. */
+	/** Reply with the recorded answer. */
 	| {readonly kind: 'replay'; readonly row: FinishedRow}
-	/** Another attempt runs: wait so long at most. */
+	/** Another attempt is running: wait at most this long. */
 	| {readonly kind: 'wait'; readonly row: StartedRow; readonly forMs: number}
-	/** Refuse at once. */
+	/** Refuse without waiting. */
 	| {
 			readonly kind: 'refuse';
 			readonly error: ErrorKind;
 			readonly retryAfterMs?: number;
 	  };
 
-/** What the decision needs to know of the asker. */
+/** The attempt that the decision is for. */
 export type LookupContext = {
 	readonly fingerprint: string;
-	/** The asker itself. */
+	/** Holder identity of this attempt. */
 	readonly holder: Holder;
 	readonly settings: Pick<Settings, 'clockSkewMs' | 'maxPollMs'>;
 };
 
 /**
- * True if a row was written by another life of the asker's entry, which has
- * most likely ended: nobody is held for it.
+ * True if a row was written by another incarnation of the same entry. That one
+ * has most likely terminated, so callers don't wait for it.
  */
-const isOtherLife = (holder: Holder, asker: Holder): boolean =>
-	holder.entry === asker.entry && holder.incarnation !== asker.incarnation;
+const isOtherIncarnation = (holder: Holder, self: Holder): boolean =>
+	holder.entry === self.entry && holder.incarnation !== self.incarnation;
 
-/** True if a key may be used anew on any entry's clock. */
+/** True if a key may be reused by the clocks of all entries. */
 export const isExpired = (
 	row: {readonly expiresAt: number},
 	date: number,
@@ -55,9 +55,9 @@
 ): boolean => date > row.expiresAt + clockSkewMs;
 
 /**
- * A started row past its holder's last write will not change; one whose
- * deadline has passed may still, so that the caller is told to come back
- * and is not held.
+ * A started row does not change after its holder's last write. Between the
+ * holder's deadline and that write it still may, so the caller is told to retry
+ * and doesn't wait.
  */
 const decideStarted = (
 	row: StartedRow,
@@ -70,14 +70,14 @@
 	}
 
 	const forMs = row.deadlineAt + maxPollMs - date;
-	if (forMs <= 0 || isOtherLife(row.holder, context.holder)) {
+	if (forMs <= 0 || isOtherIncarnation(row.holder, context.holder)) {
 		return {kind: 'refuse', error: 'still-running', retryAfterMs: maxPollMs};
 	}
 
 	return {kind: 'wait', row, forMs};
 };
 
-/** Decides on the row as read; `undefined` means that there is none. */
+/** Decides by the row as read; `undefined` means that there is none. */
 export const decideLookup = (
 	stored: StoredRow | undefined,
 	context: LookupContext,
--- a/packages/core/src/idempotency/row.ts
+++ b/packages/core/src/idempotency/row.ts
@@ -3,20 +3,21 @@
  *
  * `started` is written before dispatch, and only its holder replaces it:
  * by `finished` (with the answer), by `released` (certainly not run, so the
- * key may run later) or by `unknown` (sent, and the outcome was lost). A
- * `started` row whose holder is gone stays: nobody can tell whether it ran.
+ * key may be run later) or by `unknown` (sent, and the outcome was lost). A
+ * `started` row whose holder has terminated stays, as nobody knows whether the
+ * request ran.
  */
 
 /** The attempt that wrote a row. */
 export type Holder = {
 	readonly entry: string;
-	/** Life of the entry's process. */
+	/** Incarnation of the entry's process. */
 	readonly incarnation: string;
-	/** Unique to the attempt; read back after a lost reply. */
+	/** Unique to the attempt; identifies its row after a lost reply. */
 	readonly operationId: string;
 };
 
-/** An answer as the row keeps it. */
+/** An answer as stored in the row. */
 export type StoredAnswer =
 	| {
 			readonly kind: 'inline';
@@ -33,16 +34,16 @@
 	  }
 	| {readonly kind: 'not-kept'; readonly status: number};
 
-/** What every state of a row holds. Times are Unix milliseconds. */
+/** Fields of every state of a row. Times are Unix milliseconds. */
 type RowBase = {
 	readonly fingerprint: string;
 	readonly holder: Holder;
 	readonly startedAt: number;
-	/** The holder has its answer or has given up by then. */
+	/** When the holder has its answer or has given up. */
 	readonly deadlineAt: number;
-	/** The holder writes nothing more after this. */
+	/** When the holder stops writing. */
 	readonly settleAt: number;
-	/** The key may be used anew after this. */
+	/** When the key may be reused. */
 	readonly expiresAt: number;
 };
 
@@ -58,22 +59,21 @@
 /** The request was certainly not run. */
 export type ReleasedRow = RowBase & {readonly state: 'released'};
 
-/** The request was sent and its outcome cannot be learned. */
+/** The request was sent and its outcome is unknown. */
 export type UnknownRow = RowBase & {readonly state: 'unknown'};
 
-/** A row that its holder writes last. */
+/** A row that its holder does not replace. */
 export type FinalRow = FinishedRow | ReleasedRow | UnknownRow;
 
-/** Row of a key. */
 export type KeyRow = StartedRow | FinalRow;
 
-/** A row as read; `row` is missing if its value cannot be understood. */
+/** A row as read; `row` is undefined if its value cannot be parsed. */
 export type StoredRow = {
 	readonly version: number;
 	readonly row: KeyRow | undefined;
 };
 
-/** What must hold of the row for a write to commit. */
+/** Condition on the stored row for a write to commit. */
 export type Precondition =
 	| {readonly kind: 'absent'}
 	| {readonly kind: 'version'; readonly version: number};
@@ -128,8 +128,8 @@
 	timeFields.every((field) => Number.isFinite(value[field]));
 
 /**
- * Reads the value of a row. One that cannot be understood is `undefined`,
- * which is answered `unknown` and never run.
+ * Parses the value of a row. Returns `undefined` if it is invalid; requests with
+ * its key are answered with the outcome `unknown` and never run.
  */
 export const parseRow = (value: unknown): KeyRow | undefined => {
 	if (!isObject(value) || !isBase(value)) {
@@ -153,13 +153,13 @@
 	}
 };
 
-/** True if a read row was written by an attempt. */
+/** True if a row was written by this holder. */
 export const isHeldBy = (
 	stored: StoredRow | undefined,
 	holder: Holder,
 ): boolean => stored?.row?.holder.operationId === holder.operationId;
 
-/** True if the precondition of a write still holds of a read row. */
+/** True if a row meets the precondition of a write. */
 export const isUnchanged = (
 	stored: StoredRow | undefined,
 	when: Precondition,
@@ -169,9 +169,8 @@
 		: stored?.version === when.version;
 
 /**
- * True if a row shows that the precondition of a write cannot hold again.
- * Reads may be older than others before, so that an earlier version, or no
- * row where one was, decides nothing.
+ * True if a row shows that the precondition of a write cannot hold any longer.
+ * Reads may be stale, so an earlier version or a missing row proves nothing.
  */
 export const isPreconditionRuledOut = (
 	stored: StoredRow | undefined,
--- a/packages/core/src/idempotency/settings.ts
+++ b/packages/core/src/idempotency/settings.ts
@@ -1,44 +1,44 @@
 /** Settings of at-most-once requests. All times are in milliseconds. */
 
-/** Settings; the same on all entries, though none relies on it. */
+/** Settings; normally equal on all entries, but correct if they differ. */
 export type Settings = {
-	/** How long a key is remembered, counted from its `started` row. */
+	/** How long a key is stored, counted from its started row. */
 	readonly retentionMs: number;
 	/** Longest wait for the store before a request is sent. */
 	readonly storeWithinMs: number;
 	/** Failed calls to the store after which a request is refused. */
 	readonly storeTries: number;
-	/** Nothing is sent later than this after its `started` write. */
+	/** Longest time from the started write to the dispatch. */
 	readonly dispatchWithinMs: number;
-	/** After the deadline, how long a holder tries to record the end. */
+	/** How long after the deadline a holder tries to record the result. */
 	readonly settleWithinMs: number;
-	/** Largest difference between the clocks of two entries. */
+	/** Maximum difference between the clocks of two entries. */
 	readonly clockSkewMs: number;
 	/** First and longest pause between calls to a failing store. */
 	readonly pauseMs: number;
 	readonly maxPauseMs: number;
-	/** First and longest pause between reads of a request that runs. */
+	/** First and longest pause between reads of a running request's row. */
 	readonly pollMs: number;
 	readonly maxPollMs: number;
-	/** Answers up to this stand in the row, larger ones in the object store. */
+	/** Answers up to this size are stored in the row, larger ones as objects. */
 	readonly inlineBytes: number;
-	/** Answers above this are not kept. */
+	/** Answers above this size are not stored. */
 	readonly maxAnswerBytes: number;
-	/** Tries to put an answer in the object store before it is not kept. */
+	/** Number of tries to store an answer in the object store. */
 	readonly putTries: number;
 	/**
-	 * What a request is told that the store's outage keeps from running.
-	 * `unknown` is true of its key. `not-run` is true of this request only:
-	 * one with the same key may have run.
+	 * Outcome reported for a request that is refused because of a store outage.
+	 * `unknown` holds for its key. `not-run` holds for this request only: an
+	 * earlier one with the same key may have run.
 	 */
 	readonly outageOutcome: 'unknown' | 'not-run';
-	/** Reads the row before it writes; else a conflict shows the row. */
+	/** True to read the row before writing; else a conflict returns the row. */
 	readonly isReadFirst: boolean;
 };
 
 const hourMs = 3_600_000;
 
-/** Settings where the operator gives none. */
+/** Default settings. */
 export const defaultSettings: Settings = {
 	retentionMs: 24 * hourMs,
 	storeWithinMs: 1000,
@@ -57,10 +57,10 @@
 	isReadFirst: true,
 };
 
-/** Retention below this cannot be set: repeats come after minutes. */
+/** Minimum retention, since callers may repeat requests after minutes. */
 export const minRetentionMs = 600_000;
 
-/** An impossible setting: its key, what was found, and what is allowed. */
+/** An invalid setting: its key, its value and the allowed range. */
 export type SettingsProblem = {
 	readonly key: keyof Settings;
 	readonly found: number;
@@ -80,7 +80,7 @@
 				settings.clockSkewMs),
 	);
 
-/** Finds impossible settings; an empty list means that all can be kept. */
+/** Lists invalid settings. */
 export const checkSettings = (settings: Settings): SettingsProblem[] => {
 	const positive = Object.entries(settings).flatMap(([key, found]) =>
 		typeof found !== 'number' || found > 0
--- a/packages/core/src/idempotency/update-attempt.test.ts
+++ b/packages/core/src/idempotency/update-attempt.test.ts
@@ -1,4 +1,4 @@
-/** Random histories of attempts over one row; fast-check finds the shortest. */
+/** Property test: random interleavings of attempts over one row. */
 import {Buffer} from 'node:buffer';
 import * as fc from 'fast-check';
 import * as tap from 'tap';
@@ -19,157 +19,169 @@
 type Write = Extract<Command, {kind: 'write'}>;
 type Read = Extract<Event, {kind: 'read'}>['result'];
 
-/** One attempt, the call that is out, and what its caller was told. */
+/** One attempt with its pending call and the replies to its caller. */
 type Actor = {
 	readonly name: string;
 	attempt: Attempt;
-	out: Command | undefined;
+	pendingCall: Command | undefined;
 	replies: Reply[];
 	isAlive: boolean;
 	hasLeft: boolean;
 	endedAt: number;
 };
 
-type World = {
+type Simulation = {
 	now: number;
 	version: number;
 	stored: StoredRow | undefined;
-	/** What the row was before, newest last. */
+	/** Previous values of the row, newest last. */
 	readonly history: Array<StoredRow | undefined>;
 	readonly objects: Map<string, Uint8Array>;
 	readonly actors: Actor[];
-	/** Writes and requests without reply, which may have an effect yet. */
-	readonly late: Array<() => void>;
+	/** Writes and requests without reply that may still take effect. */
+	readonly delayed: Array<() => void>;
 	readonly runs: string[];
-	readonly faults: string[];
+	readonly violations: string[];
 };
 
 const maxActors = 4;
 const deadlineMs = 3000;
 const largeAnswer = 5000;
 
-const createWorld = (): World => ({
+const createSimulation = (): Simulation => ({
 	now: 0,
 	version: 0,
 	stored: undefined,
 	history: [],
 	objects: new Map(),
 	actors: [],
-	late: [],
+	delayed: [],
 	runs: [],
-	faults: [],
+	violations: [],
 });
 
-const getTime = (world: World) => ({
-	now: world.now,
-	date: 1_000_000 + world.now,
+const getTime = (simulation: Simulation) => ({
+	now: simulation.now,
+	date: 1_000_000 + simulation.now,
 });
 
-/** Notes a reply that must not be given. */
-const judge = (world: World, actor: Actor, reply: Reply) => {
-	const hasRun = world.runs.length > 0;
+/** Records a violation if the reply is wrong. */
+const checkReply = (simulation: Simulation, actor: Actor, reply: Reply) => {
+	const hasRun = simulation.runs.length > 0;
 	if (reply.kind === 'error') {
 		if (reply.outcome === 'not-run' && hasRun) {
-			world.faults.push(`${actor.name} told ${reply.error} after a run`);
+			simulation.violations.push(
+				`${actor.name} replied ${reply.error} after a run`,
+			);
 		}
 
 		return;
 	}
 
 	const text = Buffer.from(reply.answer.body).toString().trimEnd();
-	if (text !== world.runs[0]) {
-		world.faults.push(`${actor.name} got the answer of ${text}`);
+	if (text !== simulation.runs[0]) {
+		simulation.violations.push(
+			`${actor.name} replied with the answer of ${text}`,
+		);
 	}
 };
 
-const isTold = ({replies, hasLeft}: Actor) => replies.length > 0 || hasLeft;
+const isAnswered = ({replies, hasLeft}: Actor) => replies.length > 0 || hasLeft;
 
-const take = (world: World, actor: Actor, step: Step) => {
+const applyStep = (simulation: Simulation, actor: Actor, step: Step) => {
 	actor.attempt = step.attempt;
 	if (isEnded(step.attempt)) {
-		actor.endedAt = Math.min(actor.endedAt, world.now);
+		actor.endedAt = Math.min(actor.endedAt, simulation.now);
 	}
 
 	for (const command of step.commands) {
 		if (command.kind === 'reply') {
 			actor.replies.push(command.reply);
-			judge(world, actor, command.reply);
+			checkReply(simulation, actor, command.reply);
 			continue;
 		}
 
-		actor.out = command;
-		if (command.kind === 'dispatch' && isTold(actor)) {
-			world.faults.push(`${actor.name} dispatches what was answered`);
+		actor.pendingCall = command;
+		if (command.kind === 'dispatch' && isAnswered(actor)) {
+			simulation.violations.push(`${actor.name} dispatched after its reply`);
 		}
 	}
 };
 
-const feed = (world: World, actor: Actor, event: Event) => {
+const sendEvent = (simulation: Simulation, actor: Actor, event: Event) => {
 	if (actor.isAlive) {
-		take(world, actor, updateAttempt(actor.attempt, event, getTime(world)));
+		applyStep(
+			simulation,
+			actor,
+			updateAttempt(actor.attempt, event, getTime(simulation)),
+		);
 	}
 };
 
-const begin = (world: World, isReadFirst: boolean) => {
-	const name = `attempt-${world.actors.length}`;
+const startAttempt = (simulation: Simulation, isReadFirst: boolean) => {
+	const name = `attempt-${simulation.actors.length}`;
 	const holder = {entry: name, incarnation: 'a', operationId: name};
 	const claim = {
 		fingerprint: 'f',
 		holder,
-		createdAt: world.now,
-		deadline: world.now + deadlineMs,
+		createdAt: simulation.now,
+		deadline: simulation.now + deadlineMs,
 		jitter: 0.5,
 	};
 	const settings = {...defaultSettings, isReadFirst};
-	const step = createAttempt(claim, settings, getTime(world));
+	const step = createAttempt(claim, settings, getTime(simulation));
 	const actor: Actor = {
 		name,
 		attempt: step.attempt,
-		out: undefined,
+		pendingCall: undefined,
 		replies: [],
 		isAlive: true,
 		hasLeft: false,
 		endedAt: Number.POSITIVE_INFINITY,
 	};
-	world.actors.push(actor);
-	take(world, actor, step);
+	simulation.actors.push(actor);
+	applyStep(simulation, actor, step);
 };
 
-const applyWrite = (world: World, write: Write): WriteResult => {
-	if (!isUnchanged(world.stored, write.when)) {
-		return {kind: 'conflict', current: world.stored};
+const applyWrite = (simulation: Simulation, write: Write): WriteResult => {
+	if (!isUnchanged(simulation.stored, write.when)) {
+		return {kind: 'conflict', current: simulation.stored};
 	}
 
-	world.version++;
-	world.history.push(world.stored);
-	world.stored = {version: world.version, row: write.row};
-	return {kind: 'committed', version: world.version};
+	simulation.version++;
+	simulation.history.push(simulation.stored);
+	simulation.stored = {version: simulation.version, row: write.row};
+	return {kind: 'committed', version: simulation.version};
 };
 
-const run = (world: World, actor: Actor) => {
-	world.runs.push(actor.name);
-	if (world.runs.length > 1) {
-		world.faults.push(`${actor.name} ran again`);
+const run = (simulation: Simulation, actor: Actor) => {
+	simulation.runs.push(actor.name);
+	if (simulation.runs.length > 1) {
+		simulation.violations.push(`${actor.name} ran again`);
 	}
 
-	const toldNotRun = actor.replies.some(
+	const isReportedNotRun = actor.replies.some(
 		(reply) => reply.kind === 'error' && reply.outcome === 'not-run',
 	);
-	if (toldNotRun) {
-		world.faults.push(`${actor.name} ran and was told not-run`);
+	if (isReportedNotRun) {
+		simulation.violations.push(`${actor.name} ran after the reply not-run`);
 	}
 };
 
 const lost: RunResult = {kind: 'lost', error: 'upstream-reset'};
 
-const fates = ['ok', 'refused', 'lost', 'reply-lost', 'late'] as const;
-type Fate = (typeof fates)[number];
+const callResults = ['ok', 'refused', 'lost', 'reply-lost', 'late'] as const;
+type CallResult = (typeof callResults)[number];
 
-const dispatch = (world: World, actor: Actor, fate: Fate): RunResult => {
-	switch (fate) {
+const dispatch = (
+	simulation: Simulation,
+	actor: Actor,
+	callResult: CallResult,
+): RunResult => {
+	switch (callResult) {
 		case 'ok': {
-			run(world, actor);
-			const length = world.actors.length % 2 === 0 ? largeAnswer : 1;
+			run(simulation, actor);
+			const length = simulation.actors.length % 2 === 0 ? largeAnswer : 1;
 			const body = Buffer.from(actor.name.padEnd(length));
 			return {kind: 'answered', answer: {status: 200, headers: [], body}};
 		}
@@ -179,7 +191,7 @@
 		}
 
 		case 'reply-lost': {
-			run(world, actor);
+			run(simulation, actor);
 			return lost;
 		}
 
@@ -188,18 +200,22 @@
 		}
 
 		case 'late': {
-			world.late.push(() => {
-				run(world, actor);
+			simulation.delayed.push(() => {
+				run(simulation, actor);
 			});
 			return lost;
 		}
 	}
 };
 
-const write = (world: World, command: Write, fate: Fate): WriteResult => {
-	switch (fate) {
+const write = (
+	simulation: Simulation,
+	command: Write,
+	callResult: CallResult,
+): WriteResult => {
+	switch (callResult) {
 		case 'ok': {
-			return applyWrite(world, command);
+			return applyWrite(simulation, command);
 		}
 
 		case 'refused': {
@@ -207,7 +223,7 @@
 		}
 
 		case 'reply-lost': {
-			applyWrite(world, command);
+			applyWrite(simulation, command);
 			return {kind: 'lost'};
 		}
 
@@ -216,23 +232,23 @@
 		}
 
 		case 'late': {
-			world.late.push(() => {
-				applyWrite(world, command);
+			simulation.delayed.push(() => {
+				applyWrite(simulation, command);
 			});
 			return {kind: 'lost'};
 		}
 	}
 };
 
-/** Reads the row; a late reply shows the row as it was before. */
-const read = (world: World, fate: Fate): Read => {
-	switch (fate) {
+/** Reads the row; a late reply returns its previous value. */
+const read = (simulation: Simulation, callResult: CallResult): Read => {
+	switch (callResult) {
 		case 'ok': {
-			return {kind: 'row', stored: world.stored};
+			return {kind: 'row', stored: simulation.stored};
 		}
 
 		case 'late': {
-			return {kind: 'row', stored: world.history.at(-1)};
+			return {kind: 'row', stored: simulation.history.at(-1)};
 		}
 
 		case 'refused':
@@ -243,38 +259,48 @@
 	}
 };
 
-/** Ends the call of an attempt as fate has it. */
-const endCall = (world: World, actor: Actor, fate: Fate) => {
-	const {out} = actor;
-	actor.out = undefined;
-	switch (out?.kind) {
+/** Ends the pending call of an attempt with the given result. */
+const endCall = (
+	simulation: Simulation,
+	actor: Actor,
+	callResult: CallResult,
+) => {
+	const {pendingCall} = actor;
+	actor.pendingCall = undefined;
+	switch (pendingCall?.kind) {
 		case 'read': {
-			feed(world, actor, {kind: 'read', result: read(world, fate)});
+			sendEvent(simulation, actor, {
+				kind: 'read',
+				result: read(simulation, callResult),
+			});
 			break;
 		}
 
 		case 'write': {
-			const result = write(world, out, fate);
-			feed(world, actor, {kind: 'written', result});
+			const result = write(simulation, pendingCall, callResult);
+			sendEvent(simulation, actor, {kind: 'written', result});
 			break;
 		}
 
 		case 'dispatch': {
-			const result = dispatch(world, actor, fate);
-			feed(world, actor, {kind: 'ran', result});
+			const result = dispatch(simulation, actor, callResult);
+			sendEvent(simulation, actor, {kind: 'ran', result});
 			break;
 		}
 
 		case 'put-object': {
-			const isKept = fate === 'ok';
-			world.objects.set(out.name, out.body);
-			feed(world, actor, {kind: 'object-put', isKept});
+			const isKept = callResult === 'ok';
+			simulation.objects.set(pendingCall.name, pendingCall.body);
+			sendEvent(simulation, actor, {kind: 'object-put', isKept});
 			break;
 		}
 
 		case 'get-object': {
-			const body = fate === 'ok' ? world.objects.get(out.name) : undefined;
-			feed(world, actor, {kind: 'object-got', body});
+			const body =
+				callResult === 'ok'
+					? simulation.objects.get(pendingCall.name)
+					: undefined;
+			sendEvent(simulation, actor, {kind: 'object-got', body});
 			break;
 		}
 
@@ -285,48 +311,48 @@
 	}
 };
 
-const advance = (world: World, ms: number) => {
-	world.now += ms;
-	for (const actor of world.actors) {
-		if (getWakeAt(actor.attempt) <= world.now) {
-			feed(world, actor, {kind: 'tick'});
+const advance = (simulation: Simulation, ms: number) => {
+	simulation.now += ms;
+	for (const actor of simulation.actors) {
+		if (getWakeAt(actor.attempt) <= simulation.now) {
+			sendEvent(simulation, actor, {kind: 'tick'});
 		}
 	}
 };
 
 type Model = {actors: number; readonly most: number};
-type Action = fc.Command<Model, World>;
+type Action = fc.Command<Model, Simulation>;
 
-const check = (world: World) => {
-	if (world.faults.length > 0) {
-		throw new Error(world.faults.join('; '));
+const check = (simulation: Simulation) => {
+	if (simulation.violations.length > 0) {
+		throw new Error(simulation.violations.join('; '));
 	}
 };
 
 const createAction = (
 	name: string,
-	act: (world: World) => void,
-	isBegin = false,
+	act: (simulation: Simulation) => void,
+	isStart = false,
 ): Action => ({
-	check: ({actors, most}) => (isBegin ? actors < most : actors > 0),
-	run(model, world) {
-		model.actors += isBegin ? 1 : 0;
-		act(world);
-		check(world);
+	check: ({actors, most}) => (isStart ? actors < most : actors > 0),
+	run(model, simulation) {
+		model.actors += isStart ? 1 : 0;
+		act(simulation);
+		check(simulation);
 	},
 	toString: () => name,
 });
 
-/** Acts on one of the attempts. */
+/** Creates an action on one running attempt. */
 const withActor = (
 	name: string,
 	index: number,
-	act: (world: World, actor: Actor) => void,
+	act: (simulation: Simulation, actor: Actor) => void,
 ): Action =>
-	createAction(`${name}(${index})`, (world) => {
-		const actor = world.actors[index % world.actors.length];
+	createAction(`${name}(${index})`, (simulation) => {
+		const actor = simulation.actors[index % simulation.actors.length];
 		if (actor?.isAlive) {
-			act(world, actor);
+			act(simulation, actor);
 		}
 	});
 
@@ -334,98 +360,104 @@
 const actions: Array<fc.Arbitrary<Action>> = [
 	fc.boolean().map((isReadFirst) =>
 		createAction(
-			`begin(${isReadFirst ? 'read' : 'write'})`,
-			(world) => {
-				begin(world, isReadFirst);
+			`startAttempt(${isReadFirst ? 'read' : 'write'})`,
+			(simulation) => {
+				startAttempt(simulation, isReadFirst);
 			},
 			true,
 		),
 	),
-	fc.tuple(index, fc.constantFrom(...fates, 'ok', 'ok')).map(([at, fate]) =>
-		withActor(`end ${fate}`, at, (world, actor) => {
-			endCall(world, actor, fate);
-		}),
-	),
-	fc.tuple(index, fc.constantFrom('ok' as const)).map(([at, fate]) =>
-		withActor(`end ${fate}`, at, (world, actor) => {
-			endCall(world, actor, fate);
+	fc
+		.tuple(index, fc.constantFrom(...callResults, 'ok', 'ok'))
+		.map(([at, callResult]) =>
+			withActor(`end ${callResult}`, at, (simulation, actor) => {
+				endCall(simulation, actor, callResult);
+			}),
+		),
+	fc.tuple(index, fc.constantFrom('ok' as const)).map(([at, callResult]) =>
+		withActor(`end ${callResult}`, at, (simulation, actor) => {
+			endCall(simulation, actor, callResult);
 		}),
 	),
 	fc.constantFrom(30, 200, 1000, 5000, 70_000).map((ms) =>
-		createAction(`advance(${ms})`, (world) => {
-			advance(world, ms);
+		createAction(`advance(${ms})`, (simulation) => {
+			advance(simulation, ms);
 		}),
 	),
 	fc.nat({max: 7}).map((at) =>
-		createAction(`land(${at})`, (world) => {
-			const [land] = world.late.splice(at % Math.max(1, world.late.length), 1);
-			land?.();
+		createAction(`applyDelayed(${at})`, (simulation) => {
+			const [apply] = simulation.delayed.splice(
+				at % Math.max(1, simulation.delayed.length),
+				1,
+			);
+			apply?.();
 		}),
 	),
 	index.map((at) =>
-		withActor('kill', at, (_world, actor) => {
+		withActor('kill', at, (_simulation, actor) => {
 			actor.isAlive = false;
 		}),
 	),
 	index.map((at) =>
-		withActor('leave', at, (world, actor) => {
+		withActor('leave', at, (simulation, actor) => {
 			actor.hasLeft = true;
-			feed(world, actor, {kind: 'caller-gone'});
+			sendEvent(simulation, actor, {kind: 'caller-gone'});
 		}),
 	),
 ];
 
-const judgeEnd = (world: World, actor: Actor) => {
+const checkEnd = (simulation: Simulation, actor: Actor) => {
 	const {name, attempt, hasLeft, replies, endedAt} = actor;
 	if (!isEnded(attempt)) {
-		world.faults.push(`${name} never ends: ${attempt.intent.kind}`);
+		simulation.violations.push(`${name} did not end: ${attempt.intent.kind}`);
 	}
 
 	if (replies.length > 1 || (replies.length === 0 && !hasLeft)) {
-		world.faults.push(`${name} answered ${replies.length} times`);
+		simulation.violations.push(`${name} answered ${replies.length} times`);
 	}
 
-	const row = world.stored?.row;
-	const isLeft = row?.state === 'started' && row.holder.operationId === name;
-	if (isLeft && endedAt < attempt.completeBy) {
-		world.faults.push(`${name} left its row started`);
+	const row = simulation.stored?.row;
+	const isStillStarted =
+		row?.state === 'started' && row.holder.operationId === name;
+	if (isStillStarted && endedAt < attempt.completeBy) {
+		simulation.violations.push(`${name} left its row started`);
 	}
 };
 
-/** Without further faults every living attempt ends, and answers once. */
-const finish = (world: World) => {
+/** Runs without faults; every running attempt must end with one reply. */
+const finishAll = (simulation: Simulation) => {
 	for (let round = 0; round < 400; round++) {
-		for (const actor of world.actors) {
-			endCall(world, actor, 'ok');
+		for (const actor of simulation.actors) {
+			endCall(simulation, actor, 'ok');
 		}
 
-		advance(world, 500);
+		advance(simulation, 500);
 	}
 
-	for (const land of world.late) {
-		land();
+	for (const apply of simulation.delayed) {
+		apply();
 	}
 
-	for (const actor of world.actors) {
+	for (const actor of simulation.actors) {
 		if (actor.isAlive) {
-			judgeEnd(world, actor);
+			checkEnd(simulation, actor);
 		}
 	}
 
-	check(world);
+	check(simulation);
 };
 
 const property = fc.property(
 	fc.constantFrom(1, 2, 3, maxActors, maxActors),
 	fc.commands(actions, {maxCommands: 60, size: 'max'}),
 	(most, commands) => {
-		const world = createWorld();
-		fc.modelRun(() => ({model: {actors: 0, most}, real: world}), commands);
-		finish(world);
+		const simulation = createSimulation();
+		fc.modelRun(() => ({model: {actors: 0, most}, real: simulation}), commands);
+		finishAll(simulation);
 	},
 );
 
-tap.t.test('no history of attempts runs a key twice', async (t) => {
+tap.t.test('concurrent attempts never run a key twice', async (t) => {
 	t.doesNotThrow(() => {
 		fc.assert(property, {seed: 5, numRuns: 8000});
 	});
--- a/packages/core/src/idempotency/update-attempt.ts
+++ b/packages/core/src/idempotency/update-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * Moves an attempt by one event. The present time is an argument; every
- * effect is a command for the shell.
+ * Applies events to an attempt. Effects are returned as commands for the
+ * daemon to execute.
  */
 import {match} from 'ts-pattern';
 import * as attempts from './attempt.js';
@@ -8,11 +8,11 @@
 import * as claims from './claim.js';
 import type {Time} from './lookup.js';
 import type {Settings} from './settings.js';
-import * as settle from './completion.js';
+import * as completion from './completion.js';
 
 type EventOf<Kind extends Event['kind']> = Extract<Event, {kind: Kind}>;
 
-/** Begins an attempt with its first call to the store. */
+/** Creates an attempt and starts its first call to the store. */
 export const createAttempt = (
 	claim: Claim,
 	settings: Settings,
@@ -33,11 +33,11 @@
 		: claims.claimKey(attempt, {kind: 'absent'}, time);
 };
 
-/** True if nothing of the attempt is left to do. */
+/** True if the attempt has ended. */
 export const isEnded = (attempt: Attempt): boolean =>
 	attempt.intent.kind === 'end';
 
-/** An event that cannot belong to the state is left out. */
+/** Ignores an event that does not fit the state. */
 const ignore = (attempt: Attempt): Step => ({attempt, commands: []});
 
 const updateRead = (
@@ -55,7 +55,7 @@
 			claims.applyStartedRead(attempt, start, read, time),
 		)
 		.with({kind: 'settle'}, (end) =>
-			settle.applyCompletionRead(attempt, end, read, time.now),
+			completion.applyCompletionRead(attempt, end, read, time.now),
 		)
 		.with({kind: 'run'}, {kind: 'keep'}, {kind: 'fetch'}, {kind: 'end'}, () =>
 			ignore(attempt),
@@ -74,12 +74,12 @@
 	}
 
 	return intent.kind === 'settle'
-		? settle.updateCompletion(attempt, intent, event.result, time.now)
+		? completion.updateCompletion(attempt, intent, event.result, time.now)
 		: ignore(attempt);
 };
 
-/** Answers a caller whose time is up; what is out is still awaited. */
-const answerNow = (attempt: Attempt): Step => {
+/** Replies at the deadline; a pending call is still awaited. */
+const replyAtDeadline = (attempt: Attempt): Step => {
 	const {settings} = attempt;
 	const keep = (next: Attempt): Step => ({attempt: next, commands: []});
 	const isDoubtful = (start: Extract<Intent, {kind: 'start'}>) =>
@@ -120,13 +120,13 @@
 		.exhaustive();
 };
 
-/** Makes the next call after a pause. */
+/** Starts the next call after a pause. */
 const resume = (attempt: Attempt): Step =>
 	match(attempt.intent)
 		.with({kind: 'look'}, (look) => claims.readRow(attempt, look))
 		.with({kind: 'start'}, (start) => claims.resumeStart(attempt, start))
-		.with({kind: 'keep'}, (keep) => settle.putAnswer(attempt, keep))
-		.with({kind: 'settle'}, (end) => settle.resumeCompletion(attempt, end))
+		.with({kind: 'keep'}, (keep) => completion.putAnswer(attempt, keep))
+		.with({kind: 'settle'}, (end) => completion.resumeCompletion(attempt, end))
 		.with({kind: 'fetch'}, (fetch) => claims.fetchAnswer(attempt, fetch))
 		.with({kind: 'run'}, {kind: 'end'}, () => ignore(attempt))
 		.exhaustive();
@@ -134,7 +134,7 @@
 const updateTick = (attempt: Attempt, time: Time): Step => {
 	const isLate =
 		!attempt.isAnswered && time.now >= attempts.getReplyDeadline(attempt);
-	const step = isLate ? answerNow(attempt) : ignore(attempt);
+	const step = isLate ? replyAtDeadline(attempt) : ignore(attempt);
 	const {pending} = step.attempt;
 	if (pending.kind === 'call' || time.now < pending.until) {
 		return step;
@@ -144,17 +144,17 @@
 	return {...resumed, commands: [...step.commands, ...resumed.commands]};
 };
 
-/** A request that nobody waits for is not sent; one that was sent goes on. */
-const leave = (attempt: Attempt): Step => {
+/** Cancels a request whose caller has left, unless it is already running. */
+const cancelAttempt = (attempt: Attempt): Step => {
 	if (attempt.isAnswered || attempt.intent.kind === 'run') {
 		return ignore(attempt);
 	}
 
-	const {attempt: next} = answerNow(attempt);
+	const {attempt: next} = replyAtDeadline(attempt);
 	return ignore(next);
 };
 
-/** Moves an attempt. An ended one stays as it is. */
+/** Applies an event; an ended attempt is not changed. */
 export const updateAttempt = (
 	attempt: Attempt,
 	event: Event,
@@ -170,12 +170,12 @@
 		.with({kind: 'written'}, (written) => updateWritten(attempt, written, time))
 		.with({kind: 'ran'}, ({result}) =>
 			intent.kind === 'run'
-				? settle.updateRun(attempt, intent, result)
+				? completion.updateRun(attempt, intent, result)
 				: ignore(attempt),
 		)
 		.with({kind: 'object-put'}, ({isKept}) =>
 			intent.kind === 'keep'
-				? settle.updateKeep(attempt, intent, isKept, time.now)
+				? completion.updateKeep(attempt, intent, isKept, time.now)
 				: ignore(attempt),
 		)
 		.with({kind: 'object-got'}, ({body}) =>
@@ -184,6 +184,6 @@
 				: ignore(attempt),
 		)
 		.with({kind: 'tick'}, () => updateTick(attempt, time))
-		.with({kind: 'caller-gone'}, () => leave(attempt))
+		.with({kind: 'caller-gone'}, () => cancelAttempt(attempt))
 		.exhaustive();
 };
