--- a/packages/core/src/connections/reuse.ts
+++ b/packages/core/src/connections/reuse.ts
@@ -1,81 +1,86 @@
 /**
- * Which open connection may carry the next request. A connection that was
- * left idle may have gone silent for good, so reuse is bounded in idle time
- * and age, and work that may not run twice needs a fresh proof.
+ * Selects an open connection for the next request. An idle connection may be
+ * dead without notice, so reuse is limited by idle time and age, and a request
+ * that may not run twice needs a connection that received bytes recently.
  */
 
-/** Bounds of reuse, in milliseconds. */
+/** Limits of reuse, in milliseconds. */
 export type ReuseConfig = {
-	/** Below the idle limit of every middlebox and of the executor. */
+	/** Must be below the idle timeout of middleboxes and of the executor. */
 	readonly maxIdleMs: number;
 	readonly maxAgeMs: number;
-	/** How long after received bytes a connection counts as just proved. */
+	/** How long after received bytes a connection is known to work. */
 	readonly provedForMs: number;
 };
 
-/** Settings that the bench `faults` was measured with. */
+/** Default settings. */
 export const defaultReuseConfig: ReuseConfig = {
 	maxIdleMs: 4000,
 	maxAgeMs: 300_000,
 	provedForMs: 250,
 };
 
-/** What is known of one connection. Times in milliseconds. */
+/** State of one connection. Times in milliseconds. */
 export type ConnectionState = {
 	readonly openedAt: number;
-	/** When it was made or last received bytes. */
+	/** When it was opened or last received bytes. */
 	readonly provedAt: number;
-	/** Never carries another request. */
+	/** True if it must not carry another request. */
 	readonly retired: boolean;
 };
 
-/** What the request asks of its connection. */
+/** Requirements of a request on its connection. */
 export type ReuseRequirements = {
 	/** True if the request may run twice. */
 	readonly repeatable: boolean;
-	/** Since when the executor's connections are in doubt, if they are. */
+	/** Since when the executor's connections are suspected, if they are. */
 	readonly suspectedAt: number | undefined;
 };
 
 /** True if an idle connection may still be kept. */
 export const canKeep = (
-	facts: ConnectionState,
+	connection: ConnectionState,
 	cfg: ReuseConfig,
 	now: number,
 ): boolean =>
-	!facts.retired &&
-	now - facts.provedAt < cfg.maxIdleMs &&
-	now - facts.openedAt < cfg.maxAgeMs;
+	!connection.retired &&
+	now - connection.provedAt < cfg.maxIdleMs &&
+	now - connection.openedAt < cfg.maxAgeMs;
 
 /** True if an idle connection may carry this request. */
 export const canReuse = (
-	facts: ConnectionState,
+	connection: ConnectionState,
 	cfg: ReuseConfig,
-	needs: ReuseRequirements,
+	requirements: ReuseRequirements,
 	now: number,
 ): boolean => {
-	if (!canKeep(facts, cfg, now)) {
+	if (!canKeep(connection, cfg, now)) {
 		return false;
 	}
 
-	if (needs.suspectedAt !== undefined && facts.provedAt < needs.suspectedAt) {
+	if (
+		requirements.suspectedAt !== undefined &&
+		connection.provedAt < requirements.suspectedAt
+	) {
 		return false;
 	}
 
-	return needs.repeatable || now - facts.provedAt <= cfg.provedForMs;
+	return (
+		requirements.repeatable || now - connection.provedAt <= cfg.provedForMs
+	);
 };
 
-/** The reusable connection that was proved last. */
+/** Returns the reusable connection that received bytes last. */
 export const chooseConnection = <Connection extends ConnectionState>(
 	idle: Iterable<Connection>,
 	cfg: ReuseConfig,
-	needs: ReuseRequirements,
+	requirements: ReuseRequirements,
 	now: number,
 ): Connection | undefined => {
 	let best: Connection | undefined;
 	for (const each of idle) {
 		const newer = best === undefined || each.provedAt > best.provedAt;
-		if (newer && canReuse(each, cfg, needs, now)) {
+		if (newer && canReuse(each, cfg, requirements, now)) {
 			best = each;
 		}
 	}
--- a/packages/core/src/connections/unresponsive.ts
+++ b/packages/core/src/connections/unresponsive.ts
@@ -1,23 +1,23 @@
 /**
- * When an attempt counts as silent, and what a probe on a new connection
- * then tells: the old connections are dead, or the executor is.
+ * Detects unresponsive attempts. A probe on a new connection then shows
+ * whether the old connections or the executor failed.
  */
 
-/** Bounds of the threshold. */
+/** Settings of the detection. */
 export type UnresponsiveConfig = {
-	/** Quantile of service time that is estimated, in (0, 1). */
+	/** Estimated quantile of service time, in (0, 1). */
 	readonly quantile: number;
-	/** Multiple of the quantile that counts as silence. */
+	/** Multiple of the quantile after which an attempt is unresponsive. */
 	readonly factor: number;
 	readonly minMs: number;
 	readonly maxMs: number;
-	/** Time within which a probe is answered. */
+	/** Time within which a probe must be answered. */
 	readonly probeTimeoutMs: number;
-	/** Time between two probes of one executor, at least. */
+	/** Minimum time between two probes of one executor. */
 	readonly probeGapMs: number;
 };
 
-/** Settings that the bench `faults` was measured with. */
+/** Default settings. */
 export const defaultUnresponsiveConfig: UnresponsiveConfig = {
 	quantile: 0.99,
 	factor: 2,
@@ -34,7 +34,7 @@
 	samples: number;
 };
 
-/** Makes an estimate that knows nothing. */
+/** Creates an estimate without samples. */
 export const createServiceTime = (): ServiceTime => ({
 	meanMs: 0,
 	quantileMs: 0,
@@ -44,13 +44,13 @@
 const warmUpSamples = 20;
 const meanSmoothing = 0.05;
 const quantileStep = 0.2;
-/** Lets an estimate that is far too high fall in thousands of samples. */
+/** Minimum step relative to the quantile, so that a high estimate can fall. */
 const quantileStepShare = 0.05;
 
 /**
- * Adds one measured time. The quantile follows by steps in proportion to
- * the mean: up by `quantile`, down by `1 - quantile` (Robbins and Monro
- * 1951), so that it needs no stored samples.
+ * Adds one measured time. The quantile is estimated without stored samples, by
+ * steps in proportion to the mean: up by `quantile`, down by `1 - quantile`
+ * (Robbins and Monro, 1951).
  */
 export const recordServiceTime = (
 	time: ServiceTime,
@@ -73,7 +73,7 @@
 	time.quantileMs += step * (above ? cfg.quantile : cfg.quantile - 1);
 };
 
-/** Time without a byte after which an attempt counts as silent. */
+/** Time without a byte after which an attempt counts as unresponsive. */
 export const getUnresponsiveAfterMs = (
 	time: ServiceTime,
 	cfg: UnresponsiveConfig,
@@ -82,22 +82,22 @@
 		? cfg.maxMs
 		: Math.min(cfg.maxMs, Math.max(cfg.minMs, time.quantileMs * cfg.factor));
 
-/** What is known of the connections to one executor; updated in place. */
+/** State of the connections to one executor; updated in place. */
 export type UnresponsiveState = {
-	/** Since when connections that were not proved later are in doubt. */
+	/** Since when connections without received bytes are suspected. */
 	suspectedAt: number | undefined;
 	probing: boolean;
 	lastProbeAt: number;
 };
 
-/** Makes the state of an executor whose connections are trusted. */
+/** Creates the state without suspicion. */
 export const createUnresponsiveState = (): UnresponsiveState => ({
 	suspectedAt: undefined,
 	probing: false,
 	lastProbeAt: Number.NEGATIVE_INFINITY,
 });
 
-/** True if connections are in doubt and a probe is to start now. */
+/** True if connections are suspected and a probe is due; marks it started. */
 export const startProbeIfDue = (
 	state: UnresponsiveState,
 	cfg: UnresponsiveConfig,
@@ -114,8 +114,8 @@
 };
 
 /**
- * Takes note that an attempt is silent. True if a probe on a new connection
- * is to start now; otherwise ask `startProbeIfDue` again later.
+ * Records that an attempt is unresponsive. True if a probe on a new connection
+ * must start now; otherwise call `startProbeIfDue` later.
  */
 export const recordUnresponsive = (
 	state: UnresponsiveState,
@@ -126,25 +126,26 @@
 	return startProbeIfDue(state, cfg, now);
 };
 
-/** What a probe on a new connection showed. */
+/** Result of a probe on a new connection. */
 export type ProbeVerdict =
-	/** New connections work and old ones do not: retire the old ones. */
+	/** New connections work and old ones don't: retire those older than `before`. */
 	| {readonly kind: 'retire-older'; readonly before: number}
-	/** Nothing is silent any more: the executor was merely slow. */
+	/** No attempt is unresponsive any longer: the executor was slow. */
 	| {readonly kind: 'recovered'}
-	/** New connections do not work either. */
+	/** New connections don't work either. */
 	| {readonly kind: 'unreachable'};
 
 /**
- * Ends a probe that began at `state.lastProbeAt`.
+ * Records the result of the probe that started at `state.lastProbeAt`.
  *
  * @param answered whether the new connection answered
- * @param stillSilent whether an attempt on an older connection is silent still
+ * @param isStillUnresponsive whether an attempt on an older connection is
+ *   still unresponsive
  */
 export const recordProbe = (
 	state: UnresponsiveState,
 	answered: boolean,
-	stillSilent: boolean,
+	isStillUnresponsive: boolean,
 ): ProbeVerdict => {
 	state.probing = false;
 	state.suspectedAt = undefined;
@@ -152,7 +153,7 @@
 		return {kind: 'unreachable'};
 	}
 
-	return stillSilent
+	return isStillUnresponsive
 		? {kind: 'retire-older', before: state.lastProbeAt}
 		: {kind: 'recovered'};
 };
--- a/packages/core/src/contracts/contract-check.test.ts
+++ b/packages/core/src/contracts/contract-check.test.ts
@@ -82,22 +82,22 @@
 		[{kind: 'pool-too-small', pool: 'quoting', needed: 7, executors: 6}],
 	],
 	[
-		'names the one contract in the way of the rate',
+		'names the one conflicting contract',
 		createContract('west', {requestsPerSecond: 200}),
 		[{kind: 'rate-too-high', needed: 650, capacity: 500, inTheWay: ['north']}],
 	],
 	[
-		'names both contracts in the way',
+		'names both conflicting contracts',
 		createContract('west', {requestsPerSecond: 400}),
 		[{kind: 'rate-too-high', inTheWay: ['north', 'south']}],
 	],
 	[
-		'no other contract is to blame',
+		'names no other contract if its own rate is too high',
 		createContract('west', {requestsPerSecond: 501}),
 		[{kind: 'rate-too-high', inTheWay: []}],
 	],
 	[
-		'cores are taken',
+		'cores used by other contracts',
 		createContract('west', {requestsPerSecond: 0}, 40),
 		[{kind: 'jobs-too-large', resource: 'cores', inTheWay: ['south']}],
 	],
@@ -117,7 +117,7 @@
 		],
 	],
 	[
-		'a token of another customer, and one that is no hash',
+		'a token that is not a hash, besides one of another customer',
 		{...createContract('west'), tokenHashes: [createHash('south'), 'secret']},
 		[{kind: 'malformed', field: 'tokenHashes[1]'}],
 	],
@@ -144,7 +144,7 @@
 	});
 }
 
-tap.t.test('the strictest terms bind a service', async (t) => {
+tap.t.test('the strictest terms of a service apply', async (t) => {
 	const promise = getServicePromise(existing.contracts.values(), 'quote')!;
 	t.match(promise, {
 		keepExecutors: {value: 5, customer: 'south'},
@@ -156,7 +156,7 @@
 	t.equal(getServicePromise(existing.contracts.values(), 'none'), undefined);
 });
 
-tap.t.test('a pool does not shrink below a contract', async (t) => {
+tap.t.test('contracts block the removal of executors', async (t) => {
 	t.same(findBlockingContracts(existing, 'quoting', 1), []);
 	t.match(findBlockingContracts(existing, 'quoting', 2), [
 		{customer: 'south', keepExecutors: 5, executorsLeft: 4},
--- a/packages/core/src/contracts/contract-check.ts
+++ b/packages/core/src/contracts/contract-check.ts
@@ -1,6 +1,6 @@
 /**
- * Judges a contract before it is accepted: on its own, against the pools,
- * and against the contracts that are already in force.
+ * Validates a contract before it is accepted: its fields, and whether the pools
+ * can satisfy it together with the existing contracts.
  */
 import type {Contract, JobTerms, ServiceTerms} from '../types/contract.js';
 import type {View} from '../types/view.js';
@@ -8,9 +8,9 @@
 import {findMalformedFields} from './contract-validation.js';
 import {listServiceTerms, type ContractValue} from './service-promise.js';
 
-/** What the fleet has been measured to carry; unknown parts are left out. */
+/** Measured capacity of the fleet; unknown parts are left out. */
 export type MeasuredCapacity = {
-	/** Requests a second that one executor of a service answers in time. */
+	/** Requests per second that one executor of a service answers in time. */
 	readonly executorRates?: ReadonlyMap<string, number>;
 	/** Totals of all workers. */
 	readonly workers?: Pick<JobTerms, 'cores' | 'memoryMb' | 'accelerators'>;
@@ -20,13 +20,13 @@
 export type ContractProblem =
 	| {readonly kind: 'malformed'; readonly field: string}
 	| {readonly kind: 'unknown-service'; readonly service: string}
-	/** A caller's token would name two customers. */
+	/** A caller's token is already used by another customer. */
 	| {
 			readonly kind: 'token-taken';
 			readonly index: number;
 			readonly customer: string;
 	  }
-	/** More executors to keep than the pool has. */
+	/** The contract requires more executors than the pool has. */
 	| {
 			readonly kind: 'pool-too-small';
 			readonly service: string;
@@ -34,7 +34,7 @@
 			readonly needed: number;
 			readonly executors: number;
 	  }
-	/** The rates together are above what the kept executors carry. */
+	/** The total rate exceeds the capacity of the executors kept in service. */
 	| {
 			readonly kind: 'rate-too-high';
 			readonly service: string;
@@ -42,7 +42,7 @@
 			readonly capacity: number;
 			readonly inTheWay: readonly string[];
 	  }
-	/** The jobs' resources together are above what the workers have. */
+	/** The total resources for jobs exceed those of the workers. */
 	| {
 			readonly kind: 'jobs-too-large';
 			readonly resource: 'cores' | 'memoryMb' | 'accelerators';
@@ -55,10 +55,10 @@
 	values.reduce((sum, {value}) => sum + value, 0);
 
 /**
- * Names the fewest contracts, largest first, without which the sum would
- * fit; none if the contract does not fit even alone.
+ * Lists the fewest contracts, largest first, without which the sum would fit;
+ * empty if the contract exceeds the capacity alone.
  */
-const findInTheWay = (
+const findConflictingContracts = (
 	others: readonly ContractValue[],
 	own: number,
 	capacity: number,
@@ -109,7 +109,11 @@
 		return undefined;
 	}
 
-	const inTheWay = findInTheWay(rates, terms.requestsPerSecond, capacity);
+	const inTheWay = findConflictingContracts(
+		rates,
+		terms.requestsPerSecond,
+		capacity,
+	);
 	return {kind: 'rate-too-high', service, needed, capacity, inTheWay};
 };
 
@@ -127,7 +131,11 @@
 		const needed = contract.jobs[resource] + sumValues(held);
 		const capacity = workers[resource];
 		if (needed > capacity) {
-			const inTheWay = findInTheWay(held, contract.jobs[resource], capacity);
+			const inTheWay = findConflictingContracts(
+				held,
+				contract.jobs[resource],
+				capacity,
+			);
 			problems.push({
 				kind: 'jobs-too-large',
 				resource,
@@ -147,9 +155,9 @@
 ): readonly ContractProblem[] => {
 	const problems: ContractProblem[] = [];
 	for (const [index, hash] of contract.tokenHashes.entries()) {
-		const holder = others.find((each) => each.tokenHashes.includes(hash));
-		if (holder) {
-			problems.push({kind: 'token-taken', index, customer: holder.customer});
+		const existing = others.find((each) => each.tokenHashes.includes(hash));
+		if (existing) {
+			problems.push({kind: 'token-taken', index, customer: existing.customer});
 		}
 	}
 
@@ -181,7 +189,7 @@
 		: checkRate(terms, others, executors, executorRate);
 };
 
-/** Lists every reason against a contract; none if it may be accepted. */
+/** Lists the problems of a contract; empty if it may be accepted. */
 export const checkContract = (
 	contract: Contract,
 	view: View,
--- a/packages/core/src/contracts/contract-validation.ts
+++ b/packages/core/src/contracts/contract-validation.ts
@@ -1,4 +1,4 @@
-/** Checks the fields of a contract on their own. */
+/** Checks the fields of a contract. */
 import type {Contract, ServiceTerms} from '../types/contract.js';
 
 const isCount = (value: number) => Number.isSafeInteger(value) && value >= 0;
@@ -26,7 +26,7 @@
 		.map(([field]) => `services[${index}].${field}`);
 };
 
-/** Lists the fields whose values can never be right. */
+/** Lists the fields with invalid values. */
 export const findMalformedFields = (contract: Contract): readonly string[] => {
 	const {customer, weight, tokenHashes, services, jobs} = contract;
 	const fields: string[] = [];
--- a/packages/core/src/contracts/pool-check.ts
+++ b/packages/core/src/contracts/pool-check.ts
@@ -1,9 +1,9 @@
-/** Finds the contracts that forbid a change of pools or services. */
+/** Finds contracts that forbid a change of a pool or service. */
 import type {View} from '../types/view.js';
 import {createIndex} from '../view/view-index.js';
 import {getServicePromise} from './service-promise.js';
 
-/** A contract whose promise a change would break. */
+/** A contract whose terms a change would violate. */
 export type BlockingContract = {
 	readonly customer: string;
 	readonly service: string;
@@ -12,8 +12,8 @@
 };
 
 /**
- * Contracts broken if `leaving` executors left the pool for good. Those that
- * were broken before the change stand in the way as well.
+ * Lists contracts that are violated if `leaving` executors are removed from the
+ * pool, including those that are violated already.
  */
 export const findBlockingContracts = (
 	view: View,
@@ -39,7 +39,7 @@
 	return blocking;
 };
 
-/** Customers whose contracts name a service; it may not be deleted. */
+/** Lists customers whose contracts use a service; it may not be deleted. */
 export const listCustomersOfService = (
 	view: View,
 	service: string,
--- a/packages/core/src/contracts/service-promise.ts
+++ b/packages/core/src/contracts/service-promise.ts
@@ -1,13 +1,13 @@
-/** What all contracts together promise of one service. */
+/** Combined terms of all contracts for one service. */
 import type {Contract, ServiceTerms} from '../types/contract.js';
 
-/** A number and the customer whose contract sets it. */
+/** A value and the customer whose contract sets it. */
 export type ContractValue = {readonly value: number; readonly customer: string};
 
 /**
- * The strictest terms of a service. Executors are shared by all customers,
- * so the largest `keepExecutors` and the smallest `maxAway` bind, while the
- * promised rates add up.
+ * The strictest terms of a service. Executors are shared by all customers, so
+ * the largest `keepExecutors` and the smallest `maxAway` apply, while rates are
+ * added up.
  */
 export type ServicePromise = {
 	readonly service: string;
@@ -22,7 +22,7 @@
 /** One customer's terms of one service. */
 export type CustomerTerms = ServiceTerms & {readonly customer: string};
 
-/** Collects the terms of one service, in the order of the contracts. */
+/** Lists the terms of one service, in the order of the contracts. */
 export const listServiceTerms = (
 	contracts: Iterable<Contract>,
 	service: string,
@@ -39,34 +39,38 @@
 	return found;
 };
 
-const pickBinding = (
+const pickStrictest = (
 	terms: readonly CustomerTerms[],
 	getValue: (each: CustomerTerms) => number,
 	isStricter: (a: number, b: number) => boolean,
 ): ContractValue | undefined => {
-	let binding: ContractValue | undefined;
+	let strictest: ContractValue | undefined;
 	for (const each of terms) {
 		const value = getValue(each);
-		if (!binding || isStricter(value, binding.value)) {
-			binding = {value, customer: each.customer};
+		if (!strictest || isStricter(value, strictest.value)) {
+			strictest = {value, customer: each.customer};
 		}
 	}
 
-	return binding;
+	return strictest;
 };
 
 const isLarger = (a: number, b: number) => a > b;
 const isSmaller = (a: number, b: number) => a < b;
 
-/** Adds up a service's terms; `undefined` if no contract names it. */
+/** Combines a service's terms; `undefined` if no contract names it. */
 export const getServicePromise = (
 	contracts: Iterable<Contract>,
 	service: string,
 ): ServicePromise | undefined => {
 	const terms = listServiceTerms(contracts, service);
-	const keepExecutors = pickBinding(terms, (t) => t.keepExecutors, isLarger);
-	const maxAway = pickBinding(terms, (t) => t.maxAway, isSmaller);
-	const answerWithinMs = pickBinding(terms, (t) => t.answerWithinMs, isSmaller);
+	const keepExecutors = pickStrictest(terms, (t) => t.keepExecutors, isLarger);
+	const maxAway = pickStrictest(terms, (t) => t.maxAway, isSmaller);
+	const answerWithinMs = pickStrictest(
+		terms,
+		(t) => t.answerWithinMs,
+		isSmaller,
+	);
 	if (!keepExecutors || !maxAway || !answerWithinMs) {
 		return undefined;
 	}
@@ -84,7 +88,7 @@
 	};
 };
 
-/** Executors of a service that maintenance may hold away at this size. */
+/** Returns how many of a service's executors maintenance may take away. */
 export const getAwayAllowance = (
 	promise: ServicePromise,
 	executors: number,
--- a/packages/core/src/errors/error-table.ts
+++ b/packages/core/src/errors/error-table.ts
@@ -1,11 +1,11 @@
 /**
- * The closed list of error kinds and the one table from kind to answer.
- * Outcome `not-run` is promised only where no byte of the request went to an
- * upstream, or the upstream refused as its settings declare.
+ * All error kinds with their answers. An answer has the outcome `not-run` only
+ * if no byte of the request was sent to an upstream, or if the upstream refused
+ * as its settings declare.
  */
 import type {Outcome, RetryAdvice} from '../types/outcome.js';
 
-/** How one kind of error is answered over HTTP. */
+/** HTTP answer for one kind of error. */
 export type ErrorAnswer = {
 	readonly status: number;
 	readonly outcome: Outcome;
@@ -13,7 +13,7 @@
 	readonly message: string;
 };
 
-/** One row a kind; docs/operators/errors.md explains each to operators. */
+/** Answers by kind; documented for operators in docs/operators/errors.md. */
 export const errorTable = {
 	'bad-request': {
 		status: 400,
@@ -247,9 +247,8 @@
 	},
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** Every kind of error that a caller or operator can be answered with. */
+/** Kinds of errors that callers and operators may receive. */
 export type ErrorKind = keyof typeof errorTable;
 
-/** The answer for one kind of error. */
 export const getErrorAnswer = (kind: ErrorKind): ErrorAnswer =>
 	errorTable[kind];
--- a/packages/core/src/health/health-config.ts
+++ b/packages/core/src/health/health-config.ts
@@ -1,8 +1,8 @@
-/** Settings of outlier detection; docs/design/upstream-faults.md. */
+/** Settings of outlier detection. Source: docs/design/upstream-faults.md. */
 
-/** When an executor is ejected, for how long, and how it comes back. */
+/** Conditions and duration of ejections, and slow start after them. */
 export type HealthConfig = {
-	/** Failures in a row that eject. */
+	/** Number of consecutive failures that ejects. */
 	readonly consecutiveFailures: number;
 	/** Failure rate above the median of the peers that ejects, in [0, 1]. */
 	readonly failureRateMargin: number;
@@ -10,26 +10,26 @@
 	readonly latencyFactor: number;
 	/** Latency above the peers' median that is never an outlier. */
 	readonly latencyMarginMs: number;
-	/** Samples needed before rate or latency is judged. */
+	/** Samples needed before failure rate or latency is evaluated. */
 	readonly minSamples: number;
 	/** Weight of the newest sample in the moving averages, in (0, 1]. */
 	readonly smoothing: number;
-	/** Share of the pool that failures may eject, below 1. */
+	/** Maximum share of the pool ejected for failures, below 1. */
 	readonly maxFailedShare: number;
-	/** Share of the pool that may be away when a slow executor is ejected. */
+	/** Maximum share of the pool ejected in total when one is ejected as slow. */
 	readonly maxSlowShare: number;
-	/** First ejection; doubles with each one that follows. */
+	/** Duration of the first ejection; doubles with each further one. */
 	readonly baseEjectionMs: number;
 	readonly maxEjectionMs: number;
-	/** Time of good service after which earlier ejections are forgotten. */
+	/** Time after the last ejection after which the duration starts over. */
 	readonly forgetAfterMs: number;
-	/** Time over which a returned executor's weight grows to 1. */
+	/** Time in which the weight of a returning executor grows to 1. */
 	readonly slowStartMs: number;
-	/** Weight of an executor that has just returned, in (0, 1]. */
+	/** Initial weight of a returning executor, in (0, 1]. */
 	readonly slowStartWeight: number;
 };
 
-/** Settings that the bench `faults` was measured with. */
+/** Default settings. */
 export const defaultHealthConfig: HealthConfig = {
 	consecutiveFailures: 3,
 	failureRateMargin: 0.15,
--- a/packages/core/src/health/outlier-detection.ts
+++ b/packages/core/src/health/outlier-detection.ts
@@ -1,27 +1,26 @@
 /**
- * Outlier detection over the executors of one service, as one entry sees
- * them: failures in a row, failure rate and latency against the peers. The
- * number ejected is capped, so that a failure of all cannot empty the pool.
- * State is updated in place. Source: docs/design/upstream-faults.md.
+ * Outlier detection over the executors of one service as one entry sees them:
+ * ejects by consecutive failures, and by failure rate or latency compared with
+ * the peers. Ejections are capped, so that a common failure cannot empty the
+ * pool. State is updated in place. Source: docs/design/upstream-faults.md.
  */
 import type {HealthConfig} from './health-config.js';
 
-/** Why an executor was ejected. */
 export type EjectionReason = 'failures' | 'unreachable' | 'slow';
 
-/** Whether an executor takes requests. */
+/** Whether an executor gets requests. */
 export type HealthStatus =
 	| {readonly kind: 'serving'}
-	/** Back after an ejection; its weight grows from `since` on. */
+	/** Slow start after an ejection; its weight grows from `since` on. */
 	| {readonly kind: 'returning'; readonly since: number}
-	/** Takes none; a probe is due from `until` on. */
+	/** Gets no requests; a probe is due from `until` on. */
 	| {
 			readonly kind: 'ejected';
 			readonly reason: EjectionReason;
 			readonly until: number;
 	  };
 
-/** What one entry knows of one executor. Times in milliseconds. */
+/** Health of one executor as one entry sees it. Times in milliseconds. */
 export type ExecutorHealth = {
 	readonly id: string;
 	status: HealthStatus;
@@ -39,19 +38,19 @@
 	readonly executors: Map<string, ExecutorHealth>;
 };
 
-/** What an attempt or a probe showed. */
+/** Result of an attempt or a probe. */
 export type HealthEvent =
 	| {
 			readonly kind: 'answered';
 			readonly latencyMs: number;
-			/** A status of 500 or above: counts in the rate, never in a row. */
+			/** Status of 500 or above: counts only toward the failure rate. */
 			readonly serverError: boolean;
 	  }
-	/** No answer yet after this time; a lower bound of the latency. */
+	/** No answer yet after this time, a lower bound of the latency. */
 	| {readonly kind: 'slow'; readonly elapsedMs: number}
-	/** Reset, cut answer, refusal or missed deadline. */
+	/** Reset, truncated answer, refusal or missed deadline. */
 	| {readonly kind: 'failed'}
-	/** No new connection could be made, or a new one stayed silent. */
+	/** A new connection could not be opened or was unresponsive. */
 	| {readonly kind: 'unreachable'}
 	/** A probe on a new connection was answered. */
 	| {readonly kind: 'probed'};
@@ -67,13 +66,13 @@
 	lastEjectedAt: Number.NEGATIVE_INFINITY,
 });
 
-/** Makes the health of an empty pool. */
+/** Creates the health of an empty pool. */
 export const createPoolHealth = (cfg: HealthConfig): PoolHealth => ({
 	cfg,
 	executors: new Map(),
 });
 
-/** Takes over a list of executors; those that stay keep what is known. */
+/** Sets the executors; those already present keep their state. */
 export const setExecutors = (
 	pool: PoolHealth,
 	ids: readonly string[],
@@ -118,7 +117,7 @@
 	return count;
 };
 
-/** True if the cap leaves room for one more ejection. */
+/** True if the cap allows one more ejection. */
 const mayEject = (pool: PoolHealth, reason: EjectionReason): boolean => {
 	const {maxFailedShare, maxSlowShare} = pool.cfg;
 	const share = reason === 'slow' ? maxSlowShare : maxFailedShare;
@@ -169,7 +168,7 @@
 	);
 };
 
-/** The reason for which an executor should be ejected, if any. */
+/** Returns the reason to eject an executor, if any. */
 const findReason = (
 	pool: PoolHealth,
 	executor: ExecutorHealth,
@@ -212,15 +211,15 @@
 	executor.failureRate += smoothing * (sample - executor.failureRate);
 };
 
-/** Puts an executor back, with nothing held against it but its ejections. */
-const bringBack = (executor: ExecutorHealth, now: number): void => {
+/** Ends an ejection; resets all statistics but the number of ejections. */
+const readmit = (executor: ExecutorHealth, now: number): void => {
 	executor.status = {kind: 'returning', since: now};
 	executor.consecutiveFailures = 0;
 	executor.failureRate = 0;
 	executor.samples = 0;
 };
 
-/** True if every executor that still takes requests is failing. */
+/** True if every executor that is not ejected is failing. */
 export const isFailOpen = (pool: PoolHealth): boolean => {
 	for (const each of pool.executors.values()) {
 		const failing = each.consecutiveFailures >= pool.cfg.consecutiveFailures;
@@ -232,7 +231,7 @@
 	return pool.executors.size > 0;
 };
 
-const judge = (
+const evaluate = (
 	pool: PoolHealth,
 	executor: ExecutorHealth,
 	now: number,
@@ -247,10 +246,10 @@
 	}
 };
 
-/** Ejects those that the cap had kept while nothing better was known. */
-const judgeAll = (pool: PoolHealth, now: number): void => {
+/** Ejects failing executors that the cap had kept in the pool. */
+const evaluateAll = (pool: PoolHealth, now: number): void => {
 	for (const each of pool.executors.values()) {
-		judge(pool, each, now);
+		evaluate(pool, each, now);
 	}
 };
 
@@ -263,8 +262,8 @@
 	if (executor.status.kind === 'ejected') {
 		// Sent before the ejection, unless the pool has failed open.
 		if (isFailOpen(pool)) {
-			bringBack(executor, now);
-			judgeAll(pool, now);
+			readmit(executor, now);
+			evaluateAll(pool, now);
 		}
 
 		return;
@@ -286,14 +285,17 @@
 		cfg.consecutiveFailures,
 	);
 	const {status} = executor;
-	const known = status.kind === 'ejected' && now < status.until;
-	// One more failed probe of an ejected executor takes no one away.
-	if (!known && (status.kind === 'ejected' || mayEject(pool, 'unreachable'))) {
+	const isAlreadyEjected = status.kind === 'ejected' && now < status.until;
+	// A failed probe of an ejected executor doesn't increase the number ejected.
+	if (
+		!isAlreadyEjected &&
+		(status.kind === 'ejected' || mayEject(pool, 'unreachable'))
+	) {
 		eject(pool, executor, 'unreachable', now);
 	}
 };
 
-/** Records what an attempt or a probe showed and ejects or brings back. */
+/** Records a result; ejects or readmits the executor accordingly. */
 export const recordEvent = (
 	pool: PoolHealth,
 	id: string,
@@ -331,12 +333,12 @@
 		case 'probed': {
 			const {status} = executor;
 			if (status.kind === 'ejected' && now >= status.until) {
-				bringBack(executor, now);
+				readmit(executor, now);
 			}
 
 			break;
 		}
 	}
 
-	judge(pool, executor, now);
+	evaluate(pool, executor, now);
 };
--- a/packages/core/src/health/outlier.test.ts
+++ b/packages/core/src/health/outlier.test.ts
@@ -37,7 +37,7 @@
 	serverError: false,
 } as const;
 const serverError = {...answered, serverError: true} as const;
-const late = {...answered, latencyMs: 200} as const;
+const slowAnswer = {...answered, latencyMs: 200} as const;
 
 const cases: ReadonlyArray<{
 	readonly name: string;
@@ -47,7 +47,7 @@
 	{name: 'two failures in a row', events: [failed, failed], ejected: false},
 	{name: 'three failures in a row', events: repeat(3, failed), ejected: true},
 	{
-		name: 'failures with an answer between',
+		name: 'failures interrupted by an answer',
 		events: [failed, failed, answered, failed, failed],
 		ejected: false,
 	},
@@ -58,18 +58,22 @@
 	},
 	{name: 'one failed new connection', events: [unreachable], ejected: true},
 	{
-		name: 'server errors that peers do not have',
+		name: 'server errors above the peers',
 		events: repeat(20, serverError),
 		ejected: true,
 	},
-	{name: 'latency far above peers', events: repeat(20, late), ejected: true},
+	{
+		name: 'latency far above peers',
+		events: repeat(20, slowAnswer),
+		ejected: true,
+	},
 	{
 		name: 'no answers, only lower bounds of latency',
 		events: repeat(20, {kind: 'slow', elapsedMs: 300}),
 		ejected: true,
 	},
 	{
-		name: 'latency a little above peers',
+		name: 'latency slightly above peers',
 		events: repeat(20, {...answered, latencyMs: 25}),
 		ejected: false,
 	},
@@ -88,18 +92,21 @@
 	});
 }
 
-tap.t.test('server errors or latency of all eject none', async (t) => {
-	for (const event of [serverError, late]) {
-		const pool = createPool(6);
-		for (let round = 0; round < 50; round++) {
-			for (const id of pool.executors.keys()) {
-				outlier.recordEvent(pool, id, event, round);
+tap.t.test(
+	'server errors or latency of all executors eject none',
+	async (t) => {
+		for (const event of [serverError, slowAnswer]) {
+			const pool = createPool(6);
+			for (let round = 0; round < 50; round++) {
+				for (const id of pool.executors.keys()) {
+					outlier.recordEvent(pool, id, event, round);
+				}
 			}
-		}
 
-		t.equal(listIds(pool, 50).length, 6);
-	}
-});
+			t.equal(listIds(pool, 50).length, 6);
+		}
+	},
+);
 
 const correlated: ReadonlyArray<{
 	readonly size: number;
@@ -108,7 +115,7 @@
 }> = [
 	{size: 9, failing: 3, selectable: 6},
 	{size: 9, failing: 8, selectable: 1},
-	// All fail: the pool fails open.
+	// All executors fail: the pool fails open.
 	{size: 9, failing: 9, selectable: 9},
 	{size: 6, failing: 6, selectable: 6},
 	{size: 2, failing: 1, selectable: 1},
@@ -136,13 +143,13 @@
 	}
 
 	for (let index = 0; index < 4; index++) {
-		record(pool, `e${index}`, repeat(20, late), 0);
+		record(pool, `e${index}`, repeat(20, slowAnswer), 0);
 	}
 
 	t.equal(listIds(pool, 0).length, 6);
 });
 
-tap.t.test('a pool that failed open closes on the first answer', async (t) => {
+tap.t.test('fail-open ends with the first answer', async (t) => {
 	const pool = createPool(3);
 	for (const id of ['e0', 'e1', 'e2']) {
 		record(pool, id, [unreachable], 0);
@@ -153,7 +160,7 @@
 	t.same(listIds(pool, 20), ['e0']);
 });
 
-tap.t.test('ejection doubles, ends by a probe, then slow start', async (t) => {
+tap.t.test('ejections double, end with a probe, then slow start', async (t) => {
 	const pool = createPool(4);
 	const ejectionsMs = [1000, 2000, 4000, 8000, 16_000, 30_000, 30_000];
 	let now = 0;
@@ -166,7 +173,7 @@
 	}
 
 	record(pool, 'e0', [{kind: 'probed'}], now + 1);
-	t.notOk(listIds(pool, now + 1).includes('e0'), 'a probe too early');
+	t.notOk(listIds(pool, now + 1).includes('e0'), 'a probe during the ejection');
 	now += 30_000;
 	record(pool, 'e0', [{kind: 'probed'}], now);
 	const getWeight = (at: number) =>
@@ -175,10 +182,14 @@
 	t.equal(getWeight(now + 2500), 0.55);
 	t.equal(getWeight(now + 5000), 1);
 	record(pool, 'e0', [failed], now + 100);
-	t.equal(getWeight(now + 100), undefined, 'first failure in slow start');
+	t.equal(
+		getWeight(now + 100),
+		undefined,
+		'one failure ejects during slow start',
+	);
 });
 
-tap.t.test('good service forgets earlier ejections', async (t) => {
+tap.t.test('the ejection time starts over after forgetAfterMs', async (t) => {
 	const pool = createPool(4);
 	record(pool, 'e0', [unreachable], 0);
 	record(pool, 'e0', [unreachable], 1000);
@@ -187,7 +198,7 @@
 	t.same(weights.listDueProbes(pool, 101_000), ['e0']);
 });
 
-tap.t.test('a new list keeps what is known of those that stay', async (t) => {
+tap.t.test('setExecutors keeps the state of remaining executors', async (t) => {
 	const pool = createPool(4);
 	record(pool, 'e0', [unreachable], 0);
 	outlier.setExecutors(pool, ['e0', 'e1', 'e9']);
--- a/packages/core/src/health/weights.ts
+++ b/packages/core/src/health/weights.ts
@@ -1,10 +1,10 @@
 /**
- * Who may take the next request and at what weight: slow start after an
- * ejection, fail-open when nothing that is known to be good is left.
+ * Weights of executors for the next request: slow start after an ejection, and
+ * fail-open when every executor is ejected or failing.
  */
 import * as outlier from './outlier-detection.js';
 
-/** An executor that may take a request; weight in (0, 1]. */
+/** An executor that may get a request; weight in (0, 1]. */
 export type WeightedExecutor = {
 	readonly id: string;
 	readonly weight: number;
@@ -31,7 +31,7 @@
 	}
 };
 
-/** The executors that may take a request now; all of them when failed open. */
+/** Lists executors that may get a request now; all if the pool fails open. */
 export const listWeights = (
 	pool: outlier.PoolHealth,
 	now: number,
@@ -48,7 +48,7 @@
 	return weighted;
 };
 
-/** Ejected executors whose time is over: each is probed before it returns. */
+/** Lists executors whose ejection has ended; a probe readmits them. */
 export const listDueProbes = (
 	pool: outlier.PoolHealth,
 	now: number,
--- a/packages/core/src/outcome/attempt-outcome.test.ts
+++ b/packages/core/src/outcome/attempt-outcome.test.ts
@@ -71,21 +71,24 @@
 	});
 }
 
-tap.t.test('an earlier doubt outlives a later not-run', async (t) => {
-	const error = (end: outcome.AttemptEnd) => {
-		const found = outcome.decideOutcome(end, refusal);
-		if (found.kind === 'answer') {
-			throw new Error('not an error');
-		}
+tap.t.test(
+	'an attempt that may have run takes precedence over a later not-run',
+	async (t) => {
+		const decideError = (end: outcome.AttemptEnd) => {
+			const found = outcome.decideOutcome(end, refusal);
+			if (found.kind === 'answer') {
+				throw new Error('not an error');
+			}
 
-		return found;
-	};
+			return found;
+		};
 
-	const reset = error({kind: 'broken', bytesSent: 9});
-	const refused = error(answered(503, 'x-not-run'));
-	const late = error({kind: 'deadline', bytesSent: 9});
-	t.same(outcome.combineErrors([reset, refused]), reset);
-	t.same(outcome.combineErrors([refused, reset, late]), late);
-	t.same(outcome.combineErrors([refused]), refused);
-	t.equal(outcome.combineErrors([]).error, 'no-executor');
-});
+		const reset = decideError({kind: 'broken', bytesSent: 9});
+		const refused = decideError(answered(503, 'x-not-run'));
+		const timedOut = decideError({kind: 'deadline', bytesSent: 9});
+		t.same(outcome.combineErrors([reset, refused]), reset);
+		t.same(outcome.combineErrors([refused, reset, timedOut]), timedOut);
+		t.same(outcome.combineErrors([refused]), refused);
+		t.equal(outcome.combineErrors([]).error, 'no-executor');
+	},
+);
--- a/packages/core/src/outcome/attempt-outcome.ts
+++ b/packages/core/src/outcome/attempt-outcome.ts
@@ -1,7 +1,7 @@
 /**
- * What one attempt's end means: the error kind and the outcome that a caller
- * may be told. `not-run` only where no byte of the request went out, or the
- * upstream refused as its settings declare.
+ * Maps the end of an attempt to the error kind and outcome reported to the
+ * caller. The outcome is `not-run` only if no byte of the request was sent, or
+ * if the upstream refused as its settings declare.
  */
 import {match} from 'ts-pattern';
 import * as errors from '../errors/error-table.js';
@@ -9,26 +9,26 @@
 import type {Outcome} from '../types/outcome.js';
 import type {Refusal} from '../types/service.js';
 
-/** How an attempt ended on the wire. */
+/** How an attempt ended on the connection. */
 export type AttemptEnd =
-	/** The head came, and the body whole or, if streamed, in part. */
+	/** The head arrived, with the whole body or, if streamed, part of it. */
 	| {
 			readonly kind: 'answered';
 			readonly status: number;
 			readonly headerNames: ReadonlySet<string>;
 	  }
-	/** No connection was made. */
+	/** No connection could be opened. */
 	| {readonly kind: 'connect-failed'}
 	/** The request cannot be written as HTTP/1.1. */
 	| {readonly kind: 'invalid-request'}
-	/** The entry had no connection to spare. */
+	/** The entry had no free connection. */
 	| {readonly kind: 'no-connection'}
-	/** Closed, reset, cut or malformed before the answer was whole. */
+	/** Closed, reset, truncated or malformed before the answer was complete. */
 	| {readonly kind: 'broken'; readonly bytesSent: number}
 	| {readonly kind: 'deadline'; readonly bytesSent: number}
 	| {readonly kind: 'cancelled'; readonly bytesSent: number};
 
-/** What the caller may be told of one attempt or of all. */
+/** Result reported to the caller, of one attempt or of all. */
 export type AttemptOutcome =
 	| {readonly kind: 'answer'; readonly outcome: 'ran'}
 	| {
@@ -53,7 +53,6 @@
 	outcome: errors.errorTable[error].outcome,
 });
 
-/** Decides the outcome of one attempt. */
 export const decideOutcome = (
 	end: AttemptEnd,
 	refusal: Refusal,
@@ -65,8 +64,8 @@
 				return toError('upstream-refused');
 			}
 
-			// A server that closes an idle connection may send 408 just as
-			// the request goes out (RFC 9110, 15.5.9): it answers nothing.
+			// A server may send 408 when it closes an idle connection (RFC 9110,
+			// 15.5.9), so this status is no answer to the request.
 			return status === requestTimeoutStatus
 				? toError('upstream-reset')
 				: {kind: 'answer', outcome: 'ran'};
@@ -88,15 +87,15 @@
 		.exhaustive();
 
 /**
- * The error of a request whose attempts all failed: that of the last one,
- * unless an earlier one leaves more doubt.
+ * Returns the error of a request whose attempts all failed: the last one that
+ * may have run, else the last one.
  */
 export const combineErrors = (
 	failures: ReadonlyArray<Extract<AttemptOutcome, {kind: 'error'}>>,
 ): Extract<AttemptOutcome, {kind: 'error'}> => {
-	const doubtful = failures.findLast((each) => each.outcome !== 'not-run');
+	const mayHaveRun = failures.findLast((each) => each.outcome !== 'not-run');
 	return (
-		doubtful ??
+		mayHaveRun ??
 		failures.at(-1) ?? {kind: 'error', error: 'no-executor', outcome: 'not-run'}
 	);
 };
--- a/packages/core/src/retry/retry-decision.test.ts
+++ b/packages/core/src/retry/retry-decision.test.ts
@@ -2,7 +2,7 @@
 import * as retryBudget from './retry-budget.js';
 import * as retry from './retry-decision.js';
 
-const facts: retry.RetryContext = {
+const context: retry.RetryContext = {
 	idempotent: true,
 	bodyReplayable: true,
 	attempts: 1,
@@ -67,7 +67,7 @@
 		hedged: 'attempts',
 	},
 	{
-		name: 'too near the deadline',
+		name: 'too close to the deadline',
 		outcome: 'unknown',
 		change: {},
 		now: 901,
@@ -83,14 +83,14 @@
 		hedged: 'retry',
 	},
 	{
-		name: 'nowhere else to go',
+		name: 'no untried executor',
 		outcome: 'unknown',
 		change: {hasAlternative: false},
 		retried: 'no-alternative',
 		hedged: 'no-alternative',
 	},
 	{
-		name: 'malformed, the next executor cannot take it either',
+		name: 'malformed, permanent for every executor',
 		outcome: 'not-run',
 		error: 'bad-request',
 		change: {},
@@ -98,7 +98,7 @@
 		hedged: 'retry',
 	},
 	{
-		name: 'the caller has gone',
+		name: 'cancelled by the caller',
 		outcome: 'unknown',
 		error: 'cancelled',
 		change: {},
@@ -118,43 +118,46 @@
 for (const {name, outcome, change, now = 0, tokens = 5, ...wanted} of table) {
 	tap.t.test(name, async (t) => {
 		const error = wanted.error ?? 'upstream-reset';
-		const all = {...facts, ...change};
-		for (const way of ['retried', 'hedged'] as const) {
+		const all = {...context, ...change};
+		for (const variant of ['retried', 'hedged'] as const) {
 			const budget = createBudget(tokens);
 			const decision =
-				way === 'retried'
+				variant === 'retried'
 					? retry.decideRetry({error, outcome}, all, budget, now)
 					: retry.decideHedge(all, budget, now);
 			const found = decision.kind === 'retry' ? 'retry' : decision.reason;
-			t.equal(found, wanted[way]);
+			t.equal(found, wanted[variant]);
 			t.equal(budget.tokens, found === 'retry' ? tokens - 1 : tokens);
 		}
 	});
 }
 
-tap.t.test('all attempts failing never pass 1.1 times requests', async (t) => {
-	const budget = createBudget(5);
-	let attempts = 0;
-	const requests = 10_000;
-	for (let index = 0; index < requests; index++) {
-		retryBudget.recordRequest(budget);
-		attempts += 1;
-		for (let again = 1; again < facts.maxAttempts; again++) {
-			const decision = retry.decideRetry(
-				{error: 'upstream-reset', outcome: 'unknown'},
-				{...facts, attempts: again},
-				budget,
-				0,
-			);
-			attempts += decision.kind === 'retry' ? 1 : 0;
+tap.t.test(
+	'failing attempts never exceed 1.1 times the requests',
+	async (t) => {
+		const budget = createBudget(5);
+		let attempts = 0;
+		const requests = 10_000;
+		for (let index = 0; index < requests; index++) {
+			retryBudget.recordRequest(budget);
+			attempts += 1;
+			for (let made = 1; made < context.maxAttempts; made++) {
+				const decision = retry.decideRetry(
+					{error: 'upstream-reset', outcome: 'unknown'},
+					{...context, attempts: made},
+					budget,
+					0,
+				);
+				attempts += decision.kind === 'retry' ? 1 : 0;
+			}
 		}
-	}
 
-	t.ok(attempts / requests <= 1.1, `${attempts} attempts`);
-	t.ok(attempts / requests > 1.08, 'the budget is used');
-});
+		t.ok(attempts / requests <= 1.1, `${attempts} attempts`);
+		t.ok(attempts / requests > 1.08, 'the budget is used');
+	},
+);
 
-tap.t.test('a quiet time saves up no more than the cap', async (t) => {
+tap.t.test('tokens never exceed maxTokens', async (t) => {
 	const budget = createBudget(5);
 	for (let index = 0; index < 10_000; index++) {
 		retryBudget.recordRequest(budget);
--- a/packages/core/src/retry/retry-decision.ts
+++ b/packages/core/src/retry/retry-decision.ts
@@ -1,30 +1,31 @@
 /**
- * Whether a request may be sent once more: only what is idempotent or
- * certainly not run, within the deadline, the attempts and the budget.
+ * Decides whether to retry or hedge a request. Only a request that is
+ * idempotent or certainly was not run may be sent again, within the limits of
+ * its deadline, attempts and retry budget.
  */
 import * as errors from '../errors/error-table.js';
 import type {ErrorKind} from '../errors/error-table.js';
 import type {Outcome} from '../types/outcome.js';
 import * as retryBudget from './retry-budget.js';
 
-/** What the decision looks at. Times in milliseconds. */
+/** Input of the decision. Times in milliseconds. */
 export type RetryContext = {
 	/** True if the request may run twice. */
 	readonly idempotent: boolean;
-	/** False once a streamed request body has been read in part. */
+	/** False once part of a streamed request body has been read. */
 	readonly bodyReplayable: boolean;
-	/** Attempts made so far, failed and in flight. */
+	/** Attempts so far, failed and in flight. */
 	readonly attempts: number;
 	readonly maxAttempts: number;
 	/** When the caller stops waiting. */
 	readonly deadline: number;
-	/** Time that an answer usually takes. */
+	/** Expected time to an answer. */
 	readonly expectedMs: number;
-	/** True if an executor that was not tried can take the request. */
+	/** True if an executor that was not tried yet is available. */
 	readonly hasAlternative: boolean;
 };
 
-/** Why a request is not sent once more. */
+/** Why a request is not sent again. */
 export type NoRetryReason =
 	| 'hopeless'
 	| 'not-repeatable'
@@ -33,7 +34,6 @@
 	| 'no-alternative'
 	| 'budget';
 
-/** Send once more, or not and why. */
 export type RetryDecision =
 	| {readonly kind: 'retry'}
 	| {readonly kind: 'give-up'; readonly reason: NoRetryReason};
@@ -44,23 +44,23 @@
 });
 
 const decide = (
-	facts: RetryContext,
+	context: RetryContext,
 	budget: retryBudget.RetryBudget,
 	now: number,
 ): RetryDecision => {
-	if (!facts.bodyReplayable) {
+	if (!context.bodyReplayable) {
 		return giveUp('not-repeatable');
 	}
 
-	if (facts.attempts >= facts.maxAttempts) {
+	if (context.attempts >= context.maxAttempts) {
 		return giveUp('attempts');
 	}
 
-	if (now + facts.expectedMs > facts.deadline) {
+	if (now + context.expectedMs > context.deadline) {
 		return giveUp('deadline');
 	}
 
-	if (!facts.hasAlternative) {
+	if (!context.hasAlternative) {
 		return giveUp('no-alternative');
 	}
 
@@ -70,26 +70,26 @@
 /** Error and outcome of a failed attempt. */
 export type Failure = {readonly error: ErrorKind; readonly outcome: Outcome};
 
-/** Decides after a failed attempt; a retry has spent its token. */
+/** Decides after a failed attempt; `retry` has taken a token. */
 export const decideRetry = (
 	failed: Failure,
-	facts: RetryContext,
+	context: RetryContext,
 	budget: retryBudget.RetryBudget,
 	now: number,
 ): RetryDecision => {
-	const hopeless = errors.errorTable[failed.error].retry === 'never';
-	const safe = failed.outcome === 'not-run' || facts.idempotent;
-	if (hopeless || failed.error === 'cancelled') {
+	const isPermanent = errors.errorTable[failed.error].retry === 'never';
+	const maySendAgain = failed.outcome === 'not-run' || context.idempotent;
+	if (isPermanent || failed.error === 'cancelled') {
 		return giveUp('hopeless');
 	}
 
-	return safe ? decide(facts, budget, now) : giveUp('not-repeatable');
+	return maySendAgain ? decide(context, budget, now) : giveUp('not-repeatable');
 };
 
-/** Decides a second attempt beside one that is silent but not failed. */
+/** Decides on a parallel attempt while one is unresponsive but not failed. */
 export const decideHedge = (
-	facts: RetryContext,
+	context: RetryContext,
 	budget: retryBudget.RetryBudget,
 	now: number,
 ): RetryDecision =>
-	facts.idempotent ? decide(facts, budget, now) : giveUp('not-repeatable');
+	context.idempotent ? decide(context, budget, now) : giveUp('not-repeatable');
