--- a/packages/core/src/connections/unresponsive.ts
+++ b/packages/core/src/connections/unresponsive.ts
@@ -128,7 +128,7 @@
 
 /** Result of a probe on a new connection. */
 export type ProbeVerdict =
-	/** New connections work and old ones don't: retire those older than `before`. */
+	/** New connections work: retire those opened before `before`. */
 	| {readonly kind: 'retire-older'; readonly before: number}
 	/** No attempt is unresponsive any longer: the executor was slow. */
 	| {readonly kind: 'recovered'}
--- a/packages/core/src/spec-system.test.fixture.ts
+++ b/packages/core/src/spec-system.test.fixture.ts
@@ -1,4 +1,4 @@
-/** Entries, daemons and rows that spec.test.ts drives, and the properties. */
+/** Simulated entries, daemons and rows for spec.test.ts, and its properties. */
 import * as assert from 'node:assert/strict';
 import {createStore} from './types/row-store.test.fixture.js';
 import * as core from './index.js';
@@ -10,8 +10,7 @@
 	StoreWrite,
 } from './index.js';
 
-/** Guards that a run may leave out, to show that the test needs them. */
-/** Guards that a run may leave out, to show that the test needs them. */
+/** Guards that a run can omit, to show that the properties depend on them. */
 export type Guard = 'move-counts' | 'token' | 'new-life' | 'membership';
 
 type RoutedRequest = {instance: string; pool: string; isSent: boolean};
@@ -25,7 +24,7 @@
 	picks: RoutedRequest[];
 };
 
-/** What a daemon has decided and not yet committed. */
+/** Writes that a daemon has decided on and not yet committed. */
 type Prepared = {
 	writes: ReadonlyArray<StoreWrite<unknown>>;
 	instances: readonly Instance[];
@@ -33,7 +32,7 @@
 
 type Daemon = {
 	held?: core.shardLease.HeldShard | undefined;
-	/** The members as read, perhaps long ago. */
+	/** The members as last read; may be stale. */
 	membership?: move.MembershipRead;
 	prepared?: Prepared | undefined;
 };
@@ -47,7 +46,7 @@
 const {tables: budgetTables} = core.budget;
 const instanceTable = budgetTables.instances;
 const terms = {...core.budget.noTerms, keepExecutors: 0, maxAway: 1};
-/** Services by pool; each pool has one. */
+/** Services by pool, one for each. */
 export const servicesByPool = new Map(pools.map((pool) => [pool, [pool]]));
 
 const createInstance = (id: string): Instance => ({
@@ -62,11 +61,11 @@
 	rack: id,
 });
 
-/** A write without a condition. */
+/** Creates a write without a condition. */
 export const createPut = (table: string, key: string, value: unknown) =>
 	({kind: 'put', table, key, value, when: {kind: 'any'}}) as const;
 
-/** Creates rows of three instances in one pool, and nobody running. */
+/** Creates a system with three instances in one pool and no entry running. */
 export const createSystem = (omittedGuard: Guard | undefined) => {
 	const store = createStore();
 	const instances = ids.map((id) => createInstance(id));
@@ -98,27 +97,31 @@
 			picks: [],
 		})),
 		daemons: [{}, {}] as Daemon[],
-		/** Present life of each instance, and the one that was taken away. */
+		/** Current incarnation of each instance, and the one last withdrawn. */
 		incarnations: new Map(ids.map((id) => [id, {current: 1, withdrawn: 0}])),
 		moved: 0,
 		returned: 0,
 	};
 };
 
-/** The whole system of one run. */
+/** State of one run. */
 export type System = ReturnType<typeof createSystem>;
 
-/** Instances after the newest commit. */
+/** Returns the instances after the newest commit. */
 export const getCommittedInstances = ({history}: System) => history.at(-1)!;
 
-/** Fails by the name of the property in spec/ that does not hold. */
+/** Throws with the name of the property of spec/ that does not hold. */
 export const checkProperties = (system: System) => {
-	const truth = getCommittedInstances(system);
+	const committed = getCommittedInstances(system);
 	for (const {instance, pool} of system.entries
 		.flatMap(({picks}) => picks)
 		.filter(({isSent}) => isSent)) {
-		assert.equal(truth.get(instance)!.pool, pool, 'one_pool');
-		assert.notEqual(truth.get(instance)!.state, 'away', 'drain_cuts_nothing');
+		assert.equal(committed.get(instance)!.pool, pool, 'one_pool');
+		assert.notEqual(
+			committed.get(instance)!.state,
+			'away',
+			'drain_cuts_nothing',
+		);
 	}
 
 	for (const pool of pools) {
@@ -126,7 +129,9 @@
 			budgetTables.ledgers,
 			pool,
 		)!.value;
-		const members = [...truth.values()].filter((each) => each.pool === pool);
+		const members = [...committed.values()].filter(
+			(each) => each.pool === pool,
+		);
 		const off = members.filter(
 			({id, state}) =>
 				state !== 'serving' || ledger.entries[id]?.kind === 'away',
@@ -139,7 +144,7 @@
 		);
 	}
 
-	for (const {id, state} of truth.values()) {
+	for (const {id, state} of committed.values()) {
 		const {current, withdrawn} = system.incarnations.get(id)!;
 		assert.ok(
 			state !== 'serving' || current !== withdrawn,
@@ -154,7 +159,7 @@
 	instances: system.history[revision]!,
 });
 
-/** The row of an entry, with what it acknowledges now. */
+/** Creates the row of an entry with its current acknowledgement. */
 export const createRegistration = (
 	system: System,
 	index: number,
@@ -166,16 +171,16 @@
 	}
 
 	entry.sequence += 1;
-	const life = {entry: `e${index}`, incarnation: `${entry.incarnation}`};
+	const self = {entry: `e${index}`, incarnation: `${entry.incarnation}`};
 	const acknowledged = core.acknowledgement.createAcknowledgement(
-		life,
+		self,
 		entry.sequence,
 		{
 			view: getView(system, entry.revision),
 			router: {routedRevision: entry.revision, inFlight},
 		},
 	);
-	// Nothing else of the row matters to these decisions.
+	// These decisions use no other field of the row.
 	const row: Pick<registration.Registration, 'acknowledged'> = {acknowledged};
 	return row as registration.Registration;
 };
@@ -203,7 +208,7 @@
 	outageStart: core.move.noOutageStart,
 });
 
-/** Takes over what a decision asks to be written. */
+/** Sets the writes that the daemon commits next. */
 export const prepareWrites = (
 	system: System,
 	daemon: Daemon,
@@ -221,7 +226,7 @@
 	daemon.prepared = {writes: guarded, instances};
 };
 
-/** Decides to take an instance away by plan. */
+/** Decides to withdraw an instance for planned maintenance. */
 export const withdrawInstance = (system: System, id: string) =>
 	core.budget.withdrawInstances(
 		{
@@ -255,7 +260,7 @@
 	];
 };
 
-/** A move books both ledgers, as spec/ledger.pml asks of it. */
+/** Updates both ledgers for a move, as in spec/ledger.pml. */
 const getMovedLedgers = (
 	system: System,
 	id: string,
@@ -272,7 +277,7 @@
 /** Decides to move an instance to the other pool. */
 export const startMove = (system: System, id: string) => {
 	const instance = readInstance(system, id);
-	const taken = withdrawInstance(system, id);
+	const withdrawal = withdrawInstance(system, id);
 	const started = core.move.startMove({
 		instance,
 		to: instance.value.pool === 'a' ? 'b' : 'a',
@@ -281,18 +286,19 @@
 		isMoving: system.store.read(tables.move, id) !== undefined,
 	});
 	const isCounted = system.left !== 'move-counts';
-	if (!started.ok || (isCounted && !taken.ok)) {
+	if (!started.ok || (isCounted && !withdrawal.ok)) {
 		return undefined;
 	}
 
-	const booked = taken.ok && isCounted ? taken.value.writes : [];
+	const withdrawalWrites =
+		withdrawal.ok && isCounted ? withdrawal.value.writes : [];
 	return [
 		...getMoveWrites(started.value),
-		...booked.filter(({table}) => table === budgetTables.ledgers),
+		...withdrawalWrites.filter(({table}) => table === budgetTables.ledgers),
 	];
 };
 
-/** Ends the drain of a wave: no move row stands for it. */
+/** Finishes the drain of an instance of a wave, which has no move row. */
 const finishDrain = (
 	system: System,
 	id: string,
@@ -302,7 +308,7 @@
 	const revision = system.history.findLastIndex(
 		(each, at) => each.get(id) !== system.history[at - 1]?.get(id),
 	);
-	const lagging = core.pendingAcknowledgements.listPendingAcknowledgements(
+	const pending = core.pendingAcknowledgements.listPendingAcknowledgements(
 		read.registrations,
 		read.received,
 		{
@@ -311,7 +317,7 @@
 		},
 	);
 	const next = core.transition.applyTransition(value, 'finishDrain');
-	return lagging.length > 0 || !next.ok
+	return pending.length > 0 || !next.ok
 		? undefined
 		: [
 				core.checkVersion(tables.membership, singleRowKey, read.version),
@@ -344,7 +350,7 @@
 		: getMoveWrites(step);
 };
 
-/** The next step of a wave or a move, by the members that were read. */
+/** Returns the writes of the next step of a wave or move, if any. */
 export const getNextStep = (
 	system: System,
 	id: string,
@@ -354,6 +360,6 @@
 		({table}) => system.left !== 'membership' || table !== tables.membership,
 	);
 
-/** True while a move row stands for an instance. */
+/** True if an instance has a move row. */
 export const isMoving = ({store}: System, id: string) =>
 	store.read(tables.move, id) !== undefined;
--- a/packages/core/src/spec.test.ts
+++ b/packages/core/src/spec.test.ts
@@ -1,6 +1,6 @@
 /**
- * Drives membership, instances, shards and budgets together by random
- * commands against the properties of spec/; transitions are named as there.
+ * Checks the properties of spec/ under random commands on membership,
+ * instances, shards and budgets. Commands are named as the transitions there.
  */
 import * as assert from 'node:assert/strict';
 import * as fc from 'fast-check';
@@ -113,7 +113,7 @@
 };
 
 const daemonActions = {
-	/** Any daemon may judge the holder to be gone, and be wrong. */
+	/** Any daemon may falsely consider the holder terminated. */
 	acquireShard({store, daemons}: System, index: number) {
 		const read = store.read<core.shardLease.ShardLease>(tables.shard, 's');
 		const acquired = core.shardLease.acquireShard('s', read, {
@@ -134,9 +134,9 @@
 	},
 	reserveAway(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
-		const taken = withdrawInstance(system, ids[age % ids.length]!);
-		if (daemon.held && taken.ok) {
-			prepareWrites(system, daemon, taken.value.writes);
+		const withdrawal = withdrawInstance(system, ids[age % ids.length]!);
+		if (daemon.held && withdrawal.ok) {
+			prepareWrites(system, daemon, withdrawal.value.writes);
 		}
 	},
 	startDrain(system: System, index: number, age: number) {
@@ -155,11 +155,15 @@
 	},
 	reboot(system: System, _index: number, age: number) {
 		const id = ids[age % ids.length]!;
-		const life = system.incarnations.get(id)!;
+		const incarnationState = system.incarnations.get(id)!;
 		const {state} = readInstance(system, id).value;
 		const isOff = state === 'away' || state === 'returning';
-		if (isOff && !isMoving(system, id) && life.current === life.withdrawn) {
-			life.current += 1;
+		if (
+			isOff &&
+			!isMoving(system, id) &&
+			incarnationState.current === incarnationState.withdrawn
+		) {
+			incarnationState.current += 1;
 		}
 	},
 	startReturn(system: System, index: number, age: number) {
@@ -177,7 +181,7 @@
 	giveBack(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
 		const id = ids[age % ids.length]!;
-		const life = system.incarnations.get(id)!;
+		const incarnationState = system.incarnations.get(id)!;
 		const change = core.budget.returnInstance({
 			operationId: 'back',
 			instance: readInstance(system, id),
@@ -186,8 +190,8 @@
 			evidence: {
 				listed: 'live',
 				incarnationBefore:
-					system.left === 'new-life' ? '0' : `${life.withdrawn}`,
-				incarnation: `${life.current}`,
+					system.left === 'new-life' ? '0' : `${incarnationState.withdrawn}`,
+				incarnation: `${incarnationState.current}`,
 				probesPassed: core.budget.returnDefaults.probesNeeded,
 			},
 			settings: core.budget.returnDefaults,
@@ -208,25 +212,28 @@
 		if (store.commit([...prepared.writes, counter])) {
 			const lease = store.read<core.shardLease.ShardLease>(tables.shard, 's')!;
 			assert.equal(lease.value.token, held!.token, 'writes_fenced');
-			const truth = new Map(getCommittedInstances(system));
+			const committed = new Map(getCommittedInstances(system));
 			for (const instance of prepared.instances) {
-				const before = truth.get(instance.id)!;
-				const isTaken = instance.state === 'draining';
+				const previous = committed.get(instance.id)!;
+				const isWithdrawn = instance.state === 'draining';
 				const isBack = instance.state === 'serving';
-				const isMoved = before.pool !== instance.pool;
-				const life = incarnations.get(instance.id)!;
+				const isMoved = previous.pool !== instance.pool;
+				const incarnationState = incarnations.get(instance.id)!;
 				const isByWave = !isMoving(system, instance.id);
-				life.withdrawn = isTaken && isByWave ? life.current : life.withdrawn;
-				life.withdrawn = isMoved ? 0 : life.withdrawn;
+				incarnationState.withdrawn =
+					isWithdrawn && isByWave
+						? incarnationState.current
+						: incarnationState.withdrawn;
+				incarnationState.withdrawn = isMoved ? 0 : incarnationState.withdrawn;
 				system.moved += isMoved ? 1 : 0;
 				system.returned += isBack && !isMoved ? 1 : 0;
-				truth.set(instance.id, instance);
+				committed.set(instance.id, instance);
 			}
 
-			history.push(truth);
+			history.push(committed);
 		}
 
-		// A lost reply: the daemon keeps its writes and sends them again.
+		// On a lost reply the daemon keeps its writes and sends them again.
 		daemon.prepared = age === 0 ? prepared : undefined;
 	},
 };
@@ -277,10 +284,10 @@
 
 const totals = {moved: 0, returned: 0};
 
-const runAll = (left: Guard | undefined, numRuns: number) =>
+const runAll = (omittedGuard: Guard | undefined, numRuns: number) =>
 	fc.check(
 		fc.property(commands, (list) => {
-			const system = createSystem(left);
+			const system = createSystem(omittedGuard);
 			fc.modelRun(() => ({model: {steps: 0}, real: system}), list);
 			totals.moved += system.moved;
 			totals.returned += system.returned;
@@ -288,7 +295,7 @@
 		{seed: 23, numRuns, endOnFailure: true},
 	);
 
-tap.t.test('the properties hold, whatever the order', async (t) => {
+tap.t.test('the properties hold for any order of commands', async (t) => {
 	const result = runAll(undefined, 2000);
 	t.notOk(result.failed, String(result.errorInstance));
 	t.ok(totals.moved > 0, `${totals.moved} moves`);
@@ -310,10 +317,10 @@
 	});
 }
 
-// Faults that the models found in the code, and that were mended:
-// docs/design/agreement-model.md, "Differences between the code and the models".
+// Cases from docs/design/agreement-model.md, "Differences between the code and
+// the models".
 tap.t.test(
-	'forget_after: bounds with one isolation time are not sound',
+	'forget_after: a bound with a single isolation time is unsafe',
 	async (t) => {
 		const settings = core.membershipStatus.membershipDefaults;
 		const {isolationMs, listLagMs, stallMarginMs} = settings;
@@ -325,7 +332,7 @@
 );
 
 tap.t.test(
-	'give_back_new_life: an unknown earlier life is no proof of a restart',
+	'give_back_new_life: an unknown earlier incarnation does not prove a restart',
 	async (t) => {
 		const evidence = {
 			listed: 'live',
