--- a/packages/core/src/idempotency/claim.ts
+++ b/packages/core/src/idempotency/claim.ts
@@ -81,8 +81,9 @@
 	body: Uint8Array | undefined,
 ): Step => {
 	const {answer} = intent.row;
-	const isWhole = answer.kind === 'object' && body?.byteLength === answer.bytes;
-	if (!isWhole || body === undefined) {
+	const isComplete =
+		answer.kind === 'object' && body?.byteLength === answer.bytes;
+	if (!isComplete || body === undefined) {
 		return refuse(attempt, 'answer-unavailable', attempt.settings.maxPollMs);
 	}
 
@@ -115,9 +116,9 @@
 ): Step => {
 	const {intent} = attempt;
 	const hasWaited = intent.kind === 'look' && intent.known !== undefined;
-	const storeFrom = hasWaited ? time.now : attempt.storeWaitStartedAt;
+	const storeWaitStartedAt = hasWaited ? time.now : attempt.storeWaitStartedAt;
 	return writeStarted(
-		{...attempt, storeWaitStartedAt: storeFrom},
+		{...attempt, storeWaitStartedAt},
 		{
 			kind: 'start',
 			row: attempts.createStartedRow(attempt, time),
@@ -331,10 +332,10 @@
 ): Step => {
 	if (read !== undefined) {
 		const {stored} = read;
-		const isDecided =
+		const isResolved =
 			rows.isHeldBy(stored, attempt.claim.holder) ||
 			rows.isPreconditionRuledOut(stored, intent.when);
-		return isDecided
+		return isResolved
 			? resolveStarted(attempt, intent, stored, time)
 			: repeatStartedWrite(attempt, intent);
 	}
--- a/packages/core/src/idempotency/completion.ts
+++ b/packages/core/src/idempotency/completion.ts
@@ -235,10 +235,10 @@
 	}
 
 	const {stored} = result;
-	const isDecided =
+	const isResolved =
 		rows.isHeldBy(stored, attempt.claim.holder) ||
 		rows.isPreconditionRuledOut(stored, intent.when);
-	return isDecided
+	return isResolved
 		? resolveFinalWrite(attempt, intent, stored, now)
 		: writeFinalRow(attempt, intent);
 };
--- a/packages/core/src/limits/coordinator-sessions.ts
+++ b/packages/core/src/limits/coordinator-sessions.ts
@@ -125,7 +125,7 @@
 	}
 };
 
-/** Updates which entries count as followers, and with them the majority. */
+/** Updates `absent`, `joining`, `complete` and `hasMajority` as of `now`. */
 export const updateCompleteness = (
 	coordinator: CreditCoordinator,
 	now: number,
--- a/packages/core/src/limits/credits.test.ts
+++ b/packages/core/src/limits/credits.test.ts
@@ -199,10 +199,10 @@
 		update(fleet, getMembers({unresponsive: new Set([coordinatorName])}));
 		const lostAtMs = fleet.nowMs;
 		run(fleet, lostAtMs + 150);
-		const early = requestSlots(fleet, third, 8);
-		t.equal(early, accounted - 3, 'other grants may still be in use');
+		const acquiredEarly = requestSlots(fleet, third, 8);
+		t.equal(acquiredEarly, accounted - 3, 'other grants may still be in use');
 		run(fleet, lostAtMs + settleMs + 100);
-		t.equal(requestSlots(fleet, third, 8), 8 - share - 3 - early);
+		t.equal(requestSlots(fleet, third, 8), 8 - share - 3 - acquiredEarly);
 	},
 );
 
