--- a/packages/core/src/connections/connections.test.ts
+++ b/packages/core/src/connections/connections.test.ts
@@ -153,11 +153,17 @@
 		}
 
 		t.equal(state.suspectedAt, undefined);
-		t.notOk(unresponsive.startProbeIfDue(state, config, 9000), 'no doubt left');
-		t.notOk(unresponsive.recordUnresponsive(state, config, 1499), 'gap');
+		t.notOk(
+			unresponsive.startProbeIfDue(state, config, 9000),
+			'nothing suspected',
+		);
+		t.notOk(
+			unresponsive.recordUnresponsive(state, config, 1499),
+			'within probeGapMs',
+		);
 		t.ok(
 			unresponsive.startProbeIfDue(state, config, 1500),
-			'made up for later',
+			'due after probeGapMs',
 		);
 	});
 }
