--- a/packages/core/src/idempotency/claim.ts
+++ b/packages/core/src/idempotency/claim.ts
@@ -1,12 +1,13 @@
 /**
- * The beginning of an attempt: the row is read, and the started row is
- * committed before anything is sent.
+ * First phase of an attempt: reads the row of the key, and commits the started
+ * row before the request is sent.
  *
- * A started write without a reply is in doubt. It may take effect even after
- * a read that does not show it, so that only a row seen there decides: the
- * own row (committed), or another row (the precondition can no longer hold).
- * Over an unchanged row the write is sent again under the same precondition,
- * so that at most one of the two takes effect.
+ * The outcome of a started write without a reply is unknown. The write may
+ * take effect even after a read that does not show it, so it is resolved only
+ * by a row that rules out the other outcome: the attempt's own row (committed)
+ * or a newer row of another attempt (the precondition can no longer hold). If
+ * the row is unchanged, the write is repeated with the same precondition, so
+ * that at most one of the two takes effect.
  */
 import {Buffer} from 'node:buffer';
 import type {ErrorKind} from '../errors/error-table.js';
@@ -14,17 +15,17 @@
 import type {Attempt, Intent, Step, WriteResult} from './attempt.js';
 import type {Lookup, Time} from './lookup.js';
 import * as lookup from './lookup.js';
-import type {FinishedRow, StoredRow, When} from './row.js';
+import type {FinishedRow, StoredRow, Precondition} from './row.js';
 import * as rows from './row.js';
-import * as settle from './settle.js';
+import * as completion from './completion.js';
 
-type LookIntent = Extract<Intent, {kind: 'look'}>;
+type ReadIntent = Extract<Intent, {kind: 'look'}>;
 type StartIntent = Extract<Intent, {kind: 'start'}>;
 
-/** A read of the row: what is there, or `undefined` if the read failed. */
+/** Result of a read of the row; `undefined` if the read failed. */
 type Read = {readonly stored: StoredRow | undefined} | undefined;
 
-/** Answers with an error and ends; nothing of the attempt is in the store. */
+/** Replies with an error and ends; the attempt has written no row. */
 const refuse = (
 	attempt: Attempt,
 	error: ErrorKind,
@@ -66,22 +67,23 @@
 ): Step => {
 	const {answer} = intent.row;
 	return answer.kind === 'object'
-		? attempts.callFor(attempt, intent, {
+		? attempts.startCall(attempt, intent, {
 				kind: 'get-object',
 				name: answer.name,
 			})
 		: refuse(attempt, 'answer-unavailable');
 };
 
-/** Goes on after a large answer was read; one cut short is not given. */
+/** Replies with the answer that was read, unless it is incomplete. */
 export const updateFetch = (
 	attempt: Attempt,
 	intent: Extract<Intent, {kind: 'fetch'}>,
 	body: Uint8Array | undefined,
 ): Step => {
 	const {answer} = intent.row;
-	const isWhole = answer.kind === 'object' && body?.byteLength === answer.bytes;
-	if (!isWhole || body === undefined) {
+	const isComplete =
+		answer.kind === 'object' && body?.byteLength === answer.bytes;
+	if (!isComplete || body === undefined) {
 		return refuse(attempt, 'answer-unavailable', attempt.settings.maxPollMs);
 	}
 
@@ -94,37 +96,41 @@
 };
 
 /** Reads the row of the key. */
-export const look = (attempt: Attempt, intent: LookIntent): Step =>
-	attempts.callFor(attempt, intent, {kind: 'read'});
+export const readRow = (attempt: Attempt, intent: ReadIntent): Step =>
+	attempts.startCall(attempt, intent, {kind: 'read'});
 
-/** Sends the started write, the first time or again. */
+/** Sends the started write. */
 export const writeStarted = (attempt: Attempt, intent: StartIntent): Step =>
-	attempts.callFor(attempt, intent, {
+	attempts.startCall(attempt, intent, {
 		kind: 'write',
 		row: intent.row,
 		when: intent.when,
 		isUrgent: true,
 	});
 
-/** Begins the started write under a precondition. */
-export const take = (attempt: Attempt, when: When, time: Time): Step => {
+/** Creates the started row and writes it under a precondition. */
+export const claimKey = (
+	attempt: Attempt,
+	when: Precondition,
+	time: Time,
+): Step => {
 	const {intent} = attempt;
 	const hasWaited = intent.kind === 'look' && intent.known !== undefined;
-	const storeFrom = hasWaited ? time.now : attempt.storeFrom;
+	const storeWaitStartedAt = hasWaited ? time.now : attempt.storeWaitStartedAt;
 	return writeStarted(
-		{...attempt, storeFrom},
+		{...attempt, storeWaitStartedAt},
 		{
 			kind: 'start',
 			row: attempts.createStartedRow(attempt, time),
 			when,
-			madeAt: time.now,
+			createdAt: time.now,
 			isDoubtful: false,
 		},
 	);
 };
 
-/** Pauses between two reads of a row that another attempt holds. */
-const wait = (
+/** Pauses before the next read of a row that another attempt holds. */
+const waitForHolder = (
 	attempt: Attempt,
 	step: Extract<Lookup, {kind: 'wait'}>,
 	now: number,
@@ -146,8 +152,8 @@
 	};
 };
 
-/** Goes on with the row of the key, which is not this attempt's. */
-const proceed = (
+/** Decides by the row of the key, which this attempt does not hold. */
+const decideByRow = (
 	attempt: Attempt,
 	stored: StoredRow | undefined,
 	time: Time,
@@ -155,35 +161,35 @@
 	const {claim, settings} = attempt;
 	const {fingerprint, holder} = claim;
 	const context = {fingerprint, holder, settings};
-	const found = lookup.decideLookup(stored, context, time.date);
-	switch (found.kind) {
+	const decision = lookup.decideLookup(stored, context, time.date);
+	switch (decision.kind) {
 		case 'take': {
-			return take(attempt, found.when, time);
+			return claimKey(attempt, decision.when, time);
 		}
 
 		case 'replay': {
-			return replay(attempt, found.row);
+			return replay(attempt, decision.row);
 		}
 
 		case 'wait': {
-			return wait(attempt, found, time.now);
+			return waitForHolder(attempt, decision, time.now);
 		}
 
 		case 'refuse': {
-			return refuse(attempt, found.error, found.retryAfterMs);
+			return refuse(attempt, decision.error, decision.retryAfterMs);
 		}
 	}
 };
 
-/** Pauses before another call, or refuses after the last try. */
+/** Pauses before the next try, or refuses after the last one. */
 const pauseOrRefuse = (
 	attempt: Attempt,
-	intent: LookIntent | StartIntent,
+	intent: ReadIntent | StartIntent,
 	now: number,
 ): Step => {
 	const {failures, settings, isAnswered} = attempt;
 	return !isAnswered && failures + 1 < settings.storeTries
-		? attempts.pauseFor(attempt, intent, now)
+		? attempts.pauseBeforeRetry(attempt, intent, now)
 		: attempts.replyThen(
 				attempt,
 				attempts.createOutageReply(attempt),
@@ -191,10 +197,10 @@
 			);
 };
 
-/** Goes on after the row was read. */
-export const readLook = (
+/** Applies the first or a repeated read of the row. */
+export const applyRowRead = (
 	attempt: Attempt,
-	intent: LookIntent,
+	intent: ReadIntent,
 	read: Read,
 	time: Time,
 ): Step => {
@@ -203,15 +209,15 @@
 	}
 
 	if (read !== undefined) {
-		return proceed(attempt, read.stored, time);
+		return decideByRow(attempt, read.stored, time);
 	}
 
 	return intent.known === undefined
 		? pauseOrRefuse(attempt, intent, time.now)
-		: attempts.pauseFor(attempt, intent, time.now);
+		: attempts.pauseBeforeRetry(attempt, intent, time.now);
 };
 
-/** True if a request may still be sent, by both clocks of the entry. */
+/** True if the request may still be sent, by both clocks of the entry. */
 const mayDispatch = (
 	attempt: Attempt,
 	intent: StartIntent,
@@ -227,15 +233,15 @@
 	);
 };
 
-/** Last moment of a dispatch, counted from before the started write. */
+/** Latest time of dispatch, counted from before the started write. */
 export const getDispatchBy = (attempt: Attempt, intent: StartIntent): number =>
 	Math.min(
 		attempt.claim.deadline,
-		intent.madeAt + attempt.settings.dispatchWithinMs,
+		intent.createdAt + attempt.settings.dispatchWithinMs,
 	);
 
-/** The started row is certainly there: dispatch, or give the key back. */
-const goOn = (
+/** Dispatches after the started row is committed, or releases the key. */
+const dispatchOrRelease = (
 	attempt: Attempt,
 	intent: StartIntent,
 	version: number,
@@ -243,7 +249,7 @@
 ): Step => {
 	const {row} = intent;
 	if (mayDispatch(attempt, intent, time)) {
-		return attempts.callFor(
+		return attempts.startCall(
 			attempt,
 			{kind: 'run', row, version},
 			{kind: 'dispatch', dispatchBy: getDispatchBy(attempt, intent)},
@@ -253,33 +259,33 @@
 	return attempts.replyThen(
 		attempt,
 		attempts.createErrorReply('deadline-in-queue'),
-		(next) => settle.startRelease(next, row, {kind: 'version', version}),
+		(next) => completion.startRelease(next, row, {kind: 'version', version}),
 	);
 };
 
-/** Sends the started write again, or gives up and releases in its place. */
-const writeAgain = (attempt: Attempt, intent: StartIntent): Step =>
+/** Repeats the started write, or releases the key if already answered. */
+const repeatStartedWrite = (attempt: Attempt, intent: StartIntent): Step =>
 	attempt.isAnswered
-		? settle.startRelease(attempt, intent.row, intent.when)
+		? completion.startRelease(attempt, intent.row, intent.when)
 		: writeStarted(attempt, intent);
 
-/** Goes on with the row as it certainly is after a started write. */
-const compareStarted = (
+/** Applies the row that resolves a started write. */
+const resolveStarted = (
 	attempt: Attempt,
 	intent: StartIntent,
 	stored: StoredRow | undefined,
 	time: Time,
 ): Step => {
 	if (stored !== undefined && rows.isHeldBy(stored, attempt.claim.holder)) {
-		return goOn(attempt, intent, stored.version, time);
+		return dispatchOrRelease(attempt, intent, stored.version, time);
 	}
 
 	return attempt.isAnswered
 		? attempts.endAttempt(attempt)
-		: proceed(attempt, stored, time);
+		: decideByRow(attempt, stored, time);
 };
 
-/** Goes on after the started write. */
+/** Applies the result of the started write. */
 export const updateStart = (
 	attempt: Attempt,
 	intent: StartIntent,
@@ -288,37 +294,37 @@
 ): Step => {
 	switch (result.kind) {
 		case 'committed': {
-			return goOn(attempt, intent, result.version, time);
+			return dispatchOrRelease(attempt, intent, result.version, time);
 		}
 
 		case 'conflict': {
-			return compareStarted(attempt, intent, result.current, time);
+			return resolveStarted(attempt, intent, result.current, time);
 		}
 
 		case 'refused': {
 			return intent.isDoubtful
-				? attempts.pauseFor(attempt, intent, time.now)
+				? attempts.pauseBeforeRetry(attempt, intent, time.now)
 				: pauseOrRefuse(attempt, intent, time.now);
 		}
 
 		case 'lost': {
-			const doubtful = {...intent, isDoubtful: true};
-			return attempts.pauseFor(attempt, doubtful, time.now);
+			const unresolved = {...intent, isDoubtful: true};
+			return attempts.pauseBeforeRetry(attempt, unresolved, time.now);
 		}
 	}
 };
 
-/** Resumes after a pause: a write in doubt is read back first. */
+/** Resumes after a pause; reads the row first if a write is unresolved. */
 export const resumeStart = (attempt: Attempt, intent: StartIntent): Step => {
 	if (intent.isDoubtful) {
-		return attempts.callFor(attempt, intent, {kind: 'read'});
+		return attempts.startCall(attempt, intent, {kind: 'read'});
 	}
 
-	return writeAgain(attempt, intent);
+	return repeatStartedWrite(attempt, intent);
 };
 
-/** Goes on after a started write in doubt was read back. */
-export const readStart = (
+/** Applies the read after an unresolved started write. */
+export const applyStartedRead = (
 	attempt: Attempt,
 	intent: StartIntent,
 	read: Read,
@@ -326,15 +332,15 @@
 ): Step => {
 	if (read !== undefined) {
 		const {stored} = read;
-		const isDecided =
+		const isResolved =
 			rows.isHeldBy(stored, attempt.claim.holder) ||
-			rows.isPast(stored, intent.when);
-		return isDecided
-			? compareStarted(attempt, intent, stored, time)
-			: writeAgain(attempt, intent);
+			rows.isPreconditionRuledOut(stored, intent.when);
+		return isResolved
+			? resolveStarted(attempt, intent, stored, time)
+			: repeatStartedWrite(attempt, intent);
 	}
 
-	return time.now >= attempt.settleBy
+	return time.now >= attempt.completeBy
 		? attempts.endAttempt(attempt)
-		: attempts.pauseFor(attempt, intent, time.now);
+		: attempts.pauseBeforeRetry(attempt, intent, time.now);
 };
--- a/packages/core/src/idempotency/settle.ts
+++ b/packages/core/src/idempotency/completion.ts
@@ -1,7 +1,7 @@
 /**
- * The end of an attempt: what is recorded after the dispatch, or in place of
- * it. Every write is conditional on the holder's own started row, so that it
- * may be sent again after a lost reply.
+ * Last phase of an attempt: records the result after the dispatch, or releases
+ * the key without one. Every write is conditional on the holder's own started
+ * row, so that it can be repeated after a lost reply.
  */
 import {Buffer} from 'node:buffer';
 import * as attempts from './attempt.js';
@@ -14,49 +14,49 @@
 	WriteResult,
 } from './attempt.js';
 import type {
-	SettledRow,
+	FinalRow,
 	StartedRow,
 	StoredAnswer,
 	StoredRow,
-	When,
+	Precondition,
 } from './row.js';
 import * as rows from './row.js';
 
-type SettleIntent = Extract<Intent, {kind: 'settle'}>;
+type FinalIntent = Extract<Intent, {kind: 'settle'}>;
 type KeepIntent = Extract<Intent, {kind: 'keep'}>;
 
 /** Name of the object that holds a large answer. */
 export const formatObjectName = (operationId: string): string =>
 	`idempotency/${operationId}`;
 
-const writeSettled = (attempt: Attempt, intent: SettleIntent): Step =>
-	attempts.callFor(attempt, intent, {
+const writeFinalRow = (attempt: Attempt, intent: FinalIntent): Step =>
+	attempts.startCall(attempt, intent, {
 		kind: 'write',
 		row: intent.row,
 		when: intent.when,
 		isUrgent: false,
 	});
 
-/** Writes the last state of a row. */
-export const startSettle = (
+/** Writes the final row. */
+export const startCompletion = (
 	attempt: Attempt,
-	row: SettledRow,
-	when: When,
-): Step => writeSettled(attempt, {kind: 'settle', row, when});
+	row: FinalRow,
+	when: Precondition,
+): Step => writeFinalRow(attempt, {kind: 'settle', row, when});
 
-/** Gives the key back: the request was certainly not run. */
+/** Releases the key: the request was certainly not run. */
 export const startRelease = (
 	attempt: Attempt,
 	row: StartedRow,
-	when: When,
-): Step => startSettle(attempt, {...row, state: 'released'}, when);
+	when: Precondition,
+): Step => startCompletion(attempt, {...row, state: 'released'}, when);
 
 const startFinish = (
 	attempt: Attempt,
 	intent: {readonly row: StartedRow; readonly version: number},
 	answer: StoredAnswer,
 ): Step =>
-	startSettle(
+	startCompletion(
 		attempt,
 		{...intent.row, state: 'finished', answer},
 		{kind: 'version', version: intent.version},
@@ -69,15 +69,15 @@
 	bodyBase64: Buffer.from(answer.body).toString('base64'),
 });
 
-/** Puts a large answer in the object store; the row follows. */
+/** Stores a large answer in the object store, before the row is written. */
 export const putAnswer = (attempt: Attempt, intent: KeepIntent): Step =>
-	attempts.callFor(attempt, intent, {
+	attempts.startCall(attempt, intent, {
 		kind: 'put-object',
 		name: formatObjectName(attempt.claim.holder.operationId),
 		body: intent.answer.body,
 	});
 
-const keepAnswer = (
+const storeAnswer = (
 	attempt: Attempt,
 	run: Extract<Intent, {kind: 'run'}>,
 	answer: Answer,
@@ -93,7 +93,7 @@
 		: startFinish(attempt, run, {kind: 'not-kept', status});
 };
 
-/** Goes on after the put of a large answer. */
+/** Applies the result of storing a large answer. */
 export const updateKeep = (
 	attempt: Attempt,
 	intent: KeepIntent,
@@ -114,11 +114,11 @@
 	}
 
 	return attempt.failures + 1 < attempt.settings.putTries
-		? attempts.pauseFor(attempt, intent, now)
+		? attempts.pauseBeforeRetry(attempt, intent, now)
 		: startFinish(attempt, intent, {kind: 'not-kept', status});
 };
 
-/** Goes on after the dispatch. The caller is told before the row is written. */
+/** Applies the result of the dispatch; replies before the row is written. */
 export const updateRun = (
 	attempt: Attempt,
 	intent: Extract<Intent, {kind: 'run'}>,
@@ -131,7 +131,7 @@
 			return attempts.replyThen(
 				attempt,
 				{kind: 'answer', answer, isReplay: false},
-				(next) => keepAnswer(next, intent, answer),
+				(next) => storeAnswer(next, intent, answer),
 			);
 		}
 
@@ -156,45 +156,46 @@
 			return attempts.replyThen(
 				attempt,
 				attempts.createErrorReply(result.error),
-				(next) => startSettle(next, {...intent.row, state: 'unknown'}, when),
+				(next) =>
+					startCompletion(next, {...intent.row, state: 'unknown'}, when),
 			);
 		}
 	}
 };
 
-/** Pauses, or gives up for good: the row stays as it is until it expires. */
-const pauseSettle = (
+/** Pauses, or gives up; the row then stays as it is until it expires. */
+const pauseOrGiveUp = (
 	attempt: Attempt,
-	intent: SettleIntent,
+	intent: FinalIntent,
 	now: number,
 ): Step =>
-	now >= attempt.settleBy
+	now >= attempt.completeBy
 		? attempts.endAttempt(attempt)
-		: attempts.pauseFor(attempt, intent, now);
+		: attempts.pauseBeforeRetry(attempt, intent, now);
 
-/** Ends over a row that is certainly there; an own started one is replaced. */
-const settleOver = (
+/** Ends the attempt, or first replaces its own started row if present. */
+const resolveFinalWrite = (
 	attempt: Attempt,
-	intent: SettleIntent,
+	intent: FinalIntent,
 	stored: StoredRow | undefined,
 	now: number,
 ): Step => {
 	const isOwn = rows.isHeldBy(stored, attempt.claim.holder);
-	const isLate = now >= attempt.settleBy;
+	const isLate = now >= attempt.completeBy;
 	if (stored === undefined || !isOwn || isLate) {
 		return attempts.endAttempt(attempt);
 	}
 
 	const when = {kind: 'version', version: stored.version} as const;
 	return stored.row?.state === 'started'
-		? writeSettled(attempt, {...intent, when})
+		? writeFinalRow(attempt, {...intent, when})
 		: attempts.endAttempt(attempt);
 };
 
-/** Goes on after a write of the last state. */
-export const updateSettle = (
+/** Applies the result of writing the final row. */
+export const updateCompletion = (
 	attempt: Attempt,
-	intent: SettleIntent,
+	intent: FinalIntent,
 	result: WriteResult,
 	now: number,
 ): Step => {
@@ -204,40 +205,40 @@
 		}
 
 		case 'conflict': {
-			return settleOver(attempt, intent, result.current, now);
+			return resolveFinalWrite(attempt, intent, result.current, now);
 		}
 
 		case 'refused':
 		case 'lost': {
-			return pauseSettle(attempt, intent, now);
+			return pauseOrGiveUp(attempt, intent, now);
 		}
 	}
 };
 
-/** Resumes after a pause, by reading: the last write may have committed. */
-export const resumeSettle = (attempt: Attempt, intent: SettleIntent): Step =>
-	attempts.callFor(attempt, intent, {kind: 'read'});
+/** Resumes after a pause with a read: the last write may have committed. */
+export const resumeCompletion = (attempt: Attempt, intent: FinalIntent): Step =>
+	attempts.startCall(attempt, intent, {kind: 'read'});
 
 /**
- * Goes on after the row was read back. Over a row that decides nothing the
- * same write is sent again, which also keeps a delayed started write of this
+ * Applies the read after a failed write. If the row does not resolve the write,
+ * the same write is repeated, which also keeps a delayed started write of this
  * attempt from taking effect.
  */
-export const readSettle = (
+export const applyCompletionRead = (
 	attempt: Attempt,
-	intent: SettleIntent,
+	intent: FinalIntent,
 	result: {readonly stored: StoredRow | undefined} | undefined,
 	now: number,
 ): Step => {
-	if (result === undefined || now >= attempt.settleBy) {
-		return pauseSettle(attempt, intent, now);
+	if (result === undefined || now >= attempt.completeBy) {
+		return pauseOrGiveUp(attempt, intent, now);
 	}
 
 	const {stored} = result;
-	const isDecided =
+	const isResolved =
 		rows.isHeldBy(stored, attempt.claim.holder) ||
-		rows.isPast(stored, intent.when);
-	return isDecided
-		? settleOver(attempt, intent, stored, now)
-		: writeSettled(attempt, intent);
+		rows.isPreconditionRuledOut(stored, intent.when);
+	return isResolved
+		? resolveFinalWrite(attempt, intent, stored, now)
+		: writeFinalRow(attempt, intent);
 };
--- a/packages/core/src/spec.test.ts
+++ b/packages/core/src/spec.test.ts
@@ -1,6 +1,6 @@
 /**
- * Drives membership, instances, shards and budgets together by random
- * commands against the properties of spec/; transitions are named as there.
+ * Checks the properties of spec/ under random commands on membership,
+ * instances, shards and budgets. Commands are named as the transitions there.
  */
 import * as assert from 'node:assert/strict';
 import * as fc from 'fast-check';
@@ -10,17 +10,17 @@
 	createRegistration,
 	createSystem,
 	getNextStep,
-	getTruth,
+	getCommittedInstances,
 	ids,
 	isMoving,
-	prepare,
-	put,
+	prepareWrites,
+	createPut,
 	readInstance,
 	readLedgers,
 	readMembership,
 	servicesByPool,
 	startMove,
-	takeAway,
+	withdrawInstance,
 	type Guard,
 	type System,
 } from './spec-system.test.fixture.js';
@@ -34,7 +34,7 @@
 		const entry = system.entries[index]!;
 		if (!entry.isUp) {
 			Object.assign(entry, {isUp: true, revision: 0, rowVersion: 0});
-			entry.life += 1;
+			entry.incarnation += 1;
 		}
 	},
 	applyRevision(system: System, index: number, age: number) {
@@ -96,13 +96,14 @@
 		Object.assign(system.entries[index]!, {isUp: false, picks: []});
 	},
 	forgetEntry(system: System, index: number) {
-		const {isUp, life} = system.entries[index]!;
+		const {isUp, incarnation} = system.entries[index]!;
 		const name = `e${index}`;
 		const row = system.store.read<registration.Registration>(
 			tables.entry,
 			name,
 		);
-		const isOver = !isUp || row?.value.acknowledged.incarnation !== `${life}`;
+		const isOver =
+			!isUp || row?.value.acknowledged.incarnation !== `${incarnation}`;
 		if (row && isOver) {
 			system.store.commit(
 				core.registration.removeEntry(name, row.version, 'operator'),
@@ -112,7 +113,7 @@
 };
 
 const daemonActions = {
-	/** Any daemon may judge the holder to be gone, and be wrong. */
+	/** Any daemon may falsely consider the holder terminated. */
 	acquireShard({store, daemons}: System, index: number) {
 		const read = store.read<core.shardLease.ShardLease>(tables.shard, 's');
 		const acquired = core.shardLease.acquireShard('s', read, {
@@ -133,32 +134,36 @@
 	},
 	reserveAway(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
-		const taken = takeAway(system, ids[age % ids.length]!);
-		if (daemon.held && taken.ok) {
-			prepare(system, daemon, taken.value.writes);
+		const withdrawal = withdrawInstance(system, ids[age % ids.length]!);
+		if (daemon.held && withdrawal.ok) {
+			prepareWrites(system, daemon, withdrawal.value.writes);
 		}
 	},
 	startDrain(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
 		const writes = startMove(system, ids[age % ids.length]!);
 		if (daemon.held && writes) {
-			prepare(system, daemon, writes);
+			prepareWrites(system, daemon, writes);
 		}
 	},
 	finishDrain(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
 		const writes = getNextStep(system, ids[age % ids.length]!, daemon);
 		if (writes) {
-			prepare(system, daemon, writes);
+			prepareWrites(system, daemon, writes);
 		}
 	},
 	reboot(system: System, _index: number, age: number) {
 		const id = ids[age % ids.length]!;
-		const life = system.lives.get(id)!;
+		const incarnationState = system.incarnations.get(id)!;
 		const {state} = readInstance(system, id).value;
 		const isOff = state === 'away' || state === 'returning';
-		if (isOff && !isMoving(system, id) && life.now === life.taken) {
-			life.now += 1;
+		if (
+			isOff &&
+			!isMoving(system, id) &&
+			incarnationState.current === incarnationState.withdrawn
+		) {
+			incarnationState.current += 1;
 		}
 	},
 	startReturn(system: System, index: number, age: number) {
@@ -168,7 +173,7 @@
 		const next = core.transition.applyTransition(value, 'startReturn');
 		if (daemon.held && next.ok && !isMoving(system, id)) {
 			const {instances} = core.budget.tables;
-			prepare(system, daemon, [
+			prepareWrites(system, daemon, [
 				core.budget.createRowPut(instances, id, next.value, version),
 			]);
 		}
@@ -176,7 +181,7 @@
 	giveBack(system: System, index: number, age: number) {
 		const daemon = system.daemons[index]!;
 		const id = ids[age % ids.length]!;
-		const life = system.lives.get(id)!;
+		const incarnationState = system.incarnations.get(id)!;
 		const change = core.budget.returnInstance({
 			operationId: 'back',
 			instance: readInstance(system, id),
@@ -184,47 +189,51 @@
 			servicesByPool,
 			evidence: {
 				listed: 'live',
-				incarnationBefore: system.left === 'new-life' ? '0' : `${life.taken}`,
-				incarnation: `${life.now}`,
+				incarnationBefore:
+					system.left === 'new-life' ? '0' : `${incarnationState.withdrawn}`,
+				incarnation: `${incarnationState.current}`,
 				probesPassed: core.budget.returnDefaults.probesNeeded,
 			},
 			settings: core.budget.returnDefaults,
 		});
 		if (daemon.held && change.ok && !isMoving(system, id)) {
-			prepare(system, daemon, change.value.writes);
+			prepareWrites(system, daemon, change.value.writes);
 		}
 	},
 	commit(system: System, index: number, age: number) {
-		const {store, history, daemons, lives} = system;
+		const {store, history, daemons, incarnations} = system;
 		const daemon = daemons[index]!;
 		const {prepared, held} = daemon;
 		if (!prepared) {
 			return;
 		}
 
-		const counter = put(tables.counter, singleRowKey, history.length);
+		const counter = createPut(tables.counter, singleRowKey, history.length);
 		if (store.commit([...prepared.writes, counter])) {
 			const lease = store.read<core.shardLease.ShardLease>(tables.shard, 's')!;
 			assert.equal(lease.value.token, held!.token, 'writes_fenced');
-			const truth = new Map(getTruth(system));
+			const committed = new Map(getCommittedInstances(system));
 			for (const instance of prepared.instances) {
-				const before = truth.get(instance.id)!;
-				const isTaken = instance.state === 'draining';
+				const previous = committed.get(instance.id)!;
+				const isWithdrawn = instance.state === 'draining';
 				const isBack = instance.state === 'serving';
-				const isMoved = before.pool !== instance.pool;
-				const life = lives.get(instance.id)!;
+				const isMoved = previous.pool !== instance.pool;
+				const incarnationState = incarnations.get(instance.id)!;
 				const isByWave = !isMoving(system, instance.id);
-				life.taken = isTaken && isByWave ? life.now : life.taken;
-				life.taken = isMoved ? 0 : life.taken;
+				incarnationState.withdrawn =
+					isWithdrawn && isByWave
+						? incarnationState.current
+						: incarnationState.withdrawn;
+				incarnationState.withdrawn = isMoved ? 0 : incarnationState.withdrawn;
 				system.moved += isMoved ? 1 : 0;
 				system.returned += isBack && !isMoved ? 1 : 0;
-				truth.set(instance.id, instance);
+				committed.set(instance.id, instance);
 			}
 
-			history.push(truth);
+			history.push(committed);
 		}
 
-		// A lost reply: the daemon keeps its writes and sends them again.
+		// On a lost reply the daemon keeps its writes and sends them again.
 		daemon.prepared = age === 0 ? prepared : undefined;
 	},
 };
@@ -275,10 +284,10 @@
 
 const totals = {moved: 0, returned: 0};
 
-const runAll = (left: Guard | undefined, numRuns: number) =>
+const runAll = (omittedGuard: Guard | undefined, numRuns: number) =>
 	fc.check(
 		fc.property(commands, (list) => {
-			const system = createSystem(left);
+			const system = createSystem(omittedGuard);
 			fc.modelRun(() => ({model: {steps: 0}, real: system}), list);
 			totals.moved += system.moved;
 			totals.returned += system.returned;
@@ -286,7 +295,7 @@
 		{seed: 23, numRuns, endOnFailure: true},
 	);
 
-tap.t.test('the properties hold, whatever the order', async (t) => {
+tap.t.test('the properties hold for any order of commands', async (t) => {
 	const result = runAll(undefined, 2000);
 	t.notOk(result.failed, String(result.errorInstance));
 	t.ok(totals.moved > 0, `${totals.moved} moves`);
@@ -308,10 +317,10 @@
 	});
 }
 
-// Faults that the models found in the code, and that were mended:
-// docs/design/agreement-model.md, "Differences between the code and the models".
+// Cases from docs/design/agreement-model.md, "Differences between the code and
+// the models".
 tap.t.test(
-	'forget_after: bounds with one isolation time are not sound',
+	'forget_after: a bound with a single isolation time is unsafe',
 	async (t) => {
 		const settings = core.membershipStatus.membershipDefaults;
 		const {isolationMs, listLagMs, stallMarginMs} = settings;
@@ -323,7 +332,7 @@
 );
 
 tap.t.test(
-	'give_back_new_life: an unknown earlier life is no proof of a restart',
+	'give_back_new_life: an unknown earlier incarnation does not prove a restart',
 	async (t) => {
 		const evidence = {
 			listed: 'live',
--- a/packages/daemon/src/idempotency/group-writer.ts
+++ b/packages/daemon/src/idempotency/group-writer.ts
@@ -15,7 +15,7 @@
 import type {Clock, Randomness} from './ports.js';
 
 type KeyRow = core.idempotency.KeyRow;
-type When = core.idempotency.When;
+type When = core.idempotency.Precondition;
 type WriteResult = core.idempotency.WriteResult;
 
 /** Table of idempotency rows. */
@@ -204,9 +204,12 @@
 			state.queue.length > 0 &&
 			state.commitsInFlight < settings.maxCommits
 		) {
-			const {taken, left} = core.idempotency.takeGroup(state.queue, settings);
-			state.queue = [...left];
-			void send(taken);
+			const {selected, remaining} = core.idempotency.selectGroup(
+				state.queue,
+				settings,
+			);
+			state.queue = [...remaining];
+			void send(selected);
 		}
 	};
 
--- a/packages/daemon/src/limits/credit-limits.test.ts
+++ b/packages/daemon/src/limits/credit-limits.test.ts
@@ -124,7 +124,7 @@
 		},
 		now,
 		settings,
-		unresponsiveAfterMs: core.silence.defaultSilentAfterMs,
+		unresponsiveAfterMs: core.unresponsiveMembers.defaultUnresponsiveAfterMs,
 		listPeers: () => peers.filter((each) => each.member !== self),
 		getSlots: () => new Map([['quotes', new Map([['x', slots]])]]),
 		mayRoute: () => true,
@@ -228,7 +228,7 @@
 tap.t.test('the slots of a stopped entry pass to the others', async (t) => {
 	const {entries, counts} = await startFleet(t, ['e1', 'e2', 'e3']);
 	const stopped = entries.find(
-		({limits}) => limits.getGate('quotes').getLimits().home,
+		({limits}) => limits.getGate('quotes').getLimits().coordinator,
 	);
 	const remaining = entries.filter((each) => each !== stopped);
 	for (const entry of entries) {
--- a/packages/daemon/src/limits/credit-limits.ts
+++ b/packages/daemon/src/limits/credit-limits.ts
@@ -69,7 +69,7 @@
 export const createCreditLimits = (deps: CreditLimitsDeps): CreditLimits => {
 	const {self, channel, now, settings, unresponsiveAfterMs} = deps;
 	const gatesByPool = new Map<string, gates.PoolGate>();
-	const lastContactAt: core.silence.HeardAt = new Map();
+	const lastContactAt: core.unresponsiveMembers.LastContactAt = new Map();
 	const contacted = new Set<string>();
 	const ended = new Set<string>();
 	const leaving = new Set<string>();
@@ -160,7 +160,7 @@
 
 		const peers = listPeers().filter((each) => !ended.has(each.member));
 		const names = peers.map((each) => each.member);
-		const silent = core.silence.getSilentMembers(
+		const silent = core.unresponsiveMembers.getUnresponsiveMembers(
 			lastContactAt,
 			names,
 			now(),
@@ -182,7 +182,7 @@
 		for (const pool of new Set([...slots.keys(), ...gatesByPool.keys()])) {
 			getGate(pool).update({
 				listed,
-				silent,
+				unresponsive: silent,
 				leaving: new Set(leaving),
 				ended,
 				slots: slots.get(pool) ?? new Map<string, number>(),
--- a/packages/daemon/src/limits/pool-gate.ts
+++ b/packages/daemon/src/limits/pool-gate.ts
@@ -103,7 +103,7 @@
 		}
 
 		isProcessing = true;
-		const isCoordinator = borrower.home === self;
+		const isCoordinator = borrower.coordinator === self;
 		for (let round = 0; round < maxRounds; round++) {
 			admitWaiting();
 			avoidSaturated();
@@ -119,7 +119,7 @@
 
 		isProcessing = false;
 		// Without a coordinator there is no receiver; a new one calls `update`.
-		const mayReport = !isCoordinator && borrower.home !== undefined;
+		const mayReport = !isCoordinator && borrower.coordinator !== undefined;
 		if (mayReport && borrower.dirty && !isStopped) {
 			timer ??= setTimeout(flush, reportDelayMs);
 		}
--- a/packages/daemon/src/upstream/attempt.ts
+++ b/packages/daemon/src/upstream/attempt.ts
@@ -54,7 +54,7 @@
 	const sentAt = state.clock();
 	const check = () => {
 		const idleMs = state.clock() - Math.max(sentAt, connection.provedAt);
-		const limitMs = core.connectionSilence.getSilenceMs(
+		const limitMs = core.unresponsiveConnections.getUnresponsiveAfterMs(
 			state.serviceTime,
 			state.cfg.unresponsiveDetection,
 		);
--- a/packages/daemon/src/upstream/dispatcher.ts
+++ b/packages/daemon/src/upstream/dispatcher.ts
@@ -89,7 +89,7 @@
 /** Starts another attempt if the decision allows it; true if started. */
 const startIfAllowed = (
 	active: ActiveRequest,
-	decide: (facts: core.retry.RetryFacts) => core.retry.RetryDecision,
+	decide: (facts: core.retry.RetryContext) => core.retry.RetryDecision,
 ): boolean => {
 	const target = targets.acquireTarget(active.state, active.history);
 	const decision = decide(getRetryFacts(active, target));
@@ -113,7 +113,7 @@
 ): void => {
 	const {state} = active;
 	const {link} = attempt;
-	core.connectionSilence.recordServiceTime(
+	core.unresponsiveConnections.recordServiceTime(
 		state.serviceTime,
 		state.cfg.unresponsiveDetection,
 		state.clock() - attempt.startedAt,
--- a/packages/daemon/src/upstream/probe.ts
+++ b/packages/daemon/src/upstream/probe.ts
@@ -78,7 +78,7 @@
 		return;
 	}
 
-	const decision = core.connectionSilence.recordProbe(
+	const decision = core.unresponsiveConnections.recordProbe(
 		link.probeState,
 		result === 'answered',
 		link.unresponsiveAttempts > 0,
@@ -101,7 +101,7 @@
 	const {unresponsiveDetection} = state.cfg;
 	const now = state.clock();
 	if (
-		core.connectionSilence.recordSilence(
+		core.unresponsiveConnections.recordUnresponsive(
 			link.probeState,
 			unresponsiveDetection,
 			now,
@@ -136,7 +136,7 @@
 	const {unresponsiveDetection} = state.cfg;
 	for (const link of state.links.values()) {
 		if (
-			core.connectionSilence.startProbeIfDue(
+			core.unresponsiveConnections.startProbeIfDue(
 				link.probeState,
 				unresponsiveDetection,
 				now,
--- a/packages/daemon/src/upstream/state.ts
+++ b/packages/daemon/src/upstream/state.ts
@@ -8,7 +8,7 @@
 	readonly id: string;
 	readonly availabilityZone: string;
 	readonly pool: pools.ConnectionPool;
-	readonly probeState: core.connectionSilence.SilenceState;
+	readonly probeState: core.unresponsiveConnections.UnresponsiveState;
 	/** Attempts unresponsive since the last probe, without an answer. */
 	unresponsiveAttempts: number;
 };
@@ -26,7 +26,7 @@
 	readonly inFlight: Map<string, number>;
 	readonly health: core.health.PoolHealth;
 	readonly budget: core.retryBudget.RetryBudget;
-	readonly serviceTime: core.connectionSilence.ServiceTime;
+	readonly serviceTime: core.unresponsiveConnections.ServiceTime;
 	readonly stats: UpstreamStats;
 };
 
@@ -60,7 +60,7 @@
 		pool: pools.createPool(address, cfg, clock, () => {
 			onLost(link);
 		}),
-		probeState: core.connectionSilence.createSilenceState(),
+		probeState: core.unresponsiveConnections.createUnresponsiveState(),
 		unresponsiveAttempts: 0,
 	};
 	return link;
--- a/packages/daemon/src/upstream/types.ts
+++ b/packages/daemon/src/upstream/types.ts
@@ -49,7 +49,7 @@
 	readonly health: core.healthConfig.HealthConfig;
 	readonly retryBudget: core.retryBudget.RetryBudgetConfig;
 	readonly reuse: core.connectionReuse.ReuseConfig;
-	readonly unresponsiveDetection: core.connectionSilence.SilenceConfig;
+	readonly unresponsiveDetection: core.unresponsiveConnections.UnresponsiveConfig;
 	/** Most attempts of one request that sent bytes, including hedges. */
 	readonly maxAttempts: number;
 	/** Most further attempts of one request that sent no byte. */
@@ -73,7 +73,7 @@
 	health: core.healthConfig.defaultHealthConfig,
 	retryBudget: core.retryBudget.defaultRetryBudgetConfig,
 	reuse: core.connectionReuse.defaultReuseConfig,
-	unresponsiveDetection: core.connectionSilence.defaultSilenceConfig,
+	unresponsiveDetection: core.unresponsiveConnections.defaultUnresponsiveConfig,
 	maxAttempts: 3,
 	maxUnsentAttempts: 8,
 	connectTimeoutMs: 500,
