--- a/packages/bench/src/benches/at-most-once.test.ts
+++ b/packages/bench/src/benches/at-most-once.test.ts
@@ -1,6 +1,10 @@
 import * as tap from 'tap';
 import {countBroken} from './at-most-once.js';
-import {judge, type Told, type Verdict} from './at-most-once/judge.js';
+import {
+	checkLog,
+	type SendResult,
+	type Verdict,
+} from './at-most-once/log-checker.js';
 import type {Run} from './at-most-once/executor.js';
 import type {VariantName} from './at-most-once/variants.js';
 
@@ -42,9 +46,9 @@
 const told = (
 	sending: number,
 	at: number,
-	outcome: Told['outcome'],
-	changes: Partial<Told> = {},
-): Told => ({
+	outcome: SendResult['outcome'],
+	changes: Partial<SendResult> = {},
+): SendResult => ({
 	sending,
 	key: 'k',
 	body: 'b',
@@ -57,7 +61,7 @@
 	...changes,
 });
 
-const table: Array<[string, Run[], Told[], Partial<Verdict>]> = [
+const table: Array<[string, Run[], SendResult[], Partial<Verdict>]> = [
 	['nothing', [], [], {}],
 	['told ran', [run(1, 5)], [told(1, 9, 'ran', {answer: 'answer 1'})], {}],
 	[
@@ -119,7 +123,7 @@
 
 for (const [name, log, replies, expected] of table) {
 	tap.t.test(`judged: ${name}`, async (t) => {
-		const verdict = judge(log, replies, 100);
+		const verdict = checkLog(log, replies, 100);
 		const broken = Object.fromEntries(
 			Object.entries(verdict).filter(([, count]) => count > 0),
 		);
--- a/packages/bench/src/benches/at-most-once.ts
+++ b/packages/bench/src/benches/at-most-once.ts
@@ -12,7 +12,11 @@
 	Figures,
 } from '../frame/types.js';
 import {type ExecutorKind, executorKinds} from './at-most-once/executor.js';
-import {type Verdict, addVerdicts, emptyVerdict} from './at-most-once/judge.js';
+import {
+	type Verdict,
+	addVerdicts,
+	emptyVerdict,
+} from './at-most-once/log-checker.js';
 import {noGroup, runLoad} from './at-most-once/load.js';
 import type {RunReport} from './at-most-once/scenarios.js';
 import * as scenarios from './at-most-once/scenarios.js';
@@ -55,7 +59,7 @@
 	sum.runs++;
 	sum.openAtEnd += run.openAtEnd;
 	sum.unknownNotRun += run.unknownNotRun;
-	sum.keys += run.lastTold.length;
+	sum.keys += run.lastResults.length;
 	sum.longestMs = Math.max(sum.longestMs, run.longestMs);
 };
 
--- a/packages/bench/src/benches/at-most-once/executor.ts
+++ b/packages/bench/src/benches/at-most-once/executor.ts
@@ -1,7 +1,7 @@
 /** The executor of the bench; its log of what ran is the judge's evidence. */
 import {Buffer} from 'node:buffer';
 import type * as core from '@gullstand/core';
-import {type Life, type StepContext, passStep} from './steps.js';
+import {type EntryProcess, type StepContext, passStep} from './steps.js';
 
 type RunResult = core.idempotency.RunResult;
 
@@ -57,7 +57,7 @@
 /** Meets one request; `log` gets a line whenever it really runs. */
 export const dispatchJob = async (
 	context: StepContext,
-	life: Life,
+	life: EntryProcess,
 	log: Run[],
 	job: Job,
 ): Promise<RunResult> => {
--- a/packages/bench/src/benches/at-most-once/load.ts
+++ b/packages/bench/src/benches/at-most-once/load.ts
@@ -2,9 +2,9 @@
 import * as daemon from '@gullstand/daemon';
 import {createRandom, drawBelow, drawExponential} from '../../frame/random.js';
 import type {Figures} from '../../frame/types.js';
-import {type CallKind, quietPlan} from './steps.js';
+import {type CallKind, noFaultPlan} from './steps.js';
 import {variants} from './variants.js';
-import {createWorld} from './world.js';
+import {createSimulation} from './simulation.js';
 
 const entryCount = 9;
 const repeatShare = 0.05;
@@ -37,13 +37,13 @@
 	const {seed, requestsPerSecond, seconds, group} = options;
 	const random = createRandom(seed);
 	const calls: Record<CallKind, number> = {read: 0, commit: 0, put: 0, get: 0};
-	const world = createWorld({
+	const world = createSimulation({
 		entries: entryCount,
 		random,
 		variant: variants.correct,
 		groupSettings: group,
 		plan: {
-			...quietPlan,
+			...noFaultPlan,
 			getFault(_call, kind) {
 				calls[kind]++;
 				return 'none';
--- a/packages/bench/src/benches/at-most-once/judge.ts
+++ b/packages/bench/src/benches/at-most-once/log-checker.ts
@@ -3,7 +3,7 @@
 import type {Run} from './executor.js';
 
 /** What one sending of a request was told; no reply if its entry died. */
-export type Told = {
+export type SendResult = {
 	readonly sending: number;
 	readonly key: string;
 	readonly body: string;
@@ -55,7 +55,7 @@
 ): number => items.filter((item) => isCounted(item)).length;
 
 /** True if a reply speaks of a request that the key was not used for. */
-const isOfAnother = (told: Told): boolean => told.error === 'key-reused';
+const isOfAnother = (told: SendResult): boolean => told.error === 'key-reused';
 
 /** True if a key ran twice before it could have expired. */
 const hasRunTwice = (runs: readonly Run[], retentionMs: number): boolean =>
@@ -65,9 +65,9 @@
 	});
 
 /** Judges one run of a scenario. Runs stand in the log in order of time. */
-export const judge = (
+export const checkLog = (
 	log: readonly Run[],
-	told: readonly Told[],
+	told: readonly SendResult[],
 	retentionMs: number,
 ): Verdict => {
 	const runsOf = new Map<string, Run[]>();
@@ -75,12 +75,12 @@
 		runsOf.set(run.key, [...(runsOf.get(run.key) ?? []), run]);
 	}
 
-	const hasRunBy = ({key, decidedAt}: Told) =>
+	const hasRunBy = ({key, decidedAt}: SendResult) =>
 		runsOf.get(key)?.some((run) => run.at <= decidedAt) ?? false;
 	const ranSendings = new Set(log.map(({sending}) => sending));
 	const notRun = told.filter(({outcome}) => outcome === 'not-run');
 	const late = notRun.filter((each) => !isOfAnother(each) && hasRunBy(each));
-	const isWrong = (each: Told) =>
+	const isWrong = (each: SendResult) =>
 		each.outcome === 'ran' &&
 		!(runsOf.get(each.key) ?? []).some(
 			({answer}) => each.answer === undefined || each.answer === answer,
--- a/packages/bench/src/benches/at-most-once/scenarios.ts
+++ b/packages/bench/src/benches/at-most-once/scenarios.ts
@@ -2,10 +2,10 @@
 import * as core from '@gullstand/core';
 import {type Random, createRandom, drawBelow} from '../../frame/random.js';
 import {type ExecutorKind, executorKinds} from './executor.js';
-import {type Told, type Verdict, judge} from './judge.js';
-import {type CallFault, type Plan, callFaults, quietPlan} from './steps.js';
+import {type SendResult, type Verdict, checkLog} from './log-checker.js';
+import {type CallFault, type Plan, callFaults, noFaultPlan} from './steps.js';
 import type {Variant} from './variants.js';
-import {type Sending, type World, createWorld} from './world.js';
+import {type Sending, type Simulation, createSimulation} from './simulation.js';
 
 /** What one run of a scenario showed. */
 export type RunReport = {
@@ -15,7 +15,7 @@
 	/** Attempts still open at the end on living entries. */
 	readonly openAtEnd: number;
 	/** What each key's last sending was told, long after all faults. */
-	readonly lastTold: readonly Told[];
+	readonly lastResults: readonly SendResult[];
 	/** Of those told `unknown` at the end, keys that never ran. */
 	readonly unknownNotRun: number;
 	readonly longestMs: number;
@@ -27,21 +27,21 @@
 const deadlineMs = 3000;
 
 const report = (
-	world: World,
-	lastTold: readonly Told[],
+	world: Simulation,
+	lastTold: readonly SendResult[],
 	{retentionMs}: core.idempotency.Settings,
 ): RunReport => {
 	const ran = new Set(world.log.map(({key}) => key));
-	const isNeedless = ({key, outcome}: Told) =>
+	const isNeedless = ({key, outcome}: SendResult) =>
 		outcome === 'unknown' && !ran.has(key);
 	return {
-		verdict: judge(world.log, world.told, retentionMs),
+		verdict: checkLog(world.log, world.results, retentionMs),
 		steps: world.counts.steps,
 		calls: world.counts.calls,
 		openAtEnd: world.getOpenCount(),
-		lastTold,
+		lastResults: lastTold,
 		unknownNotRun: lastTold.filter((each) => isNeedless(each)).length,
-		longestMs: Math.max(...world.told.map(({tookMs}) => tookMs)),
+		longestMs: Math.max(...world.results.map(({tookMs}) => tookMs)),
 	};
 };
 
@@ -63,7 +63,7 @@
 	settings = core.idempotency.defaultSettings,
 ): Promise<RunReport> => {
 	const random = createRandom(1);
-	const world = createWorld({entries: 3, plan, random, variant, settings});
+	const world = createSimulation({entries: 3, plan, random, variant, settings});
 	const told = repeats.map(async ([entry, at], index) =>
 		world.send({
 			key: 'k',
@@ -145,7 +145,7 @@
 ): Promise<void> => {
 	const {variant, executors, onRun} = options;
 	for (const executor of executors) {
-		const quiet = await runRepeats(quietPlan, executor, variant);
+		const quiet = await runRepeats(noFaultPlan, executor, variant);
 		for (const forMs of pausesMs) {
 			for (let at = 0; at < quiet.steps; at++) {
 				const plan = createPlan([], noKill, {at, forMs});
@@ -210,7 +210,7 @@
 		: (executorKinds[drawBelow(random, executorKinds.length)] ?? 'answers');
 
 /** A caller that sends to one or two entries and repeats what is not final. */
-const runCaller = async (world: World, key: string, random: Random) => {
+const runCaller = async (world: Simulation, key: string, random: Random) => {
 	const send = async (sending: Partial<Sending>) =>
 		world.send({
 			key,
@@ -248,7 +248,7 @@
 	};
 	const plan = createRandomPlan(random);
 	const isCalm = (now: number) => now >= faultsUntil;
-	const world: World = createWorld({
+	const world: Simulation = createSimulation({
 		entries: entryCount,
 		random,
 		variant,
@@ -282,10 +282,10 @@
 export const runOutage = async (
 	fault: CallFault,
 	variant: Variant,
-): Promise<readonly Told[]> => {
-	const world = createWorld({
+): Promise<readonly SendResult[]> => {
+	const world = createSimulation({
 		entries: entryCount,
-		plan: {...quietPlan, getFault: () => fault},
+		plan: {...noFaultPlan, getFault: () => fault},
 		random: createRandom(1),
 		variant,
 	});
--- a/packages/bench/src/benches/at-most-once/world.ts
+++ b/packages/bench/src/benches/at-most-once/simulation.ts
@@ -6,8 +6,8 @@
 import * as standIn from '@gullstand/stand-in';
 import type {Random} from '../../frame/random.js';
 import {type ExecutorKind, type Run, dispatchJob} from './executor.js';
-import type {Told} from './judge.js';
-import type {Life, Plan, StepContext} from './steps.js';
+import type {SendResult} from './log-checker.js';
+import type {EntryProcess, Plan, StepContext} from './steps.js';
 import * as steps from './steps.js';
 import type {Variant} from './variants.js';
 
@@ -22,7 +22,7 @@
 const startDate = 1_000_000_000;
 
 /** What a run is made of. */
-export type WorldOptions = {
+export type SimulationOptions = {
 	readonly entries: number;
 	readonly plan: Plan;
 	readonly random: Random;
@@ -42,15 +42,15 @@
 };
 
 /** A run of entries and callers. */
-export type World = {
+export type Simulation = {
 	readonly clock: standIn.VirtualClock;
 	readonly counts: steps.StepCounts;
 	readonly log: readonly Run[];
-	readonly told: readonly Told[];
+	readonly results: readonly SendResult[];
 	/** Times from the arrival of a request to its dispatch. */
 	readonly dispatchDelaysMs: readonly number[];
 	/** Plans a sending; the promise ends with what the caller was told. */
-	readonly send: (sending: Sending) => Promise<Told>;
+	readonly send: (sending: Sending) => Promise<SendResult>;
 	/** Attempts that are open on entries that live. */
 	readonly getOpenCount: () => number;
 	/** Transactions sent by all lives. */
@@ -63,11 +63,11 @@
 	readonly decidedAt: number;
 };
 
-type Entry = {life: Life; keeper: daemon.idempotency.Keeper};
+type Entry = {life: EntryProcess; keeper: daemon.idempotency.Keeper};
 
 const readTold = (
 	reply: core.idempotency.Reply | undefined,
-): Pick<Told, 'outcome' | 'error' | 'answer'> => {
+): Pick<SendResult, 'outcome' | 'error' | 'answer'> => {
 	if (reply === undefined) {
 		return {outcome: 'none', error: undefined, answer: undefined};
 	}
@@ -82,14 +82,14 @@
 };
 
 /** Makes a world at time 0. */
-export const createWorld = (options: WorldOptions): World => {
+export const createSimulation = (options: SimulationOptions): Simulation => {
 	const {plan, random, variant} = options;
 	const clock = standIn.createVirtualClock();
 	const tables = platform.createMemoryTableService();
 	const objects = platform.createMemoryObjectStore();
 	const counts: steps.StepCounts = {steps: 0, calls: 0};
 	const log: Run[] = [];
-	const told: Told[] = [];
+	const told: SendResult[] = [];
 	const dispatchDelaysMs: number[] = [];
 	const entries: Entry[] = [];
 	const keepers: daemon.idempotency.Keeper[] = [];
@@ -112,11 +112,15 @@
 	);
 
 	const startEntry = (entry: number): Entry => {
-		const life: Life = {entry, incarnation: `life-${++ids}`, isAlive: true};
-		const lifeTables = steps.createLifeTables(context, life, tables);
+		const life: EntryProcess = {
+			entry,
+			incarnation: `life-${++ids}`,
+			isAlive: true,
+		};
+		const lifeTables = steps.createFaultyTables(context, life, tables);
 		const keeper = daemon.idempotency.createKeeper({
 			tables: variant.wrapTables(lifeTables),
-			objects: steps.createLifeObjects(context, life, objects),
+			objects: steps.createFaultyObjects(context, life, objects),
 			clock: {
 				getTime: () => ({
 					now: clock.getNow(),
@@ -144,7 +148,7 @@
 	const ask = async (sending: Sending, id: number): Promise<Given> => {
 		const entry = entries[sending.entry];
 		if (!entry?.life.isAlive) {
-			return steps.never();
+			return steps.waitForever();
 		}
 
 		const {life, keeper} = entry;
@@ -169,7 +173,7 @@
 		return {reply, decidedAt};
 	};
 
-	const send = async (sending: Sending): Promise<Told> => {
+	const send = async (sending: Sending): Promise<SendResult> => {
 		const id = ++ids;
 		const {key, body} = sending;
 		await clock.wait(sending.at - clock.getNow());
@@ -203,7 +207,7 @@
 		clock,
 		counts,
 		log,
-		told,
+		results: told,
 		dispatchDelaysMs,
 		send,
 		getOpenCount: () =>
--- a/packages/bench/src/benches/at-most-once/steps.ts
+++ b/packages/bench/src/benches/at-most-once/steps.ts
@@ -7,7 +7,7 @@
 import type * as standIn from '@gullstand/stand-in';
 
 /** One life of an entry's process. */
-export type Life = {
+export type EntryProcess = {
 	readonly entry: number;
 	readonly incarnation: string;
 	isAlive: boolean;
@@ -42,7 +42,7 @@
 };
 
 /** A plan in which nothing goes wrong. */
-export const quietPlan: Plan = {
+export const noFaultPlan: Plan = {
 	getFault: () => 'none',
 	isKilledAt: () => false,
 	getPauseMs: () => 0,
@@ -62,11 +62,11 @@
 	readonly clock: standIn.VirtualClock;
 	readonly plan: Plan;
 	readonly counts: StepCounts;
-	readonly onKill: (life: Life) => void;
+	readonly onKill: (life: EntryProcess) => void;
 };
 
 /** What a killed process waits for. */
-export const never = async <Value>(): Promise<Value> =>
+export const waitForever = async <Value>(): Promise<Value> =>
 	new Promise<Value>(() => {
 		// Never settles.
 	});
@@ -74,7 +74,7 @@
 /** Passes one step; a process that is killed there goes no further. */
 export const passStep = async (
 	context: StepContext,
-	life: Life,
+	life: EntryProcess,
 ): Promise<void> => {
 	if (life.isAlive) {
 		const step = context.counts.steps++;
@@ -90,7 +90,7 @@
 	}
 
 	if (!life.isAlive) {
-		await never();
+		await waitForever();
 	}
 };
 
@@ -141,7 +141,7 @@
 
 const callStore = async <Value, Err>(
 	context: StepContext,
-	life: Life,
+	life: EntryProcess,
 	kind: CallKind,
 	run: () => Promise<core.Result<Value, Err>>,
 ): Promise<core.Result<Value, Err | Failure>> => {
@@ -154,9 +154,9 @@
 };
 
 /** The table service as one life reaches it. */
-export const createLifeTables = (
+export const createFaultyTables = (
 	context: StepContext,
-	life: Life,
+	life: EntryProcess,
 	inner: TableService,
 ): TableService => ({
 	get: async (table, key) =>
@@ -170,9 +170,9 @@
 });
 
 /** The object store as one life reaches it. */
-export const createLifeObjects = (
+export const createFaultyObjects = (
 	context: StepContext,
-	life: Life,
+	life: EntryProcess,
 	inner: ObjectStore,
 ): ObjectStore => ({
 	get: async (name) =>
--- a/packages/bench/src/benches/faults/executor-worker.ts
+++ b/packages/bench/src/benches/faults/executor-worker.ts
@@ -2,7 +2,7 @@
 import {parentPort, workerData} from 'node:worker_threads';
 import {executor} from '@gullstand/stand-in';
 import {createRandom, drawLogNormal} from '../../frame/random.js';
-import {heal, phases} from './phases.js';
+import {clearFaults, phases} from './phases.js';
 import type {
 	ExecutorReport,
 	FleetAnswer,
@@ -44,7 +44,7 @@
 		}
 
 		case 'heal': {
-			await heal(executors);
+			await clearFaults(executors);
 			break;
 		}
 
--- a/packages/bench/src/benches/faults/load.ts
+++ b/packages/bench/src/benches/faults/load.ts
@@ -123,7 +123,7 @@
 };
 
 /** Settings of one stretch of load. */
-export type Stretch = {
+export type LoadPhase = {
 	readonly phase: string;
 	readonly ratePerSecond: number;
 	readonly durationMs: number;
@@ -135,7 +135,7 @@
  */
 export const runLoad = async (
 	entries: readonly Entry[],
-	{phase, ratePerSecond, durationMs}: Stretch,
+	{phase, ratePerSecond, durationMs}: LoadPhase,
 	draw: random.Random,
 ): Promise<Sample[]> => {
 	const pending: Array<Promise<Sample>> = [];
--- a/packages/bench/src/benches/faults/phases.ts
+++ b/packages/bench/src/benches/faults/phases.ts
@@ -67,5 +67,5 @@
 ];
 
 /** Ends every fault. */
-export const heal: Phase['apply'] = async (executors) =>
+export const clearFaults: Phase['apply'] = async (executors) =>
 	set(executors, {kind: 'none'});
--- a/packages/bench/src/benches/invariants.ts
+++ b/packages/bench/src/benches/invariants.ts
@@ -1,9 +1,9 @@
 /** What must always hold, judged by outside records: issue 6, "Judges". */
 import {check} from '../frame/check.js';
 import type {Bench, Figures} from '../frame/types.js';
-import {inForceBoundMs} from '../judges/change-judges.js';
-import {judgedProperties} from '../judges/judges.js';
-import type {Records, Verdict} from '../judges/records.js';
+import {inForceBoundMs} from '../checkers/change-checkers.js';
+import {checkedProperties} from '../checkers/checkers.js';
+import type {Records, Verdict} from '../checkers/records.js';
 import {runCallers, type Load} from './invariants/callers.js';
 import {startEntry} from './invariants/entries.js';
 import {
@@ -11,7 +11,10 @@
 	runFaultPair,
 	type FaultPair,
 } from './invariants/fault-pairs.js';
-import {closeWorld, createWorld} from './invariants/world.js';
+import {
+	closeTestEnvironment,
+	createTestEnvironment,
+} from './invariants/test-environment.js';
 
 const entries = 3;
 
@@ -27,7 +30,7 @@
 	seed: number,
 	lengthMs: number,
 ): Promise<Records> => {
-	const world = await createWorld(seed);
+	const world = await createTestEnvironment(seed);
 	for (let slot = 0; slot < entries; slot += 1) {
 		await startEntry(world, slot, `e${slot + 1}`);
 	}
@@ -36,7 +39,7 @@
 	const callers = runCallers(world, load);
 	await runFaultPair(pair, world, load, lengthMs);
 	await callers;
-	await closeWorld(world);
+	await closeTestEnvironment(world);
 	const {acceptances} = world.recorder;
 	// A lost reply can make an older change's answer come after a newer one's.
 	return {
@@ -53,10 +56,10 @@
 };
 
 const judgeAll = (all: readonly Records[]): readonly Row[] =>
-	judgedProperties.map(({property, judge, reads}) => ({
+	checkedProperties.map(({property, checkRecords, reads}) => ({
 		property,
 		reads,
-		verdicts: all.map((records) => judge(records)),
+		verdicts: all.map((records) => checkRecords(records)),
 	}));
 
 const sum = (numbers: readonly number[]): number =>
--- a/packages/bench/src/benches/invariants/callers.ts
+++ b/packages/bench/src/benches/invariants/callers.ts
@@ -7,7 +7,12 @@
 import {drawBelow} from '../../frame/random.js';
 import {answerBytes} from './executor.js';
 import {now} from './recorder.js';
-import {callerToken, getProbeToken, type Entry, type World} from './world.js';
+import {
+	callerToken,
+	getProbeToken,
+	type Entry,
+	type TestEnvironment,
+} from './test-environment.js';
 
 /** Load runs until it is stopped. */
 export type Load = {isStopped: boolean};
@@ -43,7 +48,7 @@
 
 /** Sends one request and records the answer; undefined without an answer. */
 const send = async (
-	{recorder}: World,
+	{recorder}: TestEnvironment,
 	entry: Entry,
 	{service, requestId, key, body, deadlineMs}: Call,
 ): Promise<core.Outcome | undefined> => {
@@ -85,7 +90,7 @@
 };
 
 const runQuotes = async (
-	world: World,
+	world: TestEnvironment,
 	load: Load,
 	slot: number,
 	id: string,
@@ -103,7 +108,7 @@
 };
 
 /** Bursts with short deadlines, more than is answered in time. */
-const runBursts = async (world: World, load: Load, slot: number) => {
+const runBursts = async (world: TestEnvironment, load: Load, slot: number) => {
 	for (let count = 0; !load.isStopped; count += 1) {
 		await wait(burstPauseMs);
 		const entry = world.slots[slot];
@@ -117,13 +122,13 @@
 	}
 };
 
-const pickEntry = ({slots, random}: World): Entry | undefined => {
+const pickEntry = ({slots, random}: TestEnvironment): Entry | undefined => {
 	const reachable = slots.filter((each) => each !== undefined);
 	return reachable[drawBelow(random, reachable.length)];
 };
 
 /** One claim, until it ran; each repeat goes to any entry. */
-const runClaim = async (world: World, load: Load, key: string) => {
+const runClaim = async (world: TestEnvironment, load: Load, key: string) => {
 	const body = `body of ${key}`;
 	const sendOnce = async (requestId: string) => {
 		const entry = pickEntry(world);
@@ -147,7 +152,7 @@
 	}
 };
 
-const runClaims = async (world: World, load: Load, id: string) => {
+const runClaims = async (world: TestEnvironment, load: Load, id: string) => {
 	for (let count = 0; !load.isStopped; count += 1) {
 		await runClaim(world, load, `${id}-${count}`);
 		await wait(pauseMs);
@@ -177,7 +182,7 @@
 };
 
 type ProbeWay = {
-	readonly world: World;
+	readonly world: TestEnvironment;
 	readonly entry: Entry;
 	readonly id: string;
 };
@@ -210,7 +215,7 @@
 	return lower && lower.change < last ? lower : found;
 };
 
-const runProbes = async (world: World, load: Load, slot: number) => {
+const runProbes = async (world: TestEnvironment, load: Load, slot: number) => {
 	const lasts = new Map<string, number>();
 	for (let count = 0; !load.isStopped; count += 1) {
 		const entry = world.slots[slot];
@@ -227,7 +232,10 @@
 };
 
 /** Starts the callers of all slots; resolves when they have stopped. */
-export const runCallers = async (world: World, load: Load): Promise<void> => {
+export const runCallers = async (
+	world: TestEnvironment,
+	load: Load,
+): Promise<void> => {
 	const callers = world.slots.flatMap((_, slot) => [
 		runQuotes(world, load, slot, `quote-${slot}`),
 		runClaims(world, load, `claim-${slot}`),
--- a/packages/bench/src/benches/invariants/entries.ts
+++ b/packages/bench/src/benches/invariants/entries.ts
@@ -6,11 +6,11 @@
 import * as platform from '@gullstand/ports';
 import {Agent} from 'undici';
 import {now} from './recorder.js';
-import type {Cut, World} from './world.js';
+import type {StoreLink, TestEnvironment} from './test-environment.js';
 
 const createCutTable = (
 	inner: platform.TableService,
-	cut: Readonly<Cut>,
+	cut: Readonly<StoreLink>,
 ): platform.TableService => {
 	const call = async <Value>(action: () => Promise<Value>) => {
 		const heldMs = cut.heldUntil - now();
@@ -42,7 +42,7 @@
 
 /** Starts an entry in a slot and lists it. */
 export const startEntry = async (
-	world: World,
+	world: TestEnvironment,
 	slot: number,
 	id: string,
 ): Promise<void> => {
@@ -52,11 +52,14 @@
 		entry: {...base.entry, id},
 		peers: {address: '127.0.0.1', port: 0, keyHex: 'ab'.repeat(32)},
 	};
-	const cut: Cut = {isCut: false, heldUntil: 0};
+	const storeLink: StoreLink = {isCut: false, heldUntil: 0};
 	const created = daemon.createDaemon({
 		settings,
 		platform: {
-			table: createGuardedTable(createCutTable(world.table, cut), usualEntries),
+			table: createGuardedTable(
+				createCutTable(world.table, storeLink),
+				usualEntries,
+			),
 			objects: world.objects,
 			list: world.list,
 			workers: world.workers,
@@ -64,7 +67,7 @@
 		logger: daemon.createLogger(settings.log, id, new PassThrough().resume()),
 		now: () => now() + world.clock.aheadMs,
 	});
-	const entry = {id, daemon: created, agent: new Agent(), cut};
+	const entry = {id, daemon: created, agent: new Agent(), storeLink};
 	world.started.push(entry);
 	await created.start((err) => {
 		throw err;
@@ -81,7 +84,10 @@
 };
 
 /** Stops an entry as an operator does. */
-export const stopEntry = async (world: World, slot: number): Promise<void> => {
+export const stopEntry = async (
+	world: TestEnvironment,
+	slot: number,
+): Promise<void> => {
 	const entry = world.slots[slot];
 	if (entry) {
 		world.slots[slot] = undefined;
@@ -96,11 +102,14 @@
  * An entry is gone for the store, its peers, the list and its callers; what it
  * has sent to executors goes on.
  */
-export const killEntry = async (world: World, slot: number): Promise<void> => {
+export const killEntry = async (
+	world: TestEnvironment,
+	slot: number,
+): Promise<void> => {
 	const entry = world.slots[slot];
 	if (entry) {
 		world.slots[slot] = undefined;
-		entry.cut.isCut = true;
+		entry.storeLink.isCut = true;
 		world.list.remove(entry.id);
 		await entry.agent.destroy();
 		await entry.daemon.agreement.peers.stop(now());
--- a/packages/bench/src/benches/invariants/fault-pairs.ts
+++ b/packages/bench/src/benches/invariants/fault-pairs.ts
@@ -4,20 +4,28 @@
 import {killEntry, startEntry, stopEntry} from './entries.js';
 import {runContractChanges, runMoves, startWave} from './operators.js';
 import {now} from './recorder.js';
-import {showExecutor, type World} from './world.js';
+import {setListedState, type TestEnvironment} from './test-environment.js';
 
 /** Two faults that come together; times in milliseconds. */
 export type FaultPair = {
 	readonly name: string;
 	/** Operators that race for the contract. */
 	readonly operators: number;
-	readonly run: (world: World, load: Load, lengthMs: number) => Promise<void>;
+	readonly run: (
+		world: TestEnvironment,
+		load: Load,
+		lengthMs: number,
+	) => Promise<void>;
 };
 
 /** Longer than a lease. */
 const pausedMs = 6500;
 
-const outageDuringWave = async (world: World, load: Load, lengthMs: number) => {
+const outageDuringWave = async (
+	world: TestEnvironment,
+	load: Load,
+	lengthMs: number,
+) => {
 	await startWave(world, load, 'quote');
 	await wait(0.15 * lengthMs);
 	world.faults.set({isDown: true});
@@ -26,14 +34,14 @@
 	await wait(0.5 * lengthMs);
 };
 
-const loseZone = (world: World, availabilityZone: string) => {
+const loseZone = (world: TestEnvironment, availabilityZone: string) => {
 	const lost = world.executors.filter(
 		(each) => each.availabilityZone === availabilityZone,
 	);
 	for (const executor of lost) {
 		const {id: instance} = executor;
 		world.recorder.losses.push({at: now(), instance, isLost: true});
-		showExecutor(world, executor, 'leaving');
+		setListedState(world, executor, 'leaving');
 		executor.stop(false);
 	}
 
@@ -42,13 +50,13 @@
 			const {id: instance} = executor;
 			await executor.listen();
 			world.recorder.losses.push({at: now(), instance, isLost: false});
-			showExecutor(world, executor, 'live');
+			setListedState(world, executor, 'live');
 		}
 	};
 };
 
 const silenceDuringLoss = async (
-	world: World,
+	world: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ) => {
@@ -68,7 +76,7 @@
 };
 
 const replaceDuringChange = async (
-	world: World,
+	world: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ) => {
@@ -86,14 +94,18 @@
 };
 
 /** What an entry has decided reaches the store after its lease is over. */
-const pauseWrites = ({slots}: World, slot: number) => {
+const pauseWrites = ({slots}: TestEnvironment, slot: number) => {
 	const entry = slots[slot];
 	if (entry) {
-		entry.cut.heldUntil = now() + pausedMs;
+		entry.storeLink.heldUntil = now() + pausedMs;
 	}
 };
 
-const loseReplies = async (world: World, load: Load, lengthMs: number) => {
+const loseReplies = async (
+	world: TestEnvironment,
+	load: Load,
+	lengthMs: number,
+) => {
 	world.faults.set({replyLostShare: 0.05, requestLostShare: 0.02});
 	const moves = runMoves(world, load);
 	const wave = startWave(world, load, 'quote');
@@ -109,7 +121,11 @@
 	await Promise.all([moves, wave]);
 };
 
-const killDuringClaims = async (world: World, load: Load, lengthMs: number) => {
+const killDuringClaims = async (
+	world: TestEnvironment,
+	load: Load,
+	lengthMs: number,
+) => {
 	await startWave(world, load, 'claims');
 	await wait(0.3 * lengthMs);
 	await killEntry(world, 1);
@@ -150,7 +166,7 @@
 /** Runs one pair with its operators until the time is over. */
 export const runFaultPair = async (
 	pair: FaultPair,
-	world: World,
+	world: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ): Promise<void> => {
--- a/packages/bench/src/benches/invariants/operators.ts
+++ b/packages/bench/src/benches/invariants/operators.ts
@@ -5,7 +5,7 @@
 import {drawBelow} from '../../frame/random.js';
 import type {Load} from './callers.js';
 import {now} from './recorder.js';
-import {createProbeContract, type World} from './world.js';
+import {createProbeContract, type TestEnvironment} from './test-environment.js';
 
 type OperatorCall = {
 	readonly method: 'GET' | 'PUT' | 'POST';
@@ -29,7 +29,7 @@
 
 /** Asks any entry; undefined if it cannot be reached. */
 const ask = async (
-	{slots, random}: World,
+	{slots, random}: TestEnvironment,
 	{method, path, body, etag}: OperatorCall,
 ): Promise<OperatorAnswer | undefined> => {
 	const reachable = slots.filter((each) => each !== undefined);
@@ -67,7 +67,7 @@
  * One change of the probe customer's contract. Its number is drawn after the
  * version that it replaces was read, so that numbers grow as commits do.
  */
-const changeContract = async (world: World) => {
+const changeContract = async (world: TestEnvironment) => {
 	const read = await ask(world, {method: 'GET', path: probeContract});
 	if (read?.etag === undefined) {
 		return;
@@ -88,7 +88,7 @@
 
 /** Changes the contract again and again; several of these race. */
 export const runContractChanges = async (
-	world: World,
+	world: TestEnvironment,
 	load: Load,
 ): Promise<void> => {
 	while (!load.isStopped) {
@@ -103,7 +103,7 @@
 
 /** Plans and starts a wave, again until both are done. */
 export const startWave = async (
-	world: World,
+	world: TestEnvironment,
 	load: Load,
 	pool: string,
 ): Promise<void> => {
@@ -120,7 +120,10 @@
 };
 
 /** Moves executors of a pool there and back; races with waves. */
-export const runMoves = async (world: World, load: Load): Promise<void> => {
+export const runMoves = async (
+	world: TestEnvironment,
+	load: Load,
+): Promise<void> => {
 	const ids = world.executors.map(({id}) => id);
 	while (!load.isStopped) {
 		const id = ids[drawBelow(world.random, ids.length)]!;
--- a/packages/bench/src/benches/invariants/recorder.ts
+++ b/packages/bench/src/benches/invariants/recorder.ts
@@ -2,7 +2,7 @@
 import {performance} from 'node:perf_hooks';
 import type {Contract, Instance, Service} from '@gullstand/core';
 import type {TableService, Write} from '@gullstand/ports';
-import type {Records, RunRecord, StoreRecord} from '../../judges/records.js';
+import type {Records, RunRecord, StoreRecord} from '../../checkers/records.js';
 
 type Mutable<Type> = {-readonly [Key in keyof Type]: Type[Key]};
 
--- a/packages/bench/src/benches/invariants/world.ts
+++ b/packages/bench/src/benches/invariants/test-environment.ts
@@ -15,7 +15,7 @@
 } from './recorder.js';
 
 /** What stands between an entry and the store. */
-export type Cut = {
+export type StoreLink = {
 	/** No call reaches the store. */
 	isCut: boolean;
 	/** Calls wait until then before they are sent, as in a paused process. */
@@ -28,11 +28,11 @@
 	readonly daemon: daemon.Daemon;
 	/** Connections of its callers. */
 	readonly agent: Agent;
-	readonly cut: Cut;
+	readonly storeLink: StoreLink;
 };
 
 /** What a pair of faults works on. */
-export type World = {
+export type TestEnvironment = {
 	readonly random: Random;
 	readonly recorder: Recorder;
 	readonly faults: platform.faults.FaultControl;
@@ -50,7 +50,7 @@
 	/** How far the entries' clock is ahead; moved on after they have stopped. */
 	readonly clock: {aheadMs: number};
 	/** Life of each executor. */
-	readonly lives: Map<string, number>;
+	readonly incarnations: Map<string, number>;
 };
 
 /** Services and pools, of the same names. */
@@ -122,12 +122,12 @@
 });
 
 /** Shows an executor in the platform's list. */
-export const showExecutor = (
-	{list, lives}: Pick<World, 'list' | 'lives'>,
+export const setListedState = (
+	{list, incarnations}: Pick<TestEnvironment, 'list' | 'incarnations'>,
 	{id, address, availabilityZone}: Executor,
 	state: 'live' | 'leaving',
 ): void => {
-	const incarnation = `${id}-${lives.get(id) ?? 1}`;
+	const incarnation = `${id}-${incarnations.get(id) ?? 1}`;
 	list.set({
 		id,
 		role: 'executor',
@@ -138,7 +138,10 @@
 	});
 };
 
-type Rebooted = Pick<World, 'recorder' | 'executors' | 'list' | 'lives'>;
+type Rebooted = Pick<
+	TestEnvironment,
+	'recorder' | 'executors' | 'list' | 'incarnations'
+>;
 
 const reboot = async (world: Rebooted, id: string) => {
 	const executor = world.executors.find((each) => each.id === id);
@@ -148,11 +151,11 @@
 
 	world.recorder.reboots.push({at: now(), instance: id});
 	executor.stop(true);
-	showExecutor(world, executor, 'leaving');
+	setListedState(world, executor, 'leaving');
 	await wait(rebootMs);
 	await executor.listen();
-	world.lives.set(id, (world.lives.get(id) ?? 1) + 1);
-	showExecutor(world, executor, 'live');
+	world.incarnations.set(id, (world.incarnations.get(id) ?? 1) + 1);
+	setListedState(world, executor, 'live');
 };
 
 /** Most runs are short; some are still open when a wave's next step comes. */
@@ -208,7 +211,9 @@
 };
 
 /** Makes the platform and the executors; entries start after. */
-export const createWorld = async (seed: number): Promise<World> => {
+export const createTestEnvironment = async (
+	seed: number,
+): Promise<TestEnvironment> => {
 	const random = createRandom(seed);
 	const recorder = createRecorder();
 	const executors = await startExecutors(recorder, createRandom(seed + 1));
@@ -223,10 +228,10 @@
 	);
 	await daemon.commitChange(store, getFirstChanges(executors), 'first');
 	const list = platform.createMemoryInstanceList();
-	const lives = new Map<string, number>();
-	const shown = {recorder, executors, list, lives};
+	const incarnations = new Map<string, number>();
+	const shown = {recorder, executors, list, incarnations};
 	for (const executor of executors) {
-		showExecutor(shown, executor, 'live');
+		setListedState(shown, executor, 'live');
 	}
 
 	return {
@@ -238,7 +243,7 @@
 		workers: platform.createMemoryWorkers({
 			workers: executors.map(({id}) => id),
 			now,
-			getIncarnation: (id) => `${id}-${lives.get(id) ?? 1}`,
+			getIncarnation: (id) => `${id}-${incarnations.get(id) ?? 1}`,
 			onReboot(id) {
 				void reboot(shown, id);
 			},
@@ -251,7 +256,9 @@
 };
 
 /** Ends everything that was started. */
-export const closeWorld = async (world: World): Promise<void> => {
+export const closeTestEnvironment = async (
+	world: TestEnvironment,
+): Promise<void> => {
 	world.faults.set(platform.faults.noFaults);
 	await Promise.all(
 		world.started.map(async ({daemon: each, agent}) => {
--- a/packages/bench/src/benches/limits.ts
+++ b/packages/bench/src/benches/limits.ts
@@ -5,11 +5,11 @@
 import * as core from '@gullstand/core';
 import {check} from '../frame/check.js';
 import type {Bench, BenchOptions, Check, Figures} from '../frame/types.js';
-import {createCredits} from './limits/credit-way.js';
+import {createCreditStrategy} from './limits/credit-strategy.js';
 import * as loads from './limits/load.js';
 import * as settings from './limits/settings.js';
-import * as ways from './limits/simple-ways.js';
-import * as worlds from './limits/world.js';
+import * as ways from './limits/simple-strategies.js';
+import * as worlds from './limits/simulation.js';
 
 const runMs = 60_000;
 const shortRunMs = 8000;
@@ -19,9 +19,9 @@
 	omniscient: ways.createOmniscient,
 	clairvoyant: ways.createClairvoyant,
 	static: ways.createStatic,
-	'power-of-two': ways.createTwoLocal,
-	'power-of-two-peers': ways.createTwoPeers,
-	credits: createCredits(core.creditMessages.defaultSettings),
+	'power-of-two': ways.createPowerOfTwoLocal,
+	'power-of-two-peers': ways.createPowerOfTwoPeers,
+	credits: createCreditStrategy(core.creditMessages.defaultSettings),
 } as const;
 
 type WayName = keyof typeof createWays;
@@ -34,8 +34,8 @@
 
 /** Two entries die; the list shows it and two new ones after its lag. */
 const scheduleLoss = (
-	world: worlds.World,
-	way: ways.Way,
+	world: worlds.Simulation,
+	way: ways.Strategy,
 	first: readonly string[],
 	{atMs, loss}: {atMs: number; loss: Loss},
 ) => {
@@ -46,7 +46,7 @@
 	worlds.schedule(world, atMs, () => {
 		for (const entry of lost) {
 			world.alive.delete(entry);
-			way.lose(entry);
+			way.removeEntry(entry);
 			if (loss === 'killed') {
 				worlds.closeAll(world, entry);
 			}
@@ -57,9 +57,9 @@
 	const ended = new Set(loss === 'killed' ? lost : []);
 	if (loss === 'killed') {
 		const left = first.filter((each) => !lost.includes(each));
-		worlds.schedule(world, atMs + settings.refusedMs, () => {
+		worlds.schedule(world, atMs + settings.connectionRefusedAfterMs, () => {
 			for (const entry of left) {
-				way.learn(entry, left, ended);
+				way.applyMembership(entry, left, ended);
 			}
 		});
 	}
@@ -72,7 +72,7 @@
 		for (const entry of second) {
 			const readMs = world.draw() * settings.listReadMs;
 			worlds.schedule(world, world.nowMs + readMs, () => {
-				way.learn(entry, second, ended);
+				way.applyMembership(entry, second, ended);
 			});
 		}
 	});
@@ -91,10 +91,10 @@
 		{length: settings.entryCount},
 		(_, index) => `entry-${index + 1}`,
 	);
-	const world = worlds.createWorld(seed, first);
+	const world = worlds.createSimulation(seed, first);
 	const way = createWays[name](world);
 	for (const entry of first) {
-		way.learn(entry, first, new Set());
+		way.applyMembership(entry, first, new Set());
 	}
 
 	if (loss !== 'none') {
--- a/packages/bench/src/benches/limits/credit-way.ts
+++ b/packages/bench/src/benches/limits/credit-strategy.ts
@@ -4,9 +4,9 @@
 import type {EntryQueue} from './queues.js';
 import * as queues from './queues.js';
 import * as settings from './settings.js';
-import type {Way} from './simple-ways.js';
-import type {Request, World} from './world.js';
-import * as worlds from './world.js';
+import type {Strategy} from './simple-strategies.js';
+import type {Request, Simulation} from './simulation.js';
+import * as worlds from './simulation.js';
 
 type Entry = {
 	readonly name: string;
@@ -27,9 +27,9 @@
 	waiting.map((request) => request.deadlineMs);
 
 /** Way with the given settings. */
-export const createCredits =
+export const createCreditStrategy =
 	(creditSettings: core.CreditSettings) =>
-	(world: World): Way => {
+	(world: Simulation): Strategy => {
 		const entries = new Map<string, Entry>();
 
 		const deliver = (
@@ -52,7 +52,7 @@
 						world.nowMs,
 					);
 					sendAll(entry, pool, answers);
-					queues.pump(entry.queues[pool]!);
+					queues.dispatchWaiting(entry.queues[pool]!);
 				}
 			});
 		};
@@ -112,7 +112,7 @@
 			);
 			sendAll(entry, pool, envelopes);
 			if (isOwn) {
-				queues.pump(queue);
+				queues.dispatchWaiting(queue);
 			}
 		};
 
@@ -125,7 +125,7 @@
 						name,
 						{
 							...creditSettings,
-							longestAttemptMs: pool.answerWithinMs + settings.cutSettleMs,
+							longestAttemptMs: pool.answerWithinMs + settings.slotReuseDelayMs,
 						},
 						world.nowMs,
 					),
@@ -152,7 +152,7 @@
 					finish(executor) {
 						core.creditSlots.finishSlot(borrower, executor);
 					},
-					settle(waiting) {
+					onQueueChange(waiting) {
 						core.creditSlots.releaseSpares(
 							borrower,
 							waiting.length,
@@ -198,7 +198,7 @@
 					},
 					world.nowMs,
 				);
-				queues.pump(entry.queues[pool]!);
+				queues.dispatchWaiting(entry.queues[pool]!);
 			}
 		};
 
@@ -239,7 +239,7 @@
 					batches.get(to)?.push({pool, message});
 				}
 
-				queues.pump(entry.queues[pool]!);
+				queues.dispatchWaiting(entry.queues[pool]!);
 			}
 
 			for (const [to, batch] of batches) {
@@ -254,15 +254,15 @@
 		return {
 			arrive(request) {
 				const entry = entries.get(request.entry)!;
-				queues.arrive(entry.queues[request.arrival.pool]!, request);
+				queues.enqueue(entry.queues[request.arrival.pool]!, request);
 			},
-			learn(name, listed, ended) {
+			applyMembership(name, listed, ended) {
 				const entry = entries.get(name) ?? createEntry(name);
 				entry.listed = listed;
 				entry.ended = ended;
 				updateMembers(entry);
 			},
-			lose(name) {
+			removeEntry(name) {
 				for (const queue of entries.get(name)?.queues ?? []) {
 					queues.drop(queue);
 				}
--- a/packages/bench/src/benches/limits/queues.ts
+++ b/packages/bench/src/benches/limits/queues.ts
@@ -1,6 +1,6 @@
 /** Waiting requests of every entry and pool, first in, first out. */
-import type {Request, World} from './world.js';
-import * as worlds from './world.js';
+import type {Request, Simulation} from './simulation.js';
+import * as worlds from './simulation.js';
 
 /** What a way decides for one entry and pool. */
 export type Decisions = {
@@ -9,26 +9,26 @@
 	/** The request on this executor has ended. */
 	readonly finish: (executor: string) => void;
 	/** Called after every change, once nothing more can be dispatched. */
-	readonly settle?: (waiting: readonly Request[]) => void;
+	readonly onQueueChange?: (waiting: readonly Request[]) => void;
 };
 
 /** The queue of one entry and pool. */
 export type EntryQueue = {
-	readonly world: World;
+	readonly simulation: Simulation;
 	readonly pool: number;
 	readonly decisions: Decisions;
 	readonly waiting: Request[];
 };
 
 export const createQueue = (
-	world: World,
+	world: Simulation,
 	pool: number,
 	decisions: Decisions,
-): EntryQueue => ({world, pool, decisions, waiting: []});
+): EntryQueue => ({simulation: world, pool, decisions, waiting: []});
 
 /** Dispatches all that can be, then lets the way settle. */
-export const pump = (queue: EntryQueue) => {
-	const {world, pool, decisions, waiting} = queue;
+export const dispatchWaiting = (queue: EntryQueue) => {
+	const {simulation, pool, decisions, waiting} = queue;
 	for (let request = waiting[0]; request; request = waiting[0]) {
 		const executor = decisions.acquire(request);
 		if (executor === undefined) {
@@ -36,36 +36,36 @@
 		}
 
 		waiting.shift();
-		worlds.addWaiting(world, pool, -1);
-		worlds.dispatch(world, request, executor, {
+		worlds.addWaiting(simulation, pool, -1);
+		worlds.dispatch(simulation, request, executor, {
 			onEnd() {
 				decisions.finish(executor);
-				pump(queue);
+				dispatchWaiting(queue);
 			},
 		});
 	}
 
-	decisions.settle?.(waiting);
+	decisions.onQueueChange?.(waiting);
 };
 
 /** Takes in a request; it is given up at its deadline if still waiting. */
-export const arrive = (queue: EntryQueue, request: Request) => {
-	const {world, pool, waiting} = queue;
+export const enqueue = (queue: EntryQueue, request: Request) => {
+	const {simulation, pool, waiting} = queue;
 	waiting.push(request);
-	worlds.addWaiting(world, pool, 1);
-	worlds.schedule(world, request.giveUpAtMs, () => {
+	worlds.addWaiting(simulation, pool, 1);
+	worlds.schedule(simulation, request.giveUpAtMs, () => {
 		const index = waiting.indexOf(request);
 		if (index !== -1) {
 			waiting.splice(index, 1);
-			worlds.addWaiting(world, pool, -1);
-			worlds.giveUp(world, request);
+			worlds.addWaiting(simulation, pool, -1);
+			worlds.giveUp(simulation, request);
 		}
 	});
-	pump(queue);
+	dispatchWaiting(queue);
 };
 
 /** The entry is lost with all that waits in it. */
 export const drop = (queue: EntryQueue) => {
-	worlds.addWaiting(queue.world, queue.pool, -queue.waiting.length);
+	worlds.addWaiting(queue.simulation, queue.pool, -queue.waiting.length);
 	queue.waiting.length = 0;
 };
--- a/packages/bench/src/benches/limits/settings.ts
+++ b/packages/bench/src/benches/limits/settings.ts
@@ -20,12 +20,12 @@
 export const linkMaxMs = 3;
 export const serviceSigma = 0.5;
 /** An entry uses the slot of an attempt that it cut again after this. */
-export const cutSettleMs = 4;
+export const slotReuseDelayMs = 4;
 export const loadFraction = 0.85;
 /** From the loss of an entry until the list shows it and its replacement. */
 export const listLagMs = 3000;
 /** From the end of a process until its peers find connections refused. */
-export const refusedMs = 20;
+export const connectionRefusedAfterMs = 20;
 /** Each entry reads the list within this time. */
 export const listReadMs = 500;
 /** From being listed until the balancer sends callers to a new entry. */
--- a/packages/bench/src/benches/limits/simple-ways.ts
+++ b/packages/bench/src/benches/limits/simple-strategies.ts
@@ -3,19 +3,19 @@
 import type {EntryQueue} from './queues.js';
 import * as queues from './queues.js';
 import * as settings from './settings.js';
-import type {Request, World} from './world.js';
-import * as worlds from './world.js';
+import type {Request, Simulation} from './simulation.js';
+import * as worlds from './simulation.js';
 
 /** One way in one run. */
-export type Way = {
+export type Strategy = {
 	readonly arrive: (request: Request) => void;
 	/** An entry has read a new list, or found that processes have ended. */
-	readonly learn: (
+	readonly applyMembership: (
 		entry: string,
 		listed: readonly string[],
 		ended: ReadonlySet<string>,
 	) => void;
-	readonly lose: (entry: string) => void;
+	readonly removeEntry: (entry: string) => void;
 };
 
 const poolSlots = settings.pools.map(
@@ -28,7 +28,10 @@
  * when the answer has crossed its link; with `knowsExecutors` already when the
  * executor is done, which no sender can know.
  */
-const createOneQueue = (world: World, knowsExecutors: boolean): Way => {
+const createOneQueue = (
+	world: Simulation,
+	knowsExecutors: boolean,
+): Strategy => {
 	const waiting: Request[][] = settings.pools.map(() => []);
 	const assigned = new Map<string, number>();
 	const pump = (pool: number) => {
@@ -88,8 +91,8 @@
 			});
 			pump(pool);
 		},
-		learn: () => undefined,
-		lose(entry) {
+		applyMembership: () => undefined,
+		removeEntry(entry) {
 			for (const [pool, requests] of waiting.entries()) {
 				for (const request of requests.filter((each) => each.entry === entry)) {
 					remove(pool, request);
@@ -100,10 +103,12 @@
 };
 
 /** The bound for all that see a slot free when its answer has come. */
-export const createOmniscient = (world: World) => createOneQueue(world, false);
+export const createOmniscient = (world: Simulation) =>
+	createOneQueue(world, false);
 
 /** The bound with knowledge of the executors besides. */
-export const createClairvoyant = (world: World) => createOneQueue(world, true);
+export const createClairvoyant = (world: Simulation) =>
+	createOneQueue(world, true);
 
 /** What one entry knows; counts are of one pool's executors. */
 type EntryState = {
@@ -119,12 +124,12 @@
 type Pick = (
 	state: EntryState,
 	pool: number,
-	world: World,
+	world: Simulation,
 ) => string | undefined;
 
 const createLocalWay =
 	(pick: Pick, exchangeMs?: number) =>
-	(world: World): Way => {
+	(world: Simulation): Strategy => {
 		const states = new Map<string, EntryState>();
 		const createState = (entry: string): EntryState => {
 			const state: EntryState = {
@@ -174,7 +179,7 @@
 						peer.peers.set(state.entry, counts);
 						peer.peerSums = core.powerOfTwo.sumPeerCounts(peer.peers.values());
 						for (const queue of peer.queues) {
-							queues.pump(queue);
+							queues.dispatchWaiting(queue);
 						}
 					});
 				}
@@ -188,9 +193,9 @@
 		return {
 			arrive(request) {
 				const state = states.get(request.entry)!;
-				queues.arrive(state.queues[request.arrival.pool]!, request);
+				queues.enqueue(state.queues[request.arrival.pool]!, request);
 			},
-			learn(entry, listed) {
+			applyMembership(entry, listed) {
 				const state = states.get(entry) ?? createState(entry);
 				state.listed = listed;
 				state.shares = poolSlots.map((slots) =>
@@ -203,10 +208,10 @@
 				}
 
 				for (const queue of state.queues) {
-					queues.pump(queue);
+					queues.dispatchWaiting(queue);
 				}
 			},
-			lose(entry) {
+			removeEntry(entry) {
 				for (const queue of states.get(entry)?.queues ?? []) {
 					queues.drop(queue);
 				}
@@ -230,7 +235,7 @@
 });
 
 const pickOfTwo = (
-	{draw}: World,
+	{draw}: Simulation,
 	pool: number,
 	getInFlight: (executor: string) => number,
 ) =>
@@ -245,14 +250,14 @@
 	);
 
 /** Power of two choices by the entry's own requests in flight. */
-export const createTwoLocal = createLocalWay((state, pool, world) =>
+export const createPowerOfTwoLocal = createLocalWay((state, pool, world) =>
 	pickOfTwo(world, pool, (executor) => state.inFlight.get(executor) ?? 0),
 );
 
 const exchangeMs = 20;
 
 /** The same with what peers said of theirs, exchanged every 20 ms. */
-export const createTwoPeers = createLocalWay(
+export const createPowerOfTwoPeers = createLocalWay(
 	(state, pool, world) =>
 		pickOfTwo(
 			world,
--- a/packages/bench/src/benches/limits/world.ts
+++ b/packages/bench/src/benches/limits/simulation.ts
@@ -47,7 +47,7 @@
 };
 
 /** The state of one run. */
-export type World = {
+export type Simulation = {
 	nowMs: number;
 	readonly draw: random.Random;
 	readonly events: Event[];
@@ -68,10 +68,10 @@
 
 const nearLossMs = 10_000;
 
-export const createWorld = (
+export const createSimulation = (
 	seed: number,
 	entries: readonly string[],
-): World => ({
+): Simulation => ({
 	nowMs: 0,
 	draw: random.createRandom(seed),
 	events: [],
@@ -116,7 +116,7 @@
 	a.atMs < b.atMs || (a.atMs === b.atMs && a.seq < b.seq);
 
 /** Adds an event to the binary heap. */
-export const schedule = (world: World, atMs: number, run: () => void) => {
+export const schedule = (world: Simulation, atMs: number, run: () => void) => {
 	const {events} = world;
 	const event = {atMs: Math.max(atMs, world.nowMs), seq: world.seq++, run};
 	let index = events.length;
@@ -168,7 +168,7 @@
 };
 
 /** Runs events in order of time until a time. */
-export const runUntil = (world: World, untilMs: number) => {
+export const runUntil = (world: Simulation, untilMs: number) => {
 	while (world.events[0] && world.events[0].atMs <= untilMs) {
 		const event = takeFirst(world.events)!;
 		world.nowMs = event.atMs;
@@ -176,11 +176,11 @@
 	}
 };
 
-export const drawLink = (world: World): number =>
+export const drawLink = (world: Simulation): number =>
 	settings.linkMinMs + world.draw() * (settings.linkMaxMs - settings.linkMinMs);
 
 /** Sends a message from entry to entry; lost if either is dead. */
-export const send = (world: World, to: string, run: () => void) => {
+export const send = (world: Simulation, to: string, run: () => void) => {
 	world.counts.messages++;
 	schedule(world, world.nowMs + drawLink(world), () => {
 		if (world.alive.has(to)) {
@@ -189,7 +189,7 @@
 	});
 };
 
-const account = (world: World, pool: number) => {
+const account = (world: Simulation, pool: number) => {
 	const elapsed = world.nowMs - world.changedAtMs[pool]!;
 	const slots =
 		settings.pools[pool]!.executors.length * settings.slotsPerExecutor;
@@ -200,14 +200,14 @@
 };
 
 /** Changes the number of requests that wait for a slot of a pool. */
-export const addWaiting = (world: World, pool: number, change: number) => {
+export const addWaiting = (world: Simulation, pool: number, change: number) => {
 	account(world, pool);
 	world.waiting[pool]! += change;
 };
 
 const load = (executor: Executor) => executor.running + executor.queue.length;
 
-const accountOvershoot = (world: World, executor: Executor) => {
+const accountOvershoot = (world: Simulation, executor: Executor) => {
 	if (load(executor) > settings.slotsPerExecutor) {
 		world.counts.overshootMs += world.nowMs - executor.changedAtMs;
 	}
@@ -215,7 +215,7 @@
 	executor.changedAtMs = world.nowMs;
 };
 
-const finish = (world: World, request: Request, answered: boolean) => {
+const finish = (world: Simulation, request: Request, answered: boolean) => {
 	if (request.done) {
 		return;
 	}
@@ -231,11 +231,11 @@
 };
 
 /** A waiting request whose deadline has passed is answered and late. */
-export const giveUp = (world: World, request: Request) => {
+export const giveUp = (world: Simulation, request: Request) => {
 	finish(world, request, false);
 };
 
-const leave = (world: World, executor: Executor, start: () => void) => {
+const leave = (world: Simulation, executor: Executor, start: () => void) => {
 	account(world, executor.pool);
 	accountOvershoot(world, executor);
 	const index = executor.queue.indexOf(start);
@@ -253,7 +253,7 @@
 	}
 };
 
-const enter = (world: World, executor: Executor, start: () => void) => {
+const enter = (world: Simulation, executor: Executor, start: () => void) => {
 	account(world, executor.pool);
 	accountOvershoot(world, executor);
 	const over = load(executor) + 1 - settings.slotsPerExecutor;
@@ -274,7 +274,7 @@
  * `endsWhenLost`.
  */
 export const dispatch = (
-	world: World,
+	world: Simulation,
 	request: Request,
 	name: string,
 	{
@@ -343,12 +343,12 @@
 
 		finish(world, request, false);
 		schedule(world, world.nowMs + drawLink(world), end);
-		schedule(world, world.nowMs + settings.cutSettleMs, tellEntry);
+		schedule(world, world.nowMs + settings.slotReuseDelayMs, tellEntry);
 	});
 };
 
 /** The host of a process that has ended closes its connections. */
-export const closeAll = (world: World, entry: string) => {
+export const closeAll = (world: Simulation, entry: string) => {
 	for (const close of world.open.get(entry) ?? []) {
 		schedule(world, world.nowMs + drawLink(world), close);
 	}
@@ -356,7 +356,7 @@
 
 /** Sets the connections that an entry has open to an executor. */
 export const setConnections = (
-	world: World,
+	world: Simulation,
 	entry: string,
 	name: string,
 	open: number,
--- a/packages/bench/src/benches/outage.ts
+++ b/packages/bench/src/benches/outage.ts
@@ -9,7 +9,7 @@
 	type FleetOptions,
 	type FleetReport,
 } from './outage/fleet.js';
-import {getMeanPerSecond, getMostInSecond} from './outage/load-meter.js';
+import {getMeanPerSecond, getPeakPerSecond} from './outage/load-meter.js';
 
 const minuteMs = 60_000;
 
@@ -45,8 +45,8 @@
 		writesPerSecondBefore: round(getMeanPerSecond(writes, 0, downFrom)),
 		readsPerSecondDown: round(getMeanPerSecond(reads, downFrom, downTo)),
 		writesPerSecondDown: round(getMeanPerSecond(writes, downFrom, downTo)),
-		mostReadsInSecondOnReturn: getMostInSecond(reads, downTo, until),
-		mostWritesInSecondOnReturn: getMostInSecond(writes, downTo, until),
+		mostReadsInSecondOnReturn: getPeakPerSecond(reads, downTo, until),
+		mostWritesInSecondOnReturn: getPeakPerSecond(writes, downTo, until),
 		allEntriesFollowAfterMs: Math.round(report.caughtUpMs),
 		claimsRecorded: report.claims.recorded,
 		claimsRefused: report.claims.refused,
--- a/packages/bench/src/benches/outage/fleet.ts
+++ b/packages/bench/src/benches/outage/fleet.ts
@@ -32,7 +32,7 @@
 /** What a run showed. */
 export type FleetReport = {
 	readonly meter: LoadMeter;
-	readonly claims: Readonly<Record<ClaimEnd, number>>;
+	readonly claims: Readonly<Record<ClaimOutcome, number>>;
 	readonly changes: number;
 	readonly changesRefused: number;
 	/** Accepted changes that an entry does not hold at the end. */
@@ -44,7 +44,7 @@
 };
 
 /** How a claim ended: recorded, refused as not run, or unknown. */
-export type ClaimEnd = 'recorded' | 'refused' | 'unknown';
+export type ClaimOutcome = 'recorded' | 'refused' | 'unknown';
 
 const pollMs = 500;
 
@@ -67,7 +67,7 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly meter: LoadMeter;
-	readonly claims: Record<ClaimEnd, number>;
+	readonly claims: Record<ClaimOutcome, number>;
 	readonly accepted: string[];
 	changesRefused: number;
 	regressions: number;
@@ -179,7 +179,7 @@
 };
 
 const claimEnds: Readonly<
-	Record<platform.client.CommitOutcome['kind'], ClaimEnd>
+	Record<platform.client.CommitOutcome['kind'], ClaimOutcome>
 > = {
 	committed: 'recorded',
 	conflict: 'unknown',
--- a/packages/bench/src/benches/outage/load-meter.ts
+++ b/packages/bench/src/benches/outage/load-meter.ts
@@ -41,7 +41,7 @@
 const secondMs = 1000;
 
 /** Most arrivals in any second that begins in [from, to). */
-export const getMostInSecond = (
+export const getPeakPerSecond = (
 	arrivals: Arrivals,
 	from: number,
 	to: number,
--- a/packages/bench/src/benches/overhead/gateway-worker.ts
+++ b/packages/bench/src/benches/overhead/gateway-worker.ts
@@ -5,7 +5,7 @@
 import process from 'node:process';
 import {parentPort, workerData} from 'node:worker_threads';
 import {startGullstandGateway} from './gullstand-gateway.js';
-import type {GatewayData, Question, Ready, Usage} from './messages.js';
+import type {GatewayData, GatewayCommand, Ready, Usage} from './messages.js';
 import {startPlainGateway} from './plain-gateway.js';
 
 const {kind, upstreamPorts, profileFile} = workerData as GatewayData;
@@ -32,7 +32,7 @@
 const {port} = await start(upstreamPorts);
 const session = profileFile === undefined ? undefined : await startProfile();
 
-parentPort?.on('message', async (question: Question) => {
+parentPort?.on('message', async (question: GatewayCommand) => {
 	if (question === 'usage') {
 		parentPort?.postMessage(getUsage());
 		return;
--- a/packages/bench/src/benches/overhead/messages.ts
+++ b/packages/bench/src/benches/overhead/messages.ts
@@ -21,4 +21,4 @@
 };
 
 /** Questions to a gateway thread. */
-export type Question = 'usage' | 'stop';
+export type GatewayCommand = 'usage' | 'stop';
--- a/packages/bench/src/benches/overload.ts
+++ b/packages/bench/src/benches/overload.ts
@@ -74,7 +74,7 @@
 
 const summarize = (
 	name: string,
-	makePolicy: policies.PolicyMaker,
+	makePolicy: policies.PolicyFactory,
 	options: BenchOptions,
 ): Summary => {
 	const summary: Summary = {
--- a/packages/bench/src/benches/overload/policies.ts
+++ b/packages/bench/src/benches/overload/policies.ts
@@ -18,7 +18,7 @@
 };
 
 /** Makes a policy for one entry. */
-export type PolicyMaker = (input: PolicyInput) => Policy;
+export type PolicyFactory = (input: PolicyInput) => Policy;
 
 /** Creates admission for one entry with all customers' contracts. */
 export const createEntryAdmission = (
@@ -45,7 +45,7 @@
 };
 
 /** The project's admission; it starts with its default prior. */
-export const createAdmissionPolicy: PolicyMaker = (input) => {
+export const createAdmissionPolicy: PolicyFactory = (input) => {
 	const {firm, size, arrivals, slots} = input;
 	const state = createEntryAdmission(firm, size, slots);
 	const tickets = new Map<number, core.admission.Ticket>();
@@ -89,7 +89,7 @@
 };
 
 const createFifo =
-	(dropLate: boolean): PolicyMaker =>
+	(dropLate: boolean): PolicyFactory =>
 	({size, arrivals, slots}) => {
 		const queue: number[] = [];
 		let head = 0;
--- a/packages/bench/src/benches/overload/scenarios.ts
+++ b/packages/bench/src/benches/overload/scenarios.ts
@@ -1,7 +1,7 @@
 /** The runs: every customer at once, one alone, one sending ten times. */
 import type {Arrival} from './arrivals.js';
 import * as arrivalLists from './arrivals.js';
-import type {PolicyMaker} from './policies.js';
+import type {PolicyFactory} from './policies.js';
 import {createTally, runEntry, type Tally} from './run-entry.js';
 import {
 	customerWeights,
@@ -29,7 +29,7 @@
 export type Setup = {
 	readonly firm: FirmSize;
 	readonly size: ServiceSize;
-	readonly makePolicy: PolicyMaker;
+	readonly makePolicy: PolicyFactory;
 	readonly seed: number;
 	readonly lengthMs: number;
 };
--- a/packages/bench/src/benches/ownership.ts
+++ b/packages/bench/src/benches/ownership.ts
@@ -2,8 +2,8 @@
 import {check} from '../frame/check.js';
 import type {Bench, Figures} from '../frame/types.js';
 import {getQuantile} from './agreement/quantile.js';
-import {runWorld, type RunResult} from './ownership/run-world.js';
-import type {MoveRule} from './ownership/world.js';
+import {runSimulation, type RunResult} from './ownership/run-simulation.js';
+import type {MoveRule} from './ownership/simulation.js';
 
 const moves = 10_000;
 
@@ -33,7 +33,7 @@
 	summary: 'moves between pools under pauses, cuts, crashes and lost replies',
 	async run({seed, short, log}) {
 		const run = async (rule: MoveRule, count: number, hasFaults = true) => {
-			const result = await runWorld({seed, rule, moves: count, hasFaults});
+			const result = await runSimulation({seed, rule, moves: count, hasFaults});
 			log(`${rule}: ${result.moved} of ${result.started} moves done`);
 			return result;
 		};
--- a/packages/bench/src/benches/ownership/control.ts
+++ b/packages/bench/src/benches/ownership/control.ts
@@ -16,9 +16,9 @@
 	isConnected,
 	isListed,
 	shards,
-	stayAwake,
-	type World,
-} from './world.js';
+	waitWhilePaused,
+	type Simulation,
+} from './simulation.js';
 
 const settings = core.membershipStatus.membershipDefaults;
 
@@ -38,7 +38,7 @@
 const maxSteps = 16;
 
 type Control = {
-	readonly world: World;
+	readonly world: Simulation;
 	readonly state: EntryState;
 	observations: observation.Observations;
 	readonly unlistedSince: Map<string, number>;
@@ -167,7 +167,7 @@
 };
 
 const selectRegistrations = (
-	world: World,
+	world: Simulation,
 	{registrations}: Rows,
 ): readonly registration.Registration[] => {
 	if (world.rule === 'timer') {
@@ -203,7 +203,7 @@
 		{
 			version: rows.membershipVersion,
 			registrations: selectRegistrations(world, rows),
-			received: world.heard,
+			received: world.receivedAcknowledgements,
 			outageStart: core.move.noOutageStart,
 		},
 		held,
@@ -215,7 +215,7 @@
 		await world.clock.sleep(drawExponential(world.random, 8000));
 	}
 
-	return stayAwake(world, state.host, state.host.life);
+	return waitWhilePaused(world, state.host, state.host.incarnation);
 };
 
 const advanceMoves = async (
@@ -271,7 +271,7 @@
 };
 
 /** Runs the control parts of one life of an entry. */
-export const startControl = async (world: World, state: EntryState) => {
+export const startControl = async (world: Simulation, state: EntryState) => {
 	const control: Control = {
 		world,
 		state,
@@ -279,8 +279,11 @@
 		unlistedSince: new Map(),
 		held: new Map(),
 	};
-	const {life} = state.host;
-	while (!world.isDone && (await stayAwake(world, state.host, life))) {
+	const {incarnation} = state.host;
+	while (
+		!world.isDone &&
+		(await waitWhilePaused(world, state.host, incarnation))
+	) {
 		await runControl(control);
 		const gapMs = control.held.size > 0 ? controlMs : idleControlMs;
 		await world.clock.sleep(gapMs * (0.8 + 0.4 * world.random()));
--- a/packages/bench/src/benches/ownership/entry.ts
+++ b/packages/bench/src/benches/ownership/entry.ts
@@ -14,10 +14,10 @@
 	isListed,
 	pick,
 	runAtExecutor,
-	stayAwake,
+	waitWhilePaused,
 	type EntryHost,
-	type World,
-} from './world.js';
+	type Simulation,
+} from './simulation.js';
 
 const settings = core.membershipStatus.membershipDefaults;
 
@@ -46,7 +46,7 @@
 };
 
 const makeRegistration = (
-	world: World,
+	world: Simulation,
 	state: EntryState,
 ): registration.Registration => {
 	state.sequence += 1;
@@ -56,7 +56,8 @@
 		routedRevision: view.revision,
 		inFlight: state.inFlight,
 		mayInherit:
-			state.host.life > 1 && now - state.startedAt < settings.longestRequestMs,
+			state.host.incarnation > 1 &&
+			now - state.startedAt < settings.longestRequestMs,
 	};
 	return {
 		address: '',
@@ -75,7 +76,7 @@
 };
 
 /** Tells the movers what is in force, if it has changed. */
-const sendAcknowledgement = async (world: World, state: EntryState) => {
+const sendAcknowledgement = async (world: Simulation, state: EntryState) => {
 	if (!state.isRegistered || !isConnected(world, state.host)) {
 		return;
 	}
@@ -90,9 +91,9 @@
 	state.lastSent = text;
 	await world.clock.sleep(drawHopMs(world.random));
 	if (isConnected(world, state.host) && world.random() > 0.02) {
-		const known = world.heard.get(state.life.entry);
+		const known = world.receivedAcknowledgements.get(state.life.entry);
 		const isNewLife = known?.incarnation !== state.life.incarnation;
-		world.heard.set(
+		world.receivedAcknowledgements.set(
 			state.life.entry,
 			isNewLife
 				? acknowledged
@@ -102,7 +103,7 @@
 };
 
 const applyDeltas = (
-	world: World,
+	world: Simulation,
 	state: EntryState,
 	deltas: readonly viewChange.ViewDelta[],
 ) => {
@@ -113,7 +114,7 @@
 	void sendAcknowledgement(world, state);
 };
 
-const readLog = async (world: World, state: EntryState) => {
+const readLog = async (world: Simulation, state: EntryState) => {
 	const reply = await world.link(
 		() => world.log.slice(state.followed.view.revision),
 		() => isConnected(world, state.host),
@@ -123,7 +124,10 @@
 	}
 };
 
-const register = async (world: World, state: EntryState): Promise<boolean> => {
+const register = async (
+	world: Simulation,
+	state: EntryState,
+): Promise<boolean> => {
 	await readLog(world, state);
 	const reply = await world.link(
 		() => world.store.read('counter', core.singleRowKey)!,
@@ -156,7 +160,11 @@
 };
 
 /** After a lost reply the row itself tells whether the write was made. */
-const readBack = async (world: World, state: EntryState, askedAt: number) => {
+const readBack = async (
+	world: Simulation,
+	state: EntryState,
+	askedAt: number,
+) => {
 	const {entry, incarnation} = state.life;
 	const reply = await world.link(
 		() => world.store.read<registration.Registration>('entry', entry),
@@ -191,7 +199,7 @@
 	);
 };
 
-const renew = async (world: World, state: EntryState) => {
+const renew = async (world: Simulation, state: EntryState) => {
 	const askedAt = world.clock.now();
 	const writes = core.registration.renewRegistration(
 		makeRegistration(world, state),
@@ -210,7 +218,7 @@
 	}
 };
 
-const send = async (world: World, state: EntryState) => {
+const send = async (world: Simulation, state: EntryState) => {
 	const {view} = state.followed;
 	const {pool} = pick(world.random, [...view.instances.values()]);
 	const serving = [...view.instances.values()].filter(
@@ -237,7 +245,7 @@
 		await runAtExecutor(world, id, pool, serviceMs);
 	}
 
-	if (await stayAwake(world, state.host, state.host.life)) {
+	if (await waitWhilePaused(world, state.host, state.host.incarnation)) {
 		state.inFlight.set(id, state.inFlight.get(id)! - 1);
 		void sendAcknowledgement(world, state);
 	}
@@ -245,26 +253,29 @@
 
 /** Runs a loop for as long as the life lasts. */
 const repeat = async (
-	world: World,
+	world: Simulation,
 	state: EntryState,
 	getGapMs: () => number,
 	step: () => void | Promise<void>,
 ) => {
-	const {life} = state.host;
-	while (!world.isDone && (await stayAwake(world, state.host, life))) {
+	const {incarnation} = state.host;
+	while (
+		!world.isDone &&
+		(await waitWhilePaused(world, state.host, incarnation))
+	) {
 		await step();
 		await world.clock.sleep(getGapMs());
 	}
 };
 
 /** Starts one life of an entry. */
-export const startEntry = (world: World, host: EntryHost): EntryState => {
-	host.life += 1;
+export const startEntry = (world: Simulation, host: EntryHost): EntryState => {
+	host.incarnation += 1;
 	host.isUp = true;
 	const {random, clock} = world;
 	const state: EntryState = {
 		host,
-		life: {entry: host.entry, incarnation: String(host.life)},
+		life: {entry: host.entry, incarnation: String(host.incarnation)},
 		startedAt: clock.now(),
 		followed: core.followedView.emptyFollowedView,
 		standing: core.membershipStatus.changeMode(
--- a/packages/bench/src/benches/ownership/run-world.ts
+++ b/packages/bench/src/benches/ownership/run-simulation.ts
@@ -13,8 +13,8 @@
 	type Counts,
 	type EntryHost,
 	type MoveRule,
-	type World,
-} from './world.js';
+	type Simulation,
+} from './simulation.js';
 
 /** Size of one run. */
 export type RunOptions = {
@@ -53,7 +53,7 @@
 
 const createHost = (index: number): EntryHost => ({
 	entry: `e${index}`,
-	life: 0,
+	incarnation: 0,
 	isUp: false,
 	pausedUntil: 0,
 	cutUntil: 0,
@@ -62,12 +62,12 @@
 	receiveDelta: () => undefined,
 });
 
-const startHost = (world: World, host: EntryHost) => {
+const startHost = (world: Simulation, host: EntryHost) => {
 	const state = startEntry(world, host);
 	void startControl(world, state);
 };
 
-const requestMove = async (world: World) => {
+const requestMove = async (world: Simulation) => {
 	const {store, random} = world;
 	const instance = store.read<Instance>(
 		'instance',
@@ -89,7 +89,7 @@
 	}
 };
 
-const cancelSome = async (world: World) => {
+const cancelSome = async (world: Simulation) => {
 	const {store, random} = world;
 	const moves = store.list<move.Move>('move');
 	if (moves.length === 0) {
@@ -104,7 +104,7 @@
 	}
 };
 
-const runOperator = async (world: World, moves: number) => {
+const runOperator = async (world: Simulation, moves: number) => {
 	const {clock, random, counts, store} = world;
 	while (counts.moved < moves) {
 		if (store.list('move').length < maxOpenMoves) {
@@ -123,7 +123,7 @@
 const meanGapMs = {pause: 10_000, crash: 30_000, cut: 90_000, drop: 60_000};
 
 const runFault = async (
-	world: World,
+	world: Simulation,
 	kind: keyof typeof meanGapMs,
 	cause: (host: EntryHost) => Promise<void>,
 ) => {
@@ -136,7 +136,7 @@
 	}
 };
 
-const startFaults = (world: World) => {
+const startFaults = (world: Simulation) => {
 	const {clock, random, counts} = world;
 	const drawUntil = (maxMs: number) => clock.now() + random() * maxMs;
 	void runFault(world, 'pause', async (host) => {
@@ -159,7 +159,7 @@
 	});
 };
 
-const createWorld = ({seed, rule, hasFaults}: RunOptions): World => {
+const createWorld = ({seed, rule, hasFaults}: RunOptions): Simulation => {
 	const random = createRandom(seed);
 	const clock = createClock();
 	const store = createStore();
@@ -171,7 +171,7 @@
 	const instances = Array.from({length: instanceCount}, (_, index) =>
 		createInstance(index),
 	);
-	const world: World = {
+	const world: Simulation = {
 		rule,
 		clock,
 		random,
@@ -180,7 +180,7 @@
 		log: [],
 		hosts: Array.from({length: entryCount}, (_, index) => createHost(index)),
 		executors: new Map(instances.map(({id}) => [id, {running: new Map()}])),
-		heard: new Map(),
+		receivedAcknowledgements: new Map(),
 		startedAt: new Map(),
 		moveMs: [],
 		counts: {
@@ -225,7 +225,9 @@
 const settleMs = 120_000;
 
 /** Runs one world to the end of its moves, then lets it settle. */
-export const runWorld = async (options: RunOptions): Promise<RunResult> => {
+export const runSimulation = async (
+	options: RunOptions,
+): Promise<RunResult> => {
 	const world = createWorld(options);
 	const {clock, counts, store} = world;
 	for (const host of world.hosts) {
--- a/packages/bench/src/benches/ownership/world.ts
+++ b/packages/bench/src/benches/ownership/simulation.ts
@@ -23,7 +23,7 @@
 /** One entry as the platform and the network see it. */
 export type EntryHost = {
 	readonly entry: string;
-	life: number;
+	incarnation: number;
 	isUp: boolean;
 	pausedUntil: number;
 	/** Cut off from the store, the list and its peers until then. */
@@ -54,7 +54,7 @@
 };
 
 /** Everything that the processes share. */
-export type World = {
+export type Simulation = {
 	readonly rule: MoveRule;
 	readonly clock: Clock;
 	readonly random: Random;
@@ -64,7 +64,10 @@
 	readonly hosts: readonly EntryHost[];
 	readonly executors: ReadonlyMap<string, Executor>;
 	/** Acknowledgements that peers have sent to one another. */
-	readonly heard: Map<string, acknowledgement.Acknowledgement>;
+	readonly receivedAcknowledgements: Map<
+		string,
+		acknowledgement.Acknowledgement
+	>;
 	readonly startedAt: Map<string, number>;
 	readonly moveMs: number[];
 	readonly counts: Counts;
@@ -86,8 +89,8 @@
 export const drawHopMs = (random: Random): number => 1 + 2 * random();
 
 /** Waits while the entry is paused; false if that life is over. */
-export const stayAwake = async (
-	world: World,
+export const waitWhilePaused = async (
+	world: Simulation,
 	host: EntryHost,
 	life: number,
 ): Promise<boolean> => {
@@ -95,15 +98,15 @@
 		await world.clock.sleep(host.pausedUntil - world.clock.now());
 	}
 
-	return host.isUp && host.life === life;
+	return host.isUp && host.incarnation === life;
 };
 
 /** True if messages of the entry arrive now. */
-export const isConnected = ({clock}: World, host: EntryHost): boolean =>
+export const isConnected = ({clock}: Simulation, host: EntryHost): boolean =>
 	host.isUp && host.cutUntil <= clock.now();
 
 /** What the platform's list shows: up to 10 s old, and now and then wrong. */
-export const isListed = (world: World, host: EntryHost): boolean => {
+export const isListed = (world: Simulation, host: EntryHost): boolean => {
 	const {listLagMs} = core.membershipStatus.membershipDefaults;
 	const at = world.clock.now() - world.random() * listLagMs;
 	const isSilent = host.pausedUntil > at + 5000 || host.cutUntil > at + 5000;
@@ -113,7 +116,7 @@
 const messageLoss = 0.02;
 
 const offerDelta = async (
-	world: World,
+	world: Simulation,
 	host: EntryHost,
 	delta: viewChange.ViewDelta,
 ) => {
@@ -156,7 +159,10 @@
 	finishReturn: undefined,
 } as const;
 
-const countStep = (world: World, {transition, instance}: move.MoveCommit) => {
+const countStep = (
+	world: Simulation,
+	{transition, instance}: move.MoveCommit,
+) => {
 	const {counts, startedAt, clock} = world;
 	const counter = counterByTransition[transition];
 	if (counter) {
@@ -174,7 +180,7 @@
 
 /** Commits steps of moves together, as one delta of the view. */
 export const commitSteps = (
-	world: World,
+	world: Simulation,
 	steps: readonly move.MoveCommit[],
 	counterVersion: number,
 ): boolean => {
@@ -219,7 +225,7 @@
 
 /** Runs one request at its executor and checks the pool that it is for. */
 export const runAtExecutor = async (
-	world: World,
+	world: Simulation,
 	instance: string,
 	pool: string,
 	serviceMs: number,
--- a/packages/bench/src/benches/placement/placing.ts
+++ b/packages/bench/src/benches/placement/placing.ts
@@ -1,7 +1,7 @@
 /** Starts, ends and moves of jobs, as the placement decisions have it. */
 import * as core from '@gullstand/core';
 import type {TraceJob} from './trace.js';
-import {estimate, stop, type World} from './world.js';
+import {estimate, stop, type Simulation} from './simulation.js';
 
 const {placement} = core;
 
@@ -18,17 +18,24 @@
 /** Jobs that do not fit and are passed over, so that none blocks all. */
 const maxPassedOver = 8;
 
-const learnFromEnd = (world: World, {id, customer, declared}: TraceJob) => {
+const learnFromEnd = (
+	world: Simulation,
+	{id, customer, declared}: TraceJob,
+) => {
 	const history = world.histories.get(id);
-	const habit = world.habits.get(customer) ?? placement.emptyCustomerUsageModel;
+	const habit =
+		world.usageModels.get(customer) ?? placement.emptyCustomerUsageModel;
 	if (history) {
-		world.habits.set(customer, placement.addEndedJob(habit, declared, history));
+		world.usageModels.set(
+			customer,
+			placement.addEndedJob(habit, declared, history),
+		);
 	}
 
 	world.histories.delete(id);
 };
 
-const end = (world: World, id: string, run: number, now: number) => {
+const end = (world: Simulation, id: string, run: number, now: number) => {
 	if (world.running.get(id)?.run !== run) {
 		return;
 	}
@@ -42,7 +49,12 @@
 	placePending(world, now);
 };
 
-const begin = (world: World, job: TraceJob, worker: string, now: number) => {
+const begin = (
+	world: Simulation,
+	job: TraceJob,
+	worker: string,
+	now: number,
+) => {
 	world.runs += 1;
 	const run = world.runs;
 	world.running.set(job.id, {job, worker, startedAt: now, run});
@@ -61,7 +73,7 @@
 	});
 };
 
-const throttle = ({cluster, throttled, policy}: World, job: string) => {
+const throttle = ({cluster, throttled, policy}: Simulation, job: string) => {
 	throttled.add(job);
 	const known = cluster.tasks.get(job)?.estimate;
 	if (known) {
@@ -73,7 +85,7 @@
 	}
 };
 
-const checkpoint = (world: World, job: string) => {
+const checkpoint = (world: Simulation, job: string) => {
 	const task = stop(world, job);
 	if (task) {
 		world.pending.set(job, task.job);
@@ -83,7 +95,7 @@
 
 /** Makes room; the time until it is there, in milliseconds. */
 const preempt = (
-	world: World,
+	world: Simulation,
 	preemptions: readonly core.placement.Preemption[],
 ): number => {
 	let delayMs = 0;
@@ -113,7 +125,7 @@
 	return {kind: 'wait', reason: 'capacity'};
 };
 
-const decide = (world: World, job: TraceJob, now: number) => {
+const decide = (world: Simulation, job: TraceJob, now: number) => {
 	const {cluster, policy, quota} = world;
 	const expected = estimate(world, job);
 	return policy.firstFit
@@ -126,7 +138,7 @@
 			);
 };
 
-const tryPlace = (world: World, job: TraceJob, now: number): boolean => {
+const tryPlace = (world: Simulation, job: TraceJob, now: number): boolean => {
 	const decision = decide(world, job, now);
 	if (decision.kind !== 'place') {
 		return false;
@@ -147,7 +159,7 @@
 };
 
 /** Places what waits, as far as there is room. */
-export const placePending = (world: World, now: number) => {
+export const placePending = (world: Simulation, now: number) => {
 	const {cluster, pending, quotas} = world;
 	let passedOver = 0;
 	for (const job of placement.sortPending(
@@ -168,7 +180,7 @@
 };
 
 /** A job is submitted. */
-export const submit = (world: World, job: TraceJob, now: number) => {
+export const submit = (world: Simulation, job: TraceJob, now: number) => {
 	world.counts.urgentJobs += job.urgent ? 1 : 0;
 	if (!tryPlace(world, job, now)) {
 		world.pending.set(job.id, job);
@@ -176,7 +188,7 @@
 };
 
 /** Moves running jobs, if the run's way does. */
-export const relocate = (world: World, now: number) => {
+export const relocate = (world: Simulation, now: number) => {
 	const {cluster, policy, running, counts} = world;
 	const cfg = policy.relocation;
 	if (!cfg) {
--- a/packages/bench/src/benches/placement/reports.ts
+++ b/packages/bench/src/benches/placement/reports.ts
@@ -1,7 +1,7 @@
 /** What happens and is counted each minute. */
 import * as core from '@gullstand/core';
 import {placePending, relocate} from './placing.js';
-import {estimate, getUse, stop, type World} from './world.js';
+import {estimate, getUse, stop, type Simulation} from './simulation.js';
 
 const {placement} = core;
 
@@ -17,7 +17,7 @@
 const minTasksForSpread = 6;
 
 /** A worker over its memory evicts its youngest jobs. */
-const evictOverfull = (world: World, now: number) => {
+const evictOverfull = (world: Simulation, now: number) => {
 	for (const load of world.cluster.loads.values()) {
 		const tasks = [...load.tasks.keys()]
 			.map((id) => world.running.get(id))
@@ -40,7 +40,7 @@
 	}
 };
 
-const account = ({cluster, running, counts}: World, now: number) => {
+const account = ({cluster, running, counts}: Simulation, now: number) => {
 	const hours = reportEveryMs / hourMs;
 	for (const load of cluster.loads.values()) {
 		if (load.tasks.size === 0) {
@@ -61,7 +61,7 @@
 	}
 };
 
-const learn = (world: World, now: number) => {
+const learn = (world: Simulation, now: number) => {
 	const {running, histories, throttled, cluster} = world;
 	for (const task of running.values()) {
 		const measuredAt = now - reportLagMs;
@@ -83,7 +83,7 @@
 };
 
 /** A customer starves if it waits an hour in which nothing of it starts. */
-const noteWaiting = (world: World, now: number) => {
+const noteWaiting = (world: Simulation, now: number) => {
 	const {pending, cluster, quota, lastStarts, starved} = world;
 	for (const job of pending.values()) {
 		const used = placement.getCustomerUsage(cluster, job.customer);
@@ -95,7 +95,7 @@
 	}
 };
 
-const noteSpread = ({cluster, counts}: World) => {
+const noteSpread = ({cluster, counts}: Simulation) => {
 	for (const [key, count] of cluster.taskCounts) {
 		const [customer = '', kind] = key.split(' ');
 		const tasks = cluster.taskCounts.get(`${customer} all`) ?? 0;
@@ -106,7 +106,7 @@
 };
 
 /** One report of all workers. */
-export const report = (world: World, now: number) => {
+export const report = (world: Simulation, now: number) => {
 	account(world, now);
 	evictOverfull(world, now);
 	learn(world, now);
--- a/packages/bench/src/benches/placement/run-trace.ts
+++ b/packages/bench/src/benches/placement/run-trace.ts
@@ -7,7 +7,7 @@
 import type {Policy} from './policies.js';
 import {report, reportEveryMs} from './reports.js';
 import type {Deployment, TraceJob} from './trace.js';
-import {createWorld, type Counts} from './world.js';
+import {createSimulation, type Counts} from './simulation.js';
 
 const hourMs = 3_600_000;
 
@@ -23,7 +23,7 @@
 	trace: readonly TraceJob[],
 	policy: Policy,
 ): PlacementFigures => {
-	const world = createWorld(deployment, policy);
+	const world = createSimulation(deployment, policy);
 	for (const job of trace) {
 		world.queue.add(job.submittedAt, (now) => {
 			submit(world, job, now);
--- a/packages/bench/src/benches/placement/world.ts
+++ b/packages/bench/src/benches/placement/simulation.ts
@@ -40,7 +40,7 @@
 };
 
 /** One run under way. */
-export type World = {
+export type Simulation = {
 	readonly deployment: Deployment;
 	readonly policy: Policy;
 	readonly cluster: core.placement.Cluster;
@@ -49,7 +49,7 @@
 	readonly throttled: Set<string>;
 	readonly pending: Map<string, TraceJob>;
 	readonly histories: Map<string, core.placement.UsageHistory>;
-	readonly habits: Map<string, core.placement.CustomerUsageModel>;
+	readonly usageModels: Map<string, core.placement.CustomerUsageModel>;
 	/** When a job of each customer last started. */
 	readonly lastStarts: Map<string, number>;
 	readonly starved: Set<string>;
@@ -70,7 +70,10 @@
 });
 
 /** A world in which nothing runs yet. */
-export const createWorld = (deployment: Deployment, policy: Policy): World => {
+export const createSimulation = (
+	deployment: Deployment,
+	policy: Policy,
+): Simulation => {
 	const quota = getQuota(deployment);
 	const customers = Array.from(
 		{length: deployment.customers},
@@ -85,7 +88,7 @@
 		throttled: new Set(),
 		pending: new Map(),
 		histories: new Map(),
-		habits: new Map(),
+		usageModels: new Map(),
 		lastStarts: new Map(),
 		starved: new Set(),
 		quota,
@@ -140,18 +143,18 @@
 };
 
 /** What the run's way expects of a job now. */
-export const estimate = (world: World, job: TraceJob) =>
+export const estimate = (world: Simulation, job: TraceJob) =>
 	limitToWorker(
 		world.policy.estimate(
 			job,
 			world.histories.get(job.id),
-			world.habits.get(job.customer),
+			world.usageModels.get(job.customer),
 		),
 		world.deployment,
 	);
 
 /** Takes a job off its worker. */
-export const stop = (world: World, id: string): Running | undefined => {
+export const stop = (world: Simulation, id: string): Running | undefined => {
 	const task = world.running.get(id);
 	world.running.delete(id);
 	world.throttled.delete(id);
--- a/packages/bench/src/benches/rollout.ts
+++ b/packages/bench/src/benches/rollout.ts
@@ -3,7 +3,7 @@
 import type {Bench, Figures} from '../frame/types.js';
 import {getQuantile} from './agreement/quantile.js';
 import {runRollout} from './rollout/run-rollout.js';
-import type {RolloutOptions, RolloutResult} from './rollout/world.js';
+import type {RolloutOptions, RolloutResult} from './rollout/simulation.js';
 
 const changes = 1000;
 
--- a/packages/bench/src/benches/rollout/entry.ts
+++ b/packages/bench/src/benches/rollout/entry.ts
@@ -5,27 +5,27 @@
 import {
 	counterBytes,
 	send,
-	stayAwake,
+	waitWhilePaused,
 	type Entry,
-	type World,
-} from './world.js';
+	type Simulation,
+} from './simulation.js';
 
 /** Tells those who wait for it what is in force. */
-export const sendAcknowledgements = (world: World, entry: Entry) => {
+export const sendAcknowledgements = (world: Simulation, entry: Entry) => {
 	const {view} = entry.followed;
 	entry.sequence += 1;
 	const router = {routedRevision: view.revision, inFlight: new Map()};
 	const ack = core.acknowledgement.createAcknowledgement(
-		entry.life,
+		entry.incarnation,
 		entry.sequence,
 		{view, router},
 	);
-	entry.heard.set(ack.entry, ack);
+	entry.receivedAcknowledgements.set(ack.entry, ack);
 	for (const index of entry.awaitedBy) {
 		const peer = world.nodes[index]!;
 		void send(world, peer, JSON.stringify(ack).length, () => {
-			const known = peer.heard.get(ack.entry);
-			peer.heard.set(
+			const known = peer.receivedAcknowledgements.get(ack.entry);
+			peer.receivedAcknowledgements.set(
 				ack.entry,
 				known
 					? core.acknowledgement.chooseNewerAcknowledgement(known, ack)
@@ -50,7 +50,7 @@
 
 /** Puts deltas in force. */
 export const applyDeltas = (
-	world: World,
+	world: Simulation,
 	entry: Entry,
 	deltas: readonly viewChange.ViewDelta[],
 ) => {
@@ -70,18 +70,18 @@
 	}
 };
 
-const readLog = async (world: World, entry: Entry) => {
+const readLog = async (world: Simulation, entry: Entry) => {
 	world.counts.reads += 1;
 	const {revision} = entry.followed.view;
 	const deltas = await world.link(() => world.log.slice(revision));
 	if (deltas.ok) {
 		world.counts.storeBytes += JSON.stringify(deltas.value).length;
-		await stayAwake(world, entry);
+		await waitWhilePaused(world, entry);
 		applyDeltas(world, entry, deltas.value);
 	}
 };
 
-const poll = async (world: World, entry: Entry) => {
+const poll = async (world: Simulation, entry: Entry) => {
 	if (entry.isPolling) {
 		return;
 	}
@@ -107,14 +107,14 @@
 };
 
 /** Starts the periodic work of an entry. */
-export const startEntry = (world: World, entry: Entry) => {
+export const startEntry = (world: Simulation, entry: Entry) => {
 	const {clock, random, counts} = world;
 	const periods = core.periods.getPeriods(world.entries);
 	const heartbeatBytes = getHeartbeatBytes(world.entries);
 	const repeat = async (periodMs: number, step: () => Promise<void>) => {
 		await clock.sleep(random() * periodMs);
 		while (!world.isDone) {
-			await stayAwake(world, entry);
+			await waitWhilePaused(world, entry);
 			await step();
 			await clock.sleep(periodMs * (0.75 + 0.5 * random()));
 		}
--- a/packages/bench/src/benches/rollout/operator.ts
+++ b/packages/bench/src/benches/rollout/operator.ts
@@ -3,38 +3,42 @@
 import type {Contract, registration, viewChange} from '@gullstand/core';
 import {drawBelow, drawExponential} from '../../frame/random.js';
 import {applyDeltas, sendAcknowledgements} from './entry.js';
-import {createContract, send, type Entry, type World} from './world.js';
+import {
+	createContract,
+	send,
+	type Entry,
+	type Simulation,
+} from './simulation.js';
 
 /** Customers whose contracts are changed. */
 export const customers = ['north', 'south', 'east', 'west', 'centre'];
 
 /** The row of a registered entry that has acknowledged nothing. */
 export const createRegistration = ({
-	life,
+	incarnation,
 }: Entry): registration.Registration => ({
 	address: '',
 	availabilityZone: '',
 	upMs: 0,
 	heard: [],
 	quorum: [],
-	acknowledged: {...life, sequence: 0, inForce: 0, holding: []},
+	acknowledged: {...incarnation, sequence: 0, inForce: 0, holding: []},
 });
 
 const isInForce = (
-	{registrations}: World,
-	{heard}: Entry,
+	{registrations}: Simulation,
+	{receivedAcknowledgements}: Entry,
 	revision: number,
 ): boolean =>
 	core.pendingAcknowledgements.listPendingAcknowledgements(
 		registrations,
-		heard,
+		receivedAcknowledgements,
 		{revision},
-	)
-		.length === 0;
+	).length === 0;
 
 /** Offers a change to every peer again until all have acknowledged. */
 const announce = async (
-	world: World,
+	world: Simulation,
 	index: number,
 	delta: viewChange.ViewDelta,
 ) => {
@@ -68,18 +72,19 @@
 
 const offerAgainMs = 500;
 
-const listWaitedFor = ({nodes}: World, entry: Entry, revision: number) =>
+const listWaitedFor = ({nodes}: Simulation, entry: Entry, revision: number) =>
 	nodes.filter(
 		(peer) =>
 			peer !== entry &&
-			(entry.heard.get(peer.life.entry)?.inForce ?? 0) < revision,
+			(entry.receivedAcknowledgements.get(peer.incarnation.entry)?.inForce ??
+				0) < revision,
 	);
 
 type Attempt = 'accepted' | 'refused' | 'unknown';
 
 /** One attempt of one change; a race for the counter alone is tried again. */
 const commit = async (
-	world: World,
+	world: Simulation,
 	id: string,
 	customer: string,
 ): Promise<Attempt> => {
@@ -118,7 +123,7 @@
 	return reply.value ? 'accepted' : 'refused';
 };
 
-const readBack = async (world: World, id: string): Promise<Attempt> => {
+const readBack = async (world: Simulation, id: string): Promise<Attempt> => {
 	for (;;) {
 		world.counts.reads += 1;
 		const found = await world.link(() =>
@@ -131,7 +136,7 @@
 };
 
 /** Changes contracts until enough are accepted. */
-export const runOperator = async (world: World, name: number) => {
+export const runOperator = async (world: Simulation, name: number) => {
 	const {clock, random, acceptedIds, counts, log} = world;
 	for (let index = 0; acceptedIds.size < world.changes; index += 1) {
 		await clock.sleep(drawExponential(random, world.meanGapMs));
--- a/packages/bench/src/benches/rollout/run-rollout.ts
+++ b/packages/bench/src/benches/rollout/run-rollout.ts
@@ -11,14 +11,14 @@
 	type Entry,
 	type RolloutOptions,
 	type RolloutResult,
-	type World,
-} from './world.js';
+	type Simulation,
+} from './simulation.js';
 
 const operators = 4;
 
 const pauseMs = 30_000;
 
-const runPauses = async (world: World) => {
+const runPauses = async (world: Simulation) => {
 	while (!world.isDone) {
 		await world.clock.sleep(2 * pauseMs);
 		const entry = world.nodes[drawBelow(world.random, world.entries)]!;
@@ -27,17 +27,17 @@
 };
 
 const createEntry = (index: number): Entry => ({
-	life: {entry: `e${index}`, incarnation: 'a'},
+	incarnation: {entry: `e${index}`, incarnation: 'a'},
 	followed: core.followedView.emptyFollowedView,
 	sequence: 0,
 	pausedUntil: 0,
 	awaitedBy: new Set(),
-	heard: new Map(),
+	receivedAcknowledgements: new Map(),
 	reverted: 0,
 	isPolling: false,
 });
 
-const createWorld = (options: RolloutOptions): World => {
+const createWorld = (options: RolloutOptions): Simulation => {
 	const random = createRandom(options.seed);
 	const clock = createClock();
 	const data = createStore();
@@ -64,7 +64,7 @@
 	};
 };
 
-const countLost = ({acceptedIds, log, nodes}: World): number => {
+const countLost = ({acceptedIds, log, nodes}: Simulation): number => {
 	const ids = new Set(log.map(({id}) => id));
 	const missing = [...acceptedIds].filter((id) => !ids.has(id)).length;
 	const behind = nodes.filter(
--- a/packages/bench/src/benches/rollout/world.ts
+++ b/packages/bench/src/benches/rollout/simulation.ts
@@ -44,18 +44,21 @@
 
 /** One entry. */
 export type Entry = {
-	readonly life: acknowledgement.EntryIncarnation;
+	readonly incarnation: acknowledgement.EntryIncarnation;
 	followed: followedView.FollowedView;
 	sequence: number;
 	pausedUntil: number;
 	readonly awaitedBy: Set<number>;
-	readonly heard: Map<string, acknowledgement.Acknowledgement>;
+	readonly receivedAcknowledgements: Map<
+		string,
+		acknowledgement.Acknowledgement
+	>;
 	reverted: number;
 	isPolling: boolean;
 };
 
 /** Everything that a run shares. */
-export type World = RolloutOptions & {
+export type Simulation = RolloutOptions & {
 	readonly random: Random;
 	readonly clock: Clock;
 	readonly data: Store;
@@ -91,7 +94,7 @@
 });
 
 /** Waits while the entry is paused. */
-export const stayAwake = async ({clock}: World, entry: Entry) => {
+export const waitWhilePaused = async ({clock}: Simulation, entry: Entry) => {
 	while (entry.pausedUntil > clock.now()) {
 		await clock.sleep(entry.pausedUntil - clock.now());
 	}
@@ -99,7 +102,7 @@
 
 /** Brings a message to a peer, which handles it when it is awake. */
 export const send = async (
-	world: World,
+	world: Simulation,
 	to: Entry,
 	bytes: number,
 	handle: () => void,
@@ -107,7 +110,7 @@
 	world.counts.peerBytes += frameBytes + bytes;
 	await world.clock.sleep(1 + 2 * world.random());
 	if (world.random() >= world.lostMessages) {
-		await stayAwake(world, to);
+		await waitWhilePaused(world, to);
 		handle();
 	}
 };
--- a/packages/bench/src/benches/wave/fleet.ts
+++ b/packages/bench/src/benches/wave/fleet.ts
@@ -11,7 +11,7 @@
 } from '../../frame/random.js';
 import {createEventQueue, type EventQueue} from './event-queue.js';
 import {createJobSource, type Job, type JobSource} from './jobs.js';
-import type {LogEvent} from './judge.js';
+import type {LogEvent} from './log-checker.js';
 import {createWorker, isUp, type Worker} from './worker.js';
 import {
 	createInstances,
@@ -43,7 +43,7 @@
 		repeatedCoreHours: number;
 		unknownJobs: number;
 	};
-	advise: (id: string, hasMoved: boolean) => waves.PlacementAdvice;
+	getAdvice: (id: string, hasMoved: boolean) => waves.PlacementAdvice;
 	now: number;
 };
 
@@ -62,7 +62,7 @@
 			listed: worker.isListed ? ('live' as const) : ('absent' as const),
 			incarnationBefore: String(worker.incarnationAtTake),
 			incarnation: String(worker.listedIncarnation),
-			probesPassed: isUp(worker) && fleet.now >= worker.provedAt ? 3 : 0,
+			probesPassed: isUp(worker) && fleet.now >= worker.probesPassFrom ? 3 : 0,
 		};
 	},
 	get coresFree() {
@@ -131,7 +131,7 @@
 	let best: Worker | undefined;
 	let bestRank = 2;
 	for (const worker of fleet.byPool.get(job.pool)!) {
-		const rank = ranks[fleet.advise(worker.instance.id, job.hasMoved)];
+		const rank = ranks[fleet.getAdvice(worker.instance.id, job.hasMoved)];
 		const fits =
 			isUp(worker) &&
 			worker.instance.state === 'serving' &&
@@ -271,7 +271,7 @@
 	const {instance, services} = worker;
 	requeueJobs(fleet, worker);
 	worker.incarnation += 1;
-	worker.provedAt = fleet.now + minuteMs;
+	worker.probesPassFrom = fleet.now + minuteMs;
 	fleet.log.push({kind: 'up', instance: instance.id, services});
 	showLater(fleet, worker);
 };
@@ -350,7 +350,7 @@
 		source: createJobSource(random, size.teams),
 		waiting: new Map(),
 		figures: {finished: 0, queuedMs: 0, repeatedCoreHours: 0, unknownJobs: 0},
-		advise: () => 'good',
+		getAdvice: () => 'good',
 		now: 0,
 	};
 	for (const instance of instances) {
--- a/packages/bench/src/benches/wave/judge.ts
+++ b/packages/bench/src/benches/wave/log-checker.ts
@@ -117,7 +117,7 @@
 });
 
 /** Reads a log from its beginning. */
-export const judgeLog = (log: readonly LogEvent[]): Verdict => {
+export const checkLog = (log: readonly LogEvent[]): Verdict => {
 	const verdict: Verdict = {
 		takes: 0,
 		overMaxAway: 0,
--- a/packages/bench/src/benches/wave/plan.ts
+++ b/packages/bench/src/benches/wave/plan.ts
@@ -1,6 +1,6 @@
 /** How a wave is run in a bench, and what the run gave. */
 import type {waves} from '@gullstand/core';
-import type {Verdict} from './judge.js';
+import type {Verdict} from './log-checker.js';
 
 /** How the wave is run. */
 export type Plan = {
--- a/packages/bench/src/benches/wave/run.ts
+++ b/packages/bench/src/benches/wave/run.ts
@@ -9,7 +9,7 @@
 	submitJob,
 	type Fleet,
 } from './fleet.js';
-import {judgeLog} from './judge.js';
+import {checkLog} from './log-checker.js';
 import type {Outcome, Plan} from './plan.js';
 import {isUp, type Worker} from './worker.js';
 
@@ -328,7 +328,7 @@
 	const {wave, counts} = progress;
 	const hours = ((wave.endedAt ?? fleet.now) - wave.startedAt!) / hourMs;
 	return {
-		...judgeLog(fleet.log),
+		...checkLog(fleet.log),
 		hours,
 		hoursToMost: ((run.mostDoneAt ?? fleet.now) - wave.startedAt!) / hourMs,
 		days: hours / 24,
@@ -352,10 +352,10 @@
 	const run = createRun(fleet, plan);
 	const {progress} = run;
 	if (plan.targets === 'done') {
-		fleet.advise = (id, hasMoved) =>
+		fleet.getAdvice = (id, hasMoved) =>
 			waves.getPlacementAdvice(progress, id, hasMoved);
 	} else {
-		fleet.advise = (id) =>
+		fleet.getAdvice = (id) =>
 			waves.getPlacementAdvice(progress, id) === 'never' ? 'never' : 'good';
 	}
 
--- a/packages/bench/src/benches/wave/worker.ts
+++ b/packages/bench/src/benches/wave/worker.ts
@@ -18,7 +18,7 @@
 	isListed: boolean;
 	incarnationAtTake: number;
 	drainedAt: number;
-	provedAt: number;
+	probesPassFrom: number;
 };
 
 /** True if the worker runs. */
@@ -38,5 +38,5 @@
 	isListed: true,
 	incarnationAtTake: 0,
 	drainedAt: 0,
-	provedAt: 0,
+	probesPassFrom: 0,
 });
--- a/packages/bench/src/judges/change-judges.ts
+++ b/packages/bench/src/checkers/change-checkers.ts
@@ -1,5 +1,5 @@
 /** Judge of contract changes: what entries answer, probed from outside. */
-import type {Judge, ProbeRecord} from './records.js';
+import type {Checker, ProbeRecord} from './records.js';
 
 /** Time within which an accepted change is in force everywhere. */
 export const inForceBoundMs = 15_000;
@@ -18,7 +18,7 @@
 };
 
 /** An accepted change is in force everywhere in time and never reverts. */
-export const judgeChanges: Judge = ({probes, acceptances}) => {
+export const checkChanges: Checker = ({probes, acceptances}) => {
 	const violations: string[] = [];
 	for (const [entry, group] of groupByEntry(probes)) {
 		let highest = 0;
--- a/packages/bench/src/judges/judges.test.ts
+++ b/packages/bench/src/checkers/checkers.test.ts
@@ -1,7 +1,7 @@
 /** Each judge passes a sound record and catches a broken one. */
 import * as tap from 'tap';
 import type {Contract, Instance, InstanceState, Service} from '@gullstand/core';
-import {judgedProperties} from './judges.js';
+import {checkedProperties} from '../checkers/checkers.js';
 import {
 	emptyRecords,
 	type AnswerRecord,
@@ -231,15 +231,15 @@
 
 for (const [property, name, records, violations] of table) {
 	tap.t.test(`${property}: ${name}`, async (t) => {
-		const judged = judgedProperties.find((each) => each.property === property);
-		const verdict = judged?.judge({...emptyRecords, ...records});
+		const judged = checkedProperties.find((each) => each.property === property);
+		const verdict = judged?.checkRecords({...emptyRecords, ...records});
 		t.equal(verdict?.violations.length, violations);
 		t.ok(verdict && verdict.checked > 0, 'something was checked');
 	});
 }
 
 tap.t.test('every judge is shown to catch', async (t) => {
-	for (const {property} of judgedProperties) {
+	for (const {property} of checkedProperties) {
 		const counts = table.filter((each) => each[0] === property);
 		t.ok(counts.some((each) => each[3] > 0));
 		t.ok(counts.some((each) => each[3] === 0));
--- a/packages/bench/src/judges/judges.ts
+++ b/packages/bench/src/checkers/checkers.ts
@@ -1,56 +1,56 @@
 /** One judge for each line of the brief's "What must always hold". */
-import * as change from './change-judges.js';
-import * as instance from './instance-judges.js';
-import type {Judge} from './records.js';
-import * as request from './request-judges.js';
+import * as change from '../checkers/change-checkers.js';
+import * as instance from '../checkers/instance-checkers.js';
+import * as request from '../checkers/request-checkers.js';
+import type {Checker} from './records.js';
 
 /** A property, its judge and the records that it reads. */
-export type JudgedProperty = {
+export type CheckedProperty = {
 	readonly property: string;
-	readonly judge: Judge;
+	readonly checkRecords: Checker;
 	readonly reads: string;
 };
 
 /** All judges, in the order of the brief. */
-export const judgedProperties: readonly JudgedProperty[] = [
+export const checkedProperties: readonly CheckedProperty[] = [
 	{
 		property: 'no availability budget is overspent',
-		judge: instance.judgeBudgets,
+		checkRecords: instance.checkBudgets,
 		reads: "the store's history, losses",
 	},
 	{
 		property: 'each instance belongs to exactly one pool',
-		judge: instance.judgeOnePool,
+		checkRecords: instance.checkOnePool,
 		reads: "the store's history, executors' logs",
 	},
 	{
 		property: 'whole answers to their own requests',
-		judge: request.judgeWholeAnswers,
+		checkRecords: request.checkWholeAnswers,
 		reads: "callers' answers",
 	},
 	{
 		property: 'told not-run means not run',
-		judge: request.judgeNotRun,
+		checkRecords: request.checkNotRun,
 		reads: "callers' answers, executors' logs",
 	},
 	{
 		property: 'what may not be repeated runs at most once',
-		judge: request.judgeAtMostOnce,
+		checkRecords: request.checkAtMostOnce,
 		reads: "executors' logs",
 	},
 	{
 		property: 'a leaving upstream receives no new work',
-		judge: instance.judgeLeaving,
+		checkRecords: instance.checkLeaving,
 		reads: "the store's history, executors' logs",
 	},
 	{
 		property: 'a planned stop cuts off no request',
-		judge: instance.judgeGracefulStops,
+		checkRecords: instance.checkGracefulStops,
 		reads: "the platform's reboots, executors' logs",
 	},
 	{
 		property: 'an accepted change is in force and never reverts',
-		judge: change.judgeChanges,
+		checkRecords: change.checkChanges,
 		reads: "operators' acceptances, callers' probes",
 	},
 ];
--- a/packages/bench/src/judges/instance-judges.ts
+++ b/packages/bench/src/checkers/instance-checkers.ts
@@ -1,6 +1,6 @@
 /** Judges of instances: the platform's records against executors' logs. */
 import type {Contract, Instance, Service} from '@gullstand/core';
-import type {Judge, Records, RunRecord, StoreRecord} from './records.js';
+import type {Checker, Records, RunRecord, StoreRecord} from './records.js';
 
 /** Time after which a leaving upstream receives no new work. */
 export const leavingBoundMs = 3000;
@@ -66,7 +66,7 @@
 });
 
 /** No planned step takes an instance that a budget does not allow. */
-export const judgeBudgets: Judge = ({store, losses}) => {
+export const checkBudgets: Checker = ({store, losses}) => {
 	const fleet = createFleet();
 	const violations: string[] = [];
 	let checked = 0;
@@ -115,7 +115,7 @@
 	previous.state === 'serving';
 
 /** An instance runs requests of the one pool that it belongs to. */
-export const judgeOnePool: Judge = (records) => {
+export const checkOnePool: Checker = (records) => {
 	const rows = listInstanceRecords(records);
 	const violations: string[] = [];
 	const known = new Map<string, Instance>();
@@ -162,7 +162,7 @@
 };
 
 /** An upstream that is leaving gets no new work after a few seconds. */
-export const judgeLeaving: Judge = (records) => {
+export const checkLeaving: Checker = (records) => {
 	const leaves = listLeaves(listInstanceRecords(records));
 	const isLate = (run: RunRecord, leave: Leave) =>
 		run.executor === leave.instance &&
@@ -177,7 +177,7 @@
 };
 
 /** A planned stop cuts off no request in flight. */
-export const judgeGracefulStops: Judge = ({reboots, runs}) => ({
+export const checkGracefulStops: Checker = ({reboots, runs}) => ({
 	checked: reboots.length,
 	violations: reboots.flatMap(({at, instance}) =>
 		runs
--- a/packages/bench/src/judges/records.ts
+++ b/packages/bench/src/checkers/records.ts
@@ -94,4 +94,4 @@
 };
 
 /** Holds records against one property. */
-export type Judge = (records: Records) => Verdict;
+export type Checker = (records: Records) => Verdict;
--- a/packages/bench/src/judges/request-judges.ts
+++ b/packages/bench/src/checkers/request-checkers.ts
@@ -1,5 +1,5 @@
 /** Judges of requests: executors' logs against what callers were told. */
-import type {Judge} from './records.js';
+import type {Checker} from './records.js';
 
 const countBy = <Item>(
 	items: readonly Item[],
@@ -17,7 +17,7 @@
 };
 
 /** A caller receives the whole answer to its own request. */
-export const judgeWholeAnswers: Judge = ({answers}) => {
+export const checkWholeAnswers: Checker = ({answers}) => {
 	const received = answers.filter((each) => each.isExecutorAnswer);
 	return {
 		checked: received.length,
@@ -28,7 +28,7 @@
 };
 
 /** A request that its caller was told did not run, truly did not run. */
-export const judgeNotRun: Judge = ({answers, runs}) => {
+export const checkNotRun: Checker = ({answers, runs}) => {
 	const ran = new Set(runs.map((each) => each.requestId));
 	const told = answers.filter((each) => each.outcome === 'not-run');
 	return {
@@ -40,7 +40,7 @@
 };
 
 /** What may not be repeated runs at most once. */
-export const judgeAtMostOnce: Judge = ({runs}) => {
+export const checkAtMostOnce: Checker = ({runs}) => {
 	const counts = [...countBy(runs, (each) => each.key)];
 	return {
 		checked: counts.length,
