--- a/packages/bench/src/benches/at-most-once.test.ts
+++ b/packages/bench/src/benches/at-most-once.test.ts
@@ -10,7 +10,7 @@
 
 type Rule = keyof Verdict;
 
-/** What the judge must find in each broken variant. */
+/** Rules whose violation the checker must find in each variant. */
 const variants: Array<[VariantName, Rule[]]> = [
 	['correct', []],
 	['dispatches-on-timeout', ['keysRunTwice']],
@@ -26,7 +26,7 @@
 ];
 
 for (const [name, broken] of variants) {
-	tap.t.test(`the judge on: ${name}`, async (t) => {
+	tap.t.test(`finds violations of the variant ${name}`, async (t) => {
 		const verdict = await countBroken(name, 1);
 		for (const rule of broken) {
 			t.ok(verdict[rule] > 0, `${rule}: ${verdict[rule]}`);
@@ -43,7 +43,7 @@
 	at,
 	answer: `answer ${sending}`,
 });
-const told = (
+const result = (
 	sending: number,
 	at: number,
 	outcome: SendResult['outcome'],
@@ -63,66 +63,71 @@
 
 const table: Array<[string, Run[], SendResult[], Partial<Verdict>]> = [
 	['nothing', [], [], {}],
-	['told ran', [run(1, 5)], [told(1, 9, 'ran', {answer: 'answer 1'})], {}],
+	[
+		'answered ran after a run',
+		[run(1, 5)],
+		[result(1, 9, 'ran', {answer: 'answer 1'})],
+		{},
+	],
 	[
 		'the answer of another run',
 		[run(1, 5)],
-		[told(1, 9, 'ran', {answer: 'answer 2'})],
+		[result(1, 9, 'ran', {answer: 'answer 2'})],
 		{wrongAnswers: 1},
 	],
-	['told ran without a run', [], [told(1, 9, 'ran')], {wrongAnswers: 1}],
+	['answered ran without a run', [], [result(1, 9, 'ran')], {wrongAnswers: 1}],
 	[
 		'a key run twice',
 		[run(1, 5), run(2, 6)],
-		[told(1, 9, 'unknown'), told(2, 9, 'unknown')],
+		[result(1, 9, 'unknown'), result(2, 9, 'unknown')],
 		{keysRunTwice: 1},
 	],
 	[
 		'a key run again after its retention',
 		[run(1, 5), run(2, 105)],
-		[told(1, 9, 'unknown'), told(2, 109, 'unknown')],
+		[result(1, 9, 'unknown'), result(2, 109, 'unknown')],
 		{},
 	],
 	[
-		'told not-run, and ran later',
+		'answered not-run, and ran later',
 		[run(1, 20)],
-		[told(1, 9, 'not-run')],
+		[result(1, 9, 'not-run')],
 		{notRunThatRan: 1, notRunKeysThatRan: 1},
 	],
 	[
-		'a repeat told not-run after the run',
+		'a repeat answered not-run after the run',
 		[run(1, 5)],
-		[told(1, 9, 'unknown'), told(2, 10, 'not-run')],
+		[result(1, 9, 'unknown'), result(2, 10, 'not-run')],
 		{notRunAfterRun: 1},
 	],
 	[
-		'another request told not-run under the key',
+		'another request answered not-run under the key',
 		[run(1, 5)],
-		[told(1, 9, 'unknown'), told(2, 10, 'not-run', {error: 'key-reused'})],
+		[result(1, 9, 'unknown'), result(2, 10, 'not-run', {error: 'key-reused'})],
 		{},
 	],
 	[
-		'a repeat told not-run before the run, which hears of it later',
+		'a repeat answered not-run before the run, received later',
 		[run(1, 15)],
-		[told(2, 20, 'not-run', {decidedAt: 14}), told(1, 19, 'unknown')],
+		[result(2, 20, 'not-run', {decidedAt: 14}), result(1, 19, 'unknown')],
 		{},
 	],
 	[
-		'a repeat told not-run at the time of the run',
+		'a repeat answered not-run at the time of the run',
 		[run(1, 15)],
-		[told(2, 20, 'not-run', {decidedAt: 15}), told(1, 19, 'unknown')],
+		[result(2, 20, 'not-run', {decidedAt: 15}), result(1, 19, 'unknown')],
 		{notRunAfterRun: 1},
 	],
 	[
-		'a repeat told not-run before the run',
+		'a repeat answered not-run before the run',
 		[run(1, 15)],
-		[told(2, 10, 'not-run'), told(1, 19, 'unknown')],
+		[result(2, 10, 'not-run'), result(1, 19, 'unknown')],
 		{},
 	],
 ];
 
 for (const [name, log, replies, expected] of table) {
-	tap.t.test(`judged: ${name}`, async (t) => {
+	tap.t.test(`checks the log: ${name}`, async (t) => {
 		const verdict = checkLog(log, replies, 100);
 		const broken = Object.fromEntries(
 			Object.entries(verdict).filter(([, count]) => count > 0),
--- a/packages/bench/src/benches/at-most-once.ts
+++ b/packages/bench/src/benches/at-most-once.ts
@@ -1,6 +1,6 @@
 /**
- * At-most-once requests under repeats, store faults and killed entries, and
- * what they cost. Issue 3, item 4; docs/design/at-most-once.md.
+ * `bench at-most-once`: at-most-once requests under repeats, store faults and
+ * killed entries, and their cost. See docs/design/at-most-once.md.
  */
 import * as core from '@gullstand/core';
 import * as daemon from '@gullstand/daemon';
@@ -29,7 +29,7 @@
 	readonly executors: readonly ExecutorKind[];
 };
 
-/** Amounts that show each broken variant; a test runs them. */
+/** Amounts for the test, enough to reveal each broken variant. */
 const smallAmounts: Amounts = {
 	faultyCalls: 2,
 	randomRuns: 8,
@@ -107,7 +107,7 @@
 	return {kills, pauses, random};
 };
 
-/** Counts each rule broken, over the scenarios of a variant. */
+/** Counts the violations of each rule over the scenarios of a variant. */
 export const countBroken = async (
 	name: VariantName,
 	seed: number,
@@ -116,7 +116,7 @@
 	return sumVerdicts(Object.values(sums));
 };
 
-/** Random runs where an outage is told `not-run`, as the first design had it. */
+/** Random runs in which requests in an outage are answered `not-run`. */
 const runNotRunInOutage = async (seed: number, runs: number): Promise<Sum> => {
 	const sum = createSum();
 	for (let run = 0; run < runs; run++) {
@@ -130,7 +130,7 @@
 
 type Outage = {readonly figures: Figures; readonly longestMs: number};
 
-/** Sends fresh requests into each kind of outage. */
+/** Sends new requests during each kind of outage. */
 const runOutages = async (): Promise<Outage> => {
 	const figures: Record<string, number> = {};
 	let longestMs = 0;
@@ -139,10 +139,10 @@
 			continue;
 		}
 
-		const told = await scenarios.runOutage(fault, variants.correct);
-		const refused = told.filter(({outcome}) => outcome !== 'ran');
-		const longest = Math.max(...told.map(({tookMs}) => tookMs));
-		figures[`${fault}: requests`] = told.length;
+		const results = await scenarios.runOutage(fault, variants.correct);
+		const refused = results.filter(({outcome}) => outcome !== 'ran');
+		const longest = Math.max(...results.map(({tookMs}) => tookMs));
+		figures[`${fault}: requests`] = results.length;
 		figures[`${fault}: refused`] = refused.length;
 		figures[`${fault}: longest ms`] = Math.round(longest);
 		longestMs = Math.max(longestMs, longest);
@@ -153,7 +153,7 @@
 
 const loads = [50, 200, 600];
 
-/** Costs with and without group commit, at several rates. */
+/** Measures the cost with and without group commit at several rates. */
 const runLoads = async (
 	seed: number,
 	seconds: number,
@@ -228,7 +228,7 @@
 	};
 };
 
-/** The bench of at-most-once requests. */
+/** The at-most-once bench. */
 export const bench: Bench = {
 	name: 'at-most-once',
 	summary: 'non-repeatable requests under repeats, store faults and kills',
--- a/packages/bench/src/benches/at-most-once/executor.ts
+++ b/packages/bench/src/benches/at-most-once/executor.ts
@@ -1,17 +1,17 @@
-/** The executor of the bench; its log of what ran is the judge's evidence. */
+/** The executor of the bench; the checker reads its log of runs. */
 import {Buffer} from 'node:buffer';
 import type * as core from '@gullstand/core';
 import {type EntryProcess, type StepContext, passStep} from './steps.js';
 
 type RunResult = core.idempotency.RunResult;
 
-/** How the executor meets a request. */
+/** Behaviours of the executor. */
 export const executorKinds = [
 	'answers',
 	'answers-large',
-	/** Refuses as its settings declare. */
+	/** Sends a refusal that its service declares. */
 	'refuses',
-	/** No connection: no byte is sent. */
+	/** No connection; no byte is sent. */
 	'unreachable',
 	/** Runs, and the connection is reset before the answer. */
 	'runs-then-resets',
@@ -21,24 +21,23 @@
 	'runs-late',
 ] as const;
 
-/** Kind of executor. */
 export type ExecutorKind = (typeof executorKinds)[number];
 
-/** One run of a request. */
+/** Log entry of one run of a request. */
 export type Run = {
 	readonly key: string;
-	/** The sending whose dispatch ran. */
+	/** The sending whose dispatch started the run. */
 	readonly sending: number;
 	readonly at: number;
 	readonly answer: string;
 };
 
-/** What a dispatch is for. */
+/** One dispatch of a request. */
 export type Job = {
 	readonly key: string;
 	readonly sending: number;
 	readonly kind: ExecutorKind;
-	/** The connection sends nothing from then on. */
+	/** Time from which the connection sends nothing. */
 	readonly dispatchBy: number;
 };
 
@@ -54,16 +53,16 @@
 		: text;
 };
 
-/** Meets one request; `log` gets a line whenever it really runs. */
+/** Dispatches one request; every run is appended to `log`. */
 export const dispatchJob = async (
 	context: StepContext,
-	life: EntryProcess,
+	entryProcess: EntryProcess,
 	log: Run[],
 	job: Job,
 ): Promise<RunResult> => {
 	const {clock} = context;
 	const {key, sending} = job;
-	await passStep(context, life);
+	await passStep(context, entryProcess);
 	if (clock.getNow() >= job.dispatchBy) {
 		return {kind: 'refused', error: 'deadline-in-queue'};
 	}
@@ -79,7 +78,7 @@
 		result: RunResult,
 	): Promise<RunResult> => {
 		await clock.wait(delayMs);
-		await passStep(context, life);
+		await passStep(context, entryProcess);
 		return result;
 	};
 
--- a/packages/bench/src/benches/at-most-once/load.ts
+++ b/packages/bench/src/benches/at-most-once/load.ts
@@ -1,4 +1,4 @@
-/** Cost of at-most-once requests: writes, reads and added delay. */
+/** Measures the cost of at-most-once requests: store calls and delay. */
 import * as daemon from '@gullstand/daemon';
 import {createRandom, drawBelow, drawExponential} from '../../frame/random.js';
 import type {Figures} from '../../frame/types.js';
@@ -9,7 +9,7 @@
 const entryCount = 9;
 const repeatShare = 0.05;
 const deadlineMs = 3000;
-/** One load on all entries together. */
+/** Load on all entries together. */
 export type LoadOptions = {
 	readonly seed: number;
 	readonly requestsPerSecond: number;
@@ -17,7 +17,7 @@
 	readonly group: daemon.idempotency.GroupSettings;
 };
 
-/** Each write is its own transaction, sent at once. */
+/** Settings without group commit: each write is sent at once. */
 export const noGroup: daemon.idempotency.GroupSettings = {
 	...daemon.idempotency.defaultGroupSettings,
 	maxRows: 1,
@@ -32,12 +32,12 @@
 
 const round = (value: number): number => Number(value.toFixed(2));
 
-/** Runs a load without faults and counts what it cost. */
+/** Runs a load without faults and returns its cost. */
 export const runLoad = async (options: LoadOptions): Promise<Figures> => {
 	const {seed, requestsPerSecond, seconds, group} = options;
 	const random = createRandom(seed);
 	const calls: Record<CallKind, number> = {read: 0, commit: 0, put: 0, get: 0};
-	const world = createSimulation({
+	const simulation = createSimulation({
 		entries: entryCount,
 		random,
 		variant: variants.correct,
@@ -56,7 +56,7 @@
 		at += drawExponential(random, 1000 / requestsPerSecond);
 		const sends = random() < repeatShare ? 2 : 1;
 		for (let send = 0; send < sends; send++) {
-			void world.send({
+			void simulation.send({
 				key: `k${index}`,
 				body: 'b',
 				entry: drawBelow(random, entryCount),
@@ -67,8 +67,8 @@
 		}
 	}
 
-	await world.clock.runUntil(at + deadlineMs * 2);
-	const delays = [...world.dispatchDelaysMs].sort((a, b) => a - b);
+	await simulation.clock.runUntil(at + deadlineMs * 2);
+	const delays = [...simulation.dispatchDelaysMs].sort((a, b) => a - b);
 	const commitsPerRequest = calls.commit / count;
 	return {
 		requestsPerSecond,
--- a/packages/bench/src/benches/at-most-once/log-checker.ts
+++ b/packages/bench/src/benches/at-most-once/log-checker.ts
@@ -1,13 +1,13 @@
-/** Judges what callers were told by the executor's own log. */
+/** Checks the answers of callers against the executor's log. */
 import type * as core from '@gullstand/core';
 import type {Run} from './executor.js';
 
-/** What one sending of a request was told; no reply if its entry died. */
+/** Result of one sending of a request; no reply if its entry died. */
 export type SendResult = {
 	readonly sending: number;
 	readonly key: string;
 	readonly body: string;
-	/** When the entry gave the reply; the caller may have it later. */
+	/** When the entry replied; the caller may receive it later. */
 	readonly decidedAt: number;
 	readonly at: number;
 	readonly tookMs: number;
@@ -17,21 +17,20 @@
 	readonly answer: string | undefined;
 };
 
-/** Counts of what must not happen, and of what is worth knowing. */
+/** Violations by rule. */
 export type Verdict = {
-	/** Keys that ran twice within the retention. */
+	/** Keys that ran twice within the retention time. */
 	readonly keysRunTwice: number;
-	/** Sendings told `not-run` whose own dispatch ran. */
+	/** Sendings answered `not-run` whose own dispatch ran. */
 	readonly notRunThatRan: number;
-	/** Keys that ran although each of their sendings was told `not-run`. */
+	/** Keys that ran although all their sendings were answered `not-run`. */
 	readonly notRunKeysThatRan: number;
-	/** `not-run` given after the key had run. */
+	/** `not-run` answers after the key had run. */
 	readonly notRunAfterRun: number;
-	/** Told `ran` without a run, or with another answer than the run's. */
+	/** `ran` answers without a run or with a body that no run produced. */
 	readonly wrongAnswers: number;
 };
 
-/** Verdict of no runs. */
 export const emptyVerdict: Verdict = {
 	keysRunTwice: 0,
 	notRunThatRan: 0,
@@ -40,7 +39,6 @@
 	wrongAnswers: 0,
 };
 
-/** Adds two verdicts. */
 export const addVerdicts = (one: Verdict, two: Verdict): Verdict => ({
 	keysRunTwice: one.keysRunTwice + two.keysRunTwice,
 	notRunThatRan: one.notRunThatRan + two.notRunThatRan,
@@ -54,20 +52,21 @@
 	isCounted: (item: Item) => boolean,
 ): number => items.filter((item) => isCounted(item)).length;
 
-/** True if a reply speaks of a request that the key was not used for. */
-const isOfAnother = (told: SendResult): boolean => told.error === 'key-reused';
+/** True if the reply rejects a request that differs from the first one. */
+const isKeyReused = (result: SendResult): boolean =>
+	result.error === 'key-reused';
 
-/** True if a key ran twice before it could have expired. */
+/** True if a key ran again before it could have expired. */
 const hasRunTwice = (runs: readonly Run[], retentionMs: number): boolean =>
 	runs.some((run, index) => {
-		const before = runs[index - 1];
-		return before !== undefined && run.at - before.at < retentionMs;
+		const previous = runs[index - 1];
+		return previous !== undefined && run.at - previous.at < retentionMs;
 	});
 
-/** Judges one run of a scenario. Runs stand in the log in order of time. */
+/** Checks one run of a scenario; the log is in order of time. */
 export const checkLog = (
 	log: readonly Run[],
-	told: readonly SendResult[],
+	results: readonly SendResult[],
 	retentionMs: number,
 ): Verdict => {
 	const runsOf = new Map<string, Run[]>();
@@ -78,15 +77,15 @@
 	const hasRunBy = ({key, decidedAt}: SendResult) =>
 		runsOf.get(key)?.some((run) => run.at <= decidedAt) ?? false;
 	const ranSendings = new Set(log.map(({sending}) => sending));
-	const notRun = told.filter(({outcome}) => outcome === 'not-run');
-	const late = notRun.filter((each) => !isOfAnother(each) && hasRunBy(each));
+	const notRun = results.filter(({outcome}) => outcome === 'not-run');
+	const late = notRun.filter((each) => !isKeyReused(each) && hasRunBy(each));
 	const isWrong = (each: SendResult) =>
 		each.outcome === 'ran' &&
 		!(runsOf.get(each.key) ?? []).some(
 			({answer}) => each.answer === undefined || each.answer === answer,
 		);
 	const wereAllNotRun = (key: string) => {
-		const ofKey = told.filter((each) => each.key === key);
+		const ofKey = results.filter((each) => each.key === key);
 		return ofKey.every(({outcome}) => outcome === 'not-run');
 	};
 
@@ -97,6 +96,6 @@
 		notRunThatRan: count(notRun, ({sending}) => ranSendings.has(sending)),
 		notRunKeysThatRan: count([...runsOf.keys()], wereAllNotRun),
 		notRunAfterRun: late.length,
-		wrongAnswers: count(told, isWrong),
+		wrongAnswers: count(results, isWrong),
 	};
 };
--- a/packages/bench/src/benches/at-most-once/scenarios.ts
+++ b/packages/bench/src/benches/at-most-once/scenarios.ts
@@ -1,4 +1,4 @@
-/** Scenarios: every step enumerated, and random histories by seed. */
+/** Scenarios: faults at every step, and random histories by seed. */
 import * as core from '@gullstand/core';
 import {type Random, createRandom, drawBelow} from '../../frame/random.js';
 import {type ExecutorKind, executorKinds} from './executor.js';
@@ -7,45 +7,45 @@
 import type {Variant} from './variants.js';
 import {type Sending, type Simulation, createSimulation} from './simulation.js';
 
-/** What one run of a scenario showed. */
+/** Result of one run of a scenario. */
 export type RunReport = {
 	readonly verdict: Verdict;
 	readonly steps: number;
 	readonly calls: number;
-	/** Attempts still open at the end on living entries. */
+	/** Attempts that are open on live entries at the end. */
 	readonly openAtEnd: number;
-	/** What each key's last sending was told, long after all faults. */
+	/** Result of each key's last sending, long after all faults. */
 	readonly lastResults: readonly SendResult[];
-	/** Of those told `unknown` at the end, keys that never ran. */
+	/** Keys that never ran but whose last result is `unknown`. */
 	readonly unknownNotRun: number;
 	readonly longestMs: number;
 };
 
-/** When holders have given up and the last sendings are made. */
+/** Time of the last sendings, after all holders have given up. */
 const endAt = 150_000;
 const runUntil = 400_000;
 const deadlineMs = 3000;
 
 const report = (
-	world: Simulation,
-	lastTold: readonly SendResult[],
+	simulation: Simulation,
+	lastResults: readonly SendResult[],
 	{retentionMs}: core.idempotency.Settings,
 ): RunReport => {
-	const ran = new Set(world.log.map(({key}) => key));
-	const isNeedless = ({key, outcome}: SendResult) =>
+	const ran = new Set(simulation.log.map(({key}) => key));
+	const isUnknownNotRun = ({key, outcome}: SendResult) =>
 		outcome === 'unknown' && !ran.has(key);
 	return {
-		verdict: checkLog(world.log, world.results, retentionMs),
-		steps: world.counts.steps,
-		calls: world.counts.calls,
-		openAtEnd: world.getOpenCount(),
-		lastResults: lastTold,
-		unknownNotRun: lastTold.filter((each) => isNeedless(each)).length,
-		longestMs: Math.max(...world.results.map(({tookMs}) => tookMs)),
+		verdict: checkLog(simulation.log, simulation.results, retentionMs),
+		steps: simulation.counts.steps,
+		calls: simulation.counts.calls,
+		openAtEnd: simulation.getOpenCount(),
+		lastResults,
+		unknownNotRun: lastResults.filter((each) => isUnknownNotRun(each)).length,
+		longestMs: Math.max(...simulation.results.map(({tookMs}) => tookMs)),
 	};
 };
 
-/** Repeats of one request: at once elsewhere, on the same entry, and later. */
+/** Repeats of one request on the same and on other entries. */
 const repeats: ReadonlyArray<readonly [entry: number, at: number]> = [
 	[0, 0],
 	[1, 6],
@@ -63,9 +63,15 @@
 	settings = core.idempotency.defaultSettings,
 ): Promise<RunReport> => {
 	const random = createRandom(1);
-	const world = createSimulation({entries: 3, plan, random, variant, settings});
-	const told = repeats.map(async ([entry, at], index) =>
-		world.send({
+	const simulation = createSimulation({
+		entries: 3,
+		plan,
+		random,
+		variant,
+		settings,
+	});
+	const results = repeats.map(async ([entry, at], index) =>
+		simulation.send({
 			key: 'k',
 			body: 'b',
 			entry,
@@ -74,12 +80,12 @@
 			executor: index < 4 ? executor : 'answers',
 		}),
 	);
-	await world.clock.runUntil(runUntil);
-	const last = await told.at(-1);
-	return report(world, last === undefined ? [] : [last], settings);
+	await simulation.clock.runUntil(runUntil);
+	const last = await results.at(-1);
+	return report(simulation, last === undefined ? [] : [last], settings);
 };
 
-/** One enumerated fault: a call to the store, and what it meets. */
+/** A fault of one call to the store. */
 export type SingleFault = {readonly call: number; readonly fault: CallFault};
 
 const createPlan = (
@@ -103,16 +109,16 @@
 	),
 ];
 
-/** What an enumeration covers. */
+/** Options of an enumeration of faults. */
 export type EnumerationOptions = {
 	readonly variant: Variant;
-	/** Calls of which each meets each fault. */
+	/** Number of calls that are tried with each fault. */
 	readonly faultyCalls: number;
 	readonly executors: readonly ExecutorKind[];
 	readonly onRun: (run: RunReport) => void;
 };
 
-/** Kills the process at every step, under every single fault of a call. */
+/** Kills the process at every step, combined with each single fault. */
 export const runEveryKill = async (
 	options: EnumerationOptions,
 ): Promise<void> => {
@@ -130,24 +136,24 @@
 	}
 };
 
-/** A retention that ends while a holder stands still. */
+/** Settings with a retention that ends while a holder is paused. */
 const shortRetention: core.idempotency.Settings = {
 	...core.idempotency.defaultSettings,
 	retentionMs: 100_000,
 };
 
-/** Pauses: past the dispatch's bound, and past the key's retention. */
+/** Pauses beyond the time limit of a dispatch and beyond the retention. */
 const pausesMs = [12_000, 200_000];
 
-/** Stops the process for long at every step; the key expires meanwhile. */
+/** Pauses the process at every step, in some runs past the retention. */
 export const runEveryPause = async (
 	options: EnumerationOptions,
 ): Promise<void> => {
 	const {variant, executors, onRun} = options;
 	for (const executor of executors) {
-		const quiet = await runRepeats(noFaultPlan, executor, variant);
+		const baseline = await runRepeats(noFaultPlan, executor, variant);
 		for (const forMs of pausesMs) {
-			for (let at = 0; at < quiet.steps; at++) {
+			for (let at = 0; at < baseline.steps; at++) {
 				const plan = createPlan([], noKill, {at, forMs});
 				onRun(await runRepeats(plan, executor, variant, shortRetention));
 			}
@@ -155,8 +161,8 @@
 	}
 };
 
-/** How the store behaves for a while: shares of calls that meet a fault. */
-const moods: ReadonlyArray<Partial<Record<CallFault, number>>> = [
+/** Phases of the store: shares of calls that meet each fault. */
+const storePhases: ReadonlyArray<Partial<Record<CallFault, number>>> = [
 	{},
 	{},
 	{unavailable: 1},
@@ -166,16 +172,16 @@
 	{'reply-lost': 1},
 	{'late-effect': 1},
 ];
-const moodMs = 1500;
+const storePhaseMs = 1500;
 const faultsUntil = 20_000;
 
 const drawFault = (
-	mood: Partial<Record<CallFault, number>>,
+	phase: Partial<Record<CallFault, number>>,
 	random: Random,
 ): CallFault => {
 	let left = random();
 	for (const fault of callFaults) {
-		left -= mood[fault] ?? 0;
+		left -= phase[fault] ?? 0;
 		if (left < 0) {
 			return fault;
 		}
@@ -185,15 +191,15 @@
 };
 
 const createRandomPlan = (random: Random): Plan => {
-	const drawn = Array.from({length: faultsUntil / moodMs}, () =>
-		drawBelow(random, moods.length),
+	const drawn = Array.from({length: faultsUntil / storePhaseMs}, () =>
+		drawBelow(random, storePhases.length),
 	);
 	const killShare = [0, 0.005, 0.03][drawBelow(random, 3)] ?? 0;
 	const pauseShare = 0.002;
 	return {
 		getFault(_call, _kind, now) {
-			const mood = moods[drawn[Math.floor(now / moodMs)] ?? 0];
-			return now < faultsUntil && mood ? drawFault(mood, random) : 'none';
+			const phase = storePhases[drawn[Math.floor(now / storePhaseMs)] ?? 0];
+			return now < faultsUntil && phase ? drawFault(phase, random) : 'none';
 		},
 		isKilledAt: () => random() < killShare,
 		getPauseMs: () => (random() < pauseShare ? 13_000 * random() : 0),
@@ -209,32 +215,38 @@
 		? 'answers'
 		: (executorKinds[drawBelow(random, executorKinds.length)] ?? 'answers');
 
-/** A caller that sends to one or two entries and repeats what is not final. */
-const runCaller = async (world: Simulation, key: string, random: Random) => {
+/** Sends to one or two entries and repeats until a run is confirmed. */
+const runCaller = async (
+	simulation: Simulation,
+	key: string,
+	random: Random,
+) => {
 	const send = async (sending: Partial<Sending>) =>
-		world.send({
+		simulation.send({
 			key,
 			body: random() < 0.05 ? 'other' : 'b',
 			entry: drawBelow(random, entryCount),
-			at: world.clock.getNow(),
+			at: simulation.clock.getNow(),
 			deadlineMs: 500 + drawBelow(random, deadlineMs),
 			executor: drawExecutor(random),
 			...sending,
 		});
-	await world.clock.wait(random() * 8000);
+	await simulation.clock.wait(random() * 8000);
 	for (let repeat = 0; repeat < maxRepeats; repeat++) {
 		const twin =
-			random() < 0.3 ? [send({at: world.clock.getNow() + random() * 20})] : [];
+			random() < 0.3
+				? [send({at: simulation.clock.getNow() + random() * 20})]
+				: [];
 		const [first] = await Promise.all([send({}), ...twin]);
 		if (first.outcome === 'ran' && random() < 0.7) {
 			return;
 		}
 
-		await world.clock.wait(random() * 2000);
+		await simulation.clock.wait(random() * 2000);
 	}
 };
 
-/** Many keys, entries and callers under faults that come by chance. */
+/** Runs many keys, entries and callers under random faults. */
 export const runRandom = async (
 	seed: number,
 	variant: Variant,
@@ -247,8 +259,8 @@
 		...changes,
 	};
 	const plan = createRandomPlan(random);
-	const isCalm = (now: number) => now >= faultsUntil;
-	const world: Simulation = createSimulation({
+	const isFaultFree = (now: number) => now >= faultsUntil;
+	const simulation: Simulation = createSimulation({
 		entries: entryCount,
 		random,
 		variant,
@@ -256,15 +268,15 @@
 		plan: {
 			...plan,
 			isKilledAt: (step) =>
-				!isCalm(world.clock.getNow()) && plan.isKilledAt(step),
+				!isFaultFree(simulation.clock.getNow()) && plan.isKilledAt(step),
 			getPauseMs: (step) =>
-				isCalm(world.clock.getNow()) ? 0 : plan.getPauseMs(step),
+				isFaultFree(simulation.clock.getNow()) ? 0 : plan.getPauseMs(step),
 		},
 	});
 	const keys = Array.from({length: keyCount}, (_, index) => `k${index}`);
-	const callers = keys.map(async (key) => runCaller(world, key, random));
+	const callers = keys.map(async (key) => runCaller(simulation, key, random));
 	const last = keys.map(async (key, index) =>
-		world.send({
+		simulation.send({
 			key,
 			body: 'b',
 			entry: index % entryCount,
@@ -273,24 +285,24 @@
 			executor: 'answers',
 		}),
 	);
-	await world.clock.runUntil(runUntil);
+	await simulation.clock.runUntil(runUntil);
 	await Promise.all(callers);
-	return report(world, await Promise.all(last), settings);
+	return report(simulation, await Promise.all(last), settings);
 };
 
-/** Requests that come while the store is out, by the kind of outage. */
+/** Sends requests during a store outage of the given kind. */
 export const runOutage = async (
 	fault: CallFault,
 	variant: Variant,
 ): Promise<readonly SendResult[]> => {
-	const world = createSimulation({
+	const simulation = createSimulation({
 		entries: entryCount,
 		plan: {...noFaultPlan, getFault: () => fault},
 		random: createRandom(1),
 		variant,
 	});
-	const told = Array.from({length: 200}, async (_, index) =>
-		world.send({
+	const results = Array.from({length: 200}, async (_, index) =>
+		simulation.send({
 			key: `k${index}`,
 			body: 'b',
 			entry: index % entryCount,
@@ -299,6 +311,6 @@
 			executor: 'answers',
 		}),
 	);
-	await world.clock.runUntil(runUntil);
-	return Promise.all(told);
+	await simulation.clock.runUntil(runUntil);
+	return Promise.all(results);
 };
--- a/packages/bench/src/benches/at-most-once/simulation.ts
+++ b/packages/bench/src/benches/at-most-once/simulation.ts
@@ -1,4 +1,4 @@
-/** Entries, callers and an executor over one store, on a virtual clock. */
+/** Simulation of entries, callers and an executor on a virtual clock. */
 import {Buffer} from 'node:buffer';
 import * as core from '@gullstand/core';
 import * as daemon from '@gullstand/daemon';
@@ -11,17 +11,17 @@
 import * as steps from './steps.js';
 import type {Variant} from './variants.js';
 
-/** Time from a kill to the entry's next life, in milliseconds. */
+/** Time from a kill to the entry's next incarnation, in milliseconds. */
 const restartMs = 200;
-/** Wait of a caller beyond its deadline, in milliseconds. */
+/** Time a caller waits beyond its deadline, in milliseconds. */
 const graceMs = 500;
 const maxAttempts = 10_000;
-/** Clocks of entries differ by up to twice this, in milliseconds. */
+/** Maximum skew of an entry's clock in either direction, in milliseconds. */
 const maxSkewMs = 4000;
-/** Unix time at the start; entries' clocks never go below 0. */
+/** Unix time at the start, in milliseconds; keeps skewed clocks above 0. */
 const startDate = 1_000_000_000;
 
-/** What a run is made of. */
+/** Options of a simulation. */
 export type SimulationOptions = {
 	readonly entries: number;
 	readonly plan: Plan;
@@ -41,7 +41,7 @@
 	readonly executor: ExecutorKind;
 };
 
-/** A run of entries and callers. */
+/** A simulation of entries and callers. */
 export type Simulation = {
 	readonly clock: standIn.VirtualClock;
 	readonly counts: steps.StepCounts;
@@ -49,23 +49,23 @@
 	readonly results: readonly SendResult[];
 	/** Times from the arrival of a request to its dispatch. */
 	readonly dispatchDelaysMs: readonly number[];
-	/** Plans a sending; the promise ends with what the caller was told. */
+	/** Schedules a sending; resolves with the caller's result. */
 	readonly send: (sending: Sending) => Promise<SendResult>;
-	/** Attempts that are open on entries that live. */
+	/** Number of attempts that are open on live entries. */
 	readonly getOpenCount: () => number;
-	/** Transactions sent by all lives. */
+	/** Number of transactions sent by all incarnations. */
 	readonly getCommitCount: () => number;
 };
 
-/** A reply, and when the entry gave it. */
-type Given = {
+/** A reply and the time at which the entry gave it. */
+type TimedReply = {
 	readonly reply: core.idempotency.Reply;
 	readonly decidedAt: number;
 };
 
-type Entry = {life: EntryProcess; keeper: daemon.idempotency.Keeper};
+type Entry = {entryProcess: EntryProcess; keeper: daemon.idempotency.Keeper};
 
-const readTold = (
+const readReply = (
 	reply: core.idempotency.Reply | undefined,
 ): Pick<SendResult, 'outcome' | 'error' | 'answer'> => {
 	if (reply === undefined) {
@@ -81,7 +81,7 @@
 	return {outcome: 'ran', error: undefined, answer};
 };
 
-/** Makes a world at time 0. */
+/** Creates a simulation at time 0. */
 export const createSimulation = (options: SimulationOptions): Simulation => {
 	const {plan, random, variant} = options;
 	const clock = standIn.createVirtualClock();
@@ -89,7 +89,7 @@
 	const objects = platform.createMemoryObjectStore();
 	const counts: steps.StepCounts = {steps: 0, calls: 0};
 	const log: Run[] = [];
-	const told: SendResult[] = [];
+	const results: SendResult[] = [];
 	const dispatchDelaysMs: number[] = [];
 	const entries: Entry[] = [];
 	const keepers: daemon.idempotency.Keeper[] = [];
@@ -99,9 +99,9 @@
 		clock,
 		plan,
 		counts,
-		onKill(life) {
+		onKill(entryProcess) {
 			clock.callAt(clock.getNow() + restartMs, () => {
-				entries[life.entry] = startEntry(life.entry);
+				entries[entryProcess.entry] = startEntry(entryProcess.entry);
 			});
 		},
 	};
@@ -112,15 +112,19 @@
 	);
 
 	const startEntry = (entry: number): Entry => {
-		const life: EntryProcess = {
+		const entryProcess: EntryProcess = {
 			entry,
 			incarnation: `life-${++ids}`,
 			isAlive: true,
 		};
-		const lifeTables = steps.createFaultyTables(context, life, tables);
+		const faultyTables = steps.createFaultyTables(
+			context,
+			entryProcess,
+			tables,
+		);
 		const keeper = daemon.idempotency.createKeeper({
-			tables: variant.wrapTables(lifeTables),
-			objects: steps.createFaultyObjects(context, life, objects),
+			tables: variant.wrapTables(faultyTables),
+			objects: steps.createFaultyObjects(context, entryProcess, objects),
 			clock: {
 				getTime: () => ({
 					now: clock.getNow(),
@@ -128,7 +132,7 @@
 				}),
 				callAt: (at, callback) =>
 					clock.callAt(at, () => {
-						if (life.isAlive) {
+						if (entryProcess.isAlive) {
 							callback();
 						}
 					}),
@@ -139,19 +143,22 @@
 				options.groupSettings ?? daemon.idempotency.defaultGroupSettings,
 			maxAttempts,
 			entry: `entry-${entry}`,
-			incarnation: life.incarnation,
+			incarnation: entryProcess.incarnation,
 		});
 		keepers.push(keeper);
-		return {life, keeper};
+		return {entryProcess, keeper};
 	};
 
-	const ask = async (sending: Sending, id: number): Promise<Given> => {
+	const handleSending = async (
+		sending: Sending,
+		id: number,
+	): Promise<TimedReply> => {
 		const entry = entries[sending.entry];
-		if (!entry?.life.isAlive) {
+		if (!entry?.entryProcess.isAlive) {
 			return steps.waitForever();
 		}
 
-		const {life, keeper} = entry;
+		const {entryProcess, keeper} = entry;
 		const arrivedAt = clock.getNow();
 		const reply = await keeper.handle({
 			customer: 'broker',
@@ -165,11 +172,13 @@
 				dispatchDelaysMs.push(clock.getNow() - arrivedAt);
 				const {key, executor: kind} = sending;
 				const job = {key, sending: id, kind, dispatchBy};
-				return variant.wrapResult(await dispatchJob(context, life, log, job));
+				return variant.wrapResult(
+					await dispatchJob(context, entryProcess, log, job),
+				);
 			},
 		});
 		const decidedAt = clock.getNow();
-		await steps.passStep(context, life);
+		await steps.passStep(context, entryProcess);
 		return {reply, decidedAt};
 	};
 
@@ -182,9 +191,12 @@
 			return undefined;
 		};
 
-		const given = await Promise.race([ask(sending, id), noReply()]);
+		const timedReply = await Promise.race([
+			handleSending(sending, id),
+			noReply(),
+		]);
 		const at = clock.getNow();
-		const decidedAt = given?.decidedAt ?? at;
+		const decidedAt = timedReply?.decidedAt ?? at;
 		const tookMs = at - sending.at;
 		const result = {
 			sending: id,
@@ -193,9 +205,9 @@
 			decidedAt,
 			at,
 			tookMs,
-			...readTold(given?.reply),
+			...readReply(timedReply?.reply),
 		};
-		told.push(result);
+		results.push(result);
 		return result;
 	};
 
@@ -207,12 +219,12 @@
 		clock,
 		counts,
 		log,
-		results: told,
+		results,
 		dispatchDelaysMs,
 		send,
 		getOpenCount: () =>
 			entries
-				.filter(({life}) => life.isAlive)
+				.filter(({entryProcess}) => entryProcess.isAlive)
 				.reduce((sum, {keeper}) => sum + keeper.getOpenCount(), 0),
 		getCommitCount: () =>
 			keepers.reduce((sum, keeper) => sum + keeper.getCommitCount(), 0),
--- a/packages/bench/src/benches/at-most-once/steps.ts
+++ b/packages/bench/src/benches/at-most-once/steps.ts
@@ -1,47 +1,45 @@
 /**
- * Steps of the entries' processes: each is a place where a process can be
- * killed. Calls to the store also meet faults.
+ * Steps of the entries' processes, at which a process can be killed or paused.
+ * Calls to the store can also fail.
  */
 import * as core from '@gullstand/core';
 import type {ObjectStore, TableService} from '@gullstand/ports';
 import type * as standIn from '@gullstand/stand-in';
 
-/** One life of an entry's process. */
+/** One incarnation of an entry's process. */
 export type EntryProcess = {
 	readonly entry: number;
 	readonly incarnation: string;
 	isAlive: boolean;
 };
 
-/** Kinds of calls to the store. */
 export type CallKind = 'read' | 'commit' | 'put' | 'get';
 
-/** What a call to the store meets. */
+/** Faults of a call to the store. */
 export const callFaults = [
 	'none',
 	'unavailable',
-	/** No reply, and never an effect. */
+	/** No reply and no effect. */
 	'request-lost',
 	/** No reply after the effect. */
 	'reply-lost',
-	/** No reply, and the effect comes after the caller has given up. */
+	/** No reply; the effect follows after the caller has given up. */
 	'late-effect',
 	/** A reply just within the client's timeout. */
 	'slow',
 ] as const;
 
-/** Fault of one call. */
 export type CallFault = (typeof callFaults)[number];
 
-/** What goes wrong in a run; calls and steps are numbered from 0. */
+/** Faults of a run; calls and steps are numbered from 0. */
 export type Plan = {
 	readonly getFault: (call: number, kind: CallKind, now: number) => CallFault;
 	readonly isKilledAt: (step: number) => boolean;
-	/** How long the process stands still at a step. */
+	/** How long the process pauses at a step. */
 	readonly getPauseMs: (step: number) => number;
 };
 
-/** A plan in which nothing goes wrong. */
+/** A plan without faults. */
 export const noFaultPlan: Plan = {
 	getFault: () => 'none',
 	isKilledAt: () => false,
@@ -54,33 +52,32 @@
 const slowMs = 250;
 const lateMs = 700;
 
-/** Counts of a run. */
 export type StepCounts = {steps: number; calls: number};
 
-/** What the ports of one life need. */
+/** Context of the ports of one process. */
 export type StepContext = {
 	readonly clock: standIn.VirtualClock;
 	readonly plan: Plan;
 	readonly counts: StepCounts;
-	readonly onKill: (life: EntryProcess) => void;
+	readonly onKill: (entryProcess: EntryProcess) => void;
 };
 
-/** What a killed process waits for. */
+/** Returns a promise that never resolves, for a killed process. */
 export const waitForever = async <Value>(): Promise<Value> =>
 	new Promise<Value>(() => {
 		// Never settles.
 	});
 
-/** Passes one step; a process that is killed there goes no further. */
+/** Passes one step; a killed process waits forever there. */
 export const passStep = async (
 	context: StepContext,
-	life: EntryProcess,
+	entryProcess: EntryProcess,
 ): Promise<void> => {
-	if (life.isAlive) {
+	if (entryProcess.isAlive) {
 		const step = context.counts.steps++;
 		if (context.plan.isKilledAt(step)) {
-			life.isAlive = false;
-			context.onKill(life);
+			entryProcess.isAlive = false;
+			context.onKill(entryProcess);
 		}
 
 		const pauseMs = context.plan.getPauseMs(step);
@@ -89,14 +86,14 @@
 		}
 	}
 
-	if (!life.isAlive) {
+	if (!entryProcess.isAlive) {
 		await waitForever();
 	}
 };
 
 type Failure = {readonly kind: 'unavailable'} | {readonly kind: 'timeout'};
 
-const meetFault = async <Value, Err>(
+const applyFault = async <Value, Err>(
 	context: StepContext,
 	fault: CallFault,
 	run: () => Promise<core.Result<Value, Err>>,
@@ -141,44 +138,44 @@
 
 const callStore = async <Value, Err>(
 	context: StepContext,
-	life: EntryProcess,
+	entryProcess: EntryProcess,
 	kind: CallKind,
 	run: () => Promise<core.Result<Value, Err>>,
 ): Promise<core.Result<Value, Err | Failure>> => {
-	await passStep(context, life);
+	await passStep(context, entryProcess);
 	const {clock, plan, counts} = context;
 	const fault = plan.getFault(counts.calls++, kind, clock.getNow());
-	const result = await meetFault(context, fault, run);
-	await passStep(context, life);
+	const result = await applyFault(context, fault, run);
+	await passStep(context, entryProcess);
 	return result;
 };
 
-/** The table service as one life reaches it. */
+/** Wraps the table service for one process with the faults of the plan. */
 export const createFaultyTables = (
 	context: StepContext,
-	life: EntryProcess,
+	entryProcess: EntryProcess,
 	inner: TableService,
 ): TableService => ({
 	get: async (table, key) =>
-		callStore(context, life, 'read', async () => inner.get(table, key)),
+		callStore(context, entryProcess, 'read', async () => inner.get(table, key)),
 	range: async (query) =>
-		callStore(context, life, 'read', async () => inner.range(query)),
+		callStore(context, entryProcess, 'read', async () => inner.range(query)),
 	commit: async (writes, operationId) =>
-		callStore(context, life, 'commit', async () =>
+		callStore(context, entryProcess, 'commit', async () =>
 			inner.commit(writes, operationId),
 		),
 });
 
-/** The object store as one life reaches it. */
+/** Wraps the object store for one process with the faults of the plan. */
 export const createFaultyObjects = (
 	context: StepContext,
-	life: EntryProcess,
+	entryProcess: EntryProcess,
 	inner: ObjectStore,
 ): ObjectStore => ({
 	get: async (name) =>
-		callStore(context, life, 'get', async () => inner.get(name)),
+		callStore(context, entryProcess, 'get', async () => inner.get(name)),
 	put: async (name, body) =>
-		callStore(context, life, 'put', async () => inner.put(name, body)),
+		callStore(context, entryProcess, 'put', async () => inner.put(name, body)),
 	delete: async (name) =>
-		callStore(context, life, 'put', async () => inner.delete(name)),
+		callStore(context, entryProcess, 'put', async () => inner.delete(name)),
 });
--- a/packages/bench/src/benches/at-most-once/variants.ts
+++ b/packages/bench/src/benches/at-most-once/variants.ts
@@ -1,13 +1,13 @@
 /**
- * Broken variants of the entry's ports. Each undoes one rule of the design;
- * the judge must catch every one, or it proves nothing.
+ * Broken variants of the entry's ports. Each violates one rule of the design,
+ * and the checker must detect it.
  */
 import * as core from '@gullstand/core';
 import type {TableService, Write} from '@gullstand/ports';
 
 type RunResult = core.idempotency.RunResult;
 
-/** What an entry is given, as the variant leaves it. */
+/** Wrappers of the ports of an entry. */
 export type Variant = {
 	readonly wrapTables: (tables: TableService) => TableService;
 	readonly wrapResult: (result: RunResult) => RunResult;
@@ -18,7 +18,7 @@
 
 const guessedVersion = 1;
 
-/** A write without a reply counts as committed: dispatches on a timeout. */
+/** Treats a timed-out write as committed and so dispatches the request. */
 const wrapAsCommitted = (tables: TableService): TableService => ({
 	...tables,
 	async commit(writes, operationId) {
@@ -34,7 +34,7 @@
 	when: {kind: 'any'},
 });
 
-/** Writes over whatever is there: two entries may both start. */
+/** Writes without preconditions, so that two entries may both start. */
 const wrapUnconditional = (tables: TableService): TableService => ({
 	...tables,
 	commit: async (writes, operationId) =>
@@ -44,13 +44,13 @@
 		),
 });
 
-/** A lost reply counts as a refusal: gives the key back after a run. */
-const takeForRefused = (result: RunResult): RunResult =>
+/** Treats a lost reply as a refusal, which releases the key after a run. */
+const treatLostAsRefused = (result: RunResult): RunResult =>
 	result.kind === 'lost'
 		? {kind: 'refused', error: 'upstream-refused'}
 		: result;
 
-/** The variants; `correct` is the code as it ships. */
+/** The variants; `correct` is the unmodified code. */
 export const variants = {
 	correct: {wrapTables: keepTables, wrapResult: keepResult},
 	'dispatches-on-timeout': {
@@ -63,9 +63,8 @@
 	},
 	'takes-lost-for-refused': {
 		wrapTables: keepTables,
-		wrapResult: takeForRefused,
+		wrapResult: treatLostAsRefused,
 	},
 } as const satisfies Record<string, Variant>;
 
-/** Name of a variant. */
 export type VariantName = keyof typeof variants;
--- a/packages/bench/src/benches/invariants.ts
+++ b/packages/bench/src/benches/invariants.ts
@@ -1,4 +1,4 @@
-/** What must always hold, judged by outside records: issue 6, "Judges". */
+/** `bench invariants`: checks the invariants by records made outside. */
 import {check} from '../frame/check.js';
 import type {Bench, Figures} from '../frame/types.js';
 import {inForceBoundMs} from '../checkers/change-checkers.js';
@@ -22,7 +22,7 @@
 
 const longMs = 60_000;
 
-/** Violations that are printed of one property and pair. */
+/** Maximum number of violations logged for one property and pair. */
 const maxShown = 5;
 
 const runPair = async (
@@ -30,20 +30,20 @@
 	seed: number,
 	lengthMs: number,
 ): Promise<Records> => {
-	const world = await createTestEnvironment(seed);
+	const environment = await createTestEnvironment(seed);
 	for (let slot = 0; slot < entries; slot += 1) {
-		await startEntry(world, slot, `e${slot + 1}`);
+		await startEntry(environment, slot, `e${slot + 1}`);
 	}
 
 	const load: Load = {isStopped: false};
-	const callers = runCallers(world, load);
-	await runFaultPair(pair, world, load, lengthMs);
+	const callers = runCallers(environment, load);
+	await runFaultPair(pair, environment, load, lengthMs);
 	await callers;
-	await closeTestEnvironment(world);
-	const {acceptances} = world.recorder;
-	// A lost reply can make an older change's answer come after a newer one's.
+	await closeTestEnvironment(environment);
+	const {acceptances} = environment.recorder;
+	// After a lost reply, an older change may be accepted after a newer one.
 	return {
-		...world.recorder,
+		...environment.recorder,
 		acceptances: acceptances.toSorted((a, b) => a.change - b.change),
 	};
 };
@@ -51,11 +51,11 @@
 type Row = {
 	readonly property: string;
 	readonly reads: string;
-	/** One a pair, in their order. */
+	/** One verdict per fault pair, in their order. */
 	readonly verdicts: readonly Verdict[];
 };
 
-const judgeAll = (all: readonly Records[]): readonly Row[] =>
+const checkAll = (all: readonly Records[]): readonly Row[] =>
 	checkedProperties.map(({property, checkRecords, reads}) => ({
 		property,
 		reads,
@@ -92,13 +92,13 @@
 	getItems: (records: Records) => readonly unknown[],
 ): number => sum(all.map((records) => getItems(records).length));
 
-/** Probes that an accepted change was due for. */
+/** Probes at which an accepted change was due. */
 const listDueProbes = ({probes, acceptances}: Records) =>
 	probes.filter((probe) =>
 		acceptances.some(({at}) => at + inForceBoundMs <= probe.at),
 	);
 
-/** Committed rows that give an instance another pool than its last row. */
+/** Committed rows that change the pool of an instance. */
 const listPoolChanges = ({store}: Records) => {
 	const pools = new Map<string, string>();
 	return store.filter((record) => {
@@ -154,7 +154,7 @@
 				return records;
 			}),
 		);
-		const rows = judgeAll(all);
+		const rows = checkAll(all);
 		logViolations(rows, log);
 		return {
 			figures: {
--- a/packages/bench/src/benches/invariants/callers.ts
+++ b/packages/bench/src/benches/invariants/callers.ts
@@ -1,4 +1,4 @@
-/** Callers: quotes, claims with keys that are repeated, and probes. */
+/** Callers: quotes, repeated claims with idempotency keys, and probes. */
 import {setTimeout as wait} from 'node:timers/promises';
 import * as core from '@gullstand/core';
 import {headerNames} from '@gullstand/daemon';
@@ -29,10 +29,10 @@
 
 const maxRepeats = 6;
 
-/** Share of claims that are sent twice at once, to two entries. */
+/** Share of claims that are sent to two entries at once. */
 const twinShare = 0.2;
 
-/** Stands for a change in a probe whose every token was refused. */
+/** Change of a probe of which every token was refused. */
 const noChange = -1;
 
 type Call = {
@@ -90,35 +90,41 @@
 };
 
 const runQuotes = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 	slot: number,
 	id: string,
 ) => {
 	for (let count = 0; !load.isStopped; count += 1) {
-		const entry = world.slots[slot];
+		const entry = environment.slots[slot];
 		if (entry) {
 			const requestId = `${id}-${count}`;
 			const body = `body of ${requestId}`;
-			await send(world, entry, {service: 'quote', requestId, body});
+			await send(environment, entry, {service: 'quote', requestId, body});
 		}
 
 		await wait(pauseMs);
 	}
 };
 
-/** Bursts with short deadlines, more than is answered in time. */
-const runBursts = async (world: TestEnvironment, load: Load, slot: number) => {
+/** Sends bursts with short deadlines that cannot all be met. */
+const runBursts = async (
+	environment: TestEnvironment,
+	load: Load,
+	slot: number,
+) => {
 	for (let count = 0; !load.isStopped; count += 1) {
 		await wait(burstPauseMs);
-		const entry = world.slots[slot];
+		const entry = environment.slots[slot];
 		const calls = Array.from({length: entry ? burstSize : 0}, (_, index) => {
 			const requestId = `burst-${slot}-${count}-${index}`;
 			const body = `body of ${requestId}`;
 			const deadlineMs = burstDeadlinesMs[index % burstDeadlinesMs.length]!;
 			return {service: 'quote', requestId, body, deadlineMs};
 		});
-		await Promise.all(calls.map(async (call) => send(world, entry!, call)));
+		await Promise.all(
+			calls.map(async (call) => send(environment, entry!, call)),
+		);
 	}
 };
 
@@ -127,24 +133,28 @@
 	return reachable[drawBelow(random, reachable.length)];
 };
 
-/** One claim, until it ran; each repeat goes to any entry. */
-const runClaim = async (world: TestEnvironment, load: Load, key: string) => {
+/** Sends one claim until it has run; each repeat goes to a random entry. */
+const runClaim = async (
+	environment: TestEnvironment,
+	load: Load,
+	key: string,
+) => {
 	const body = `body of ${key}`;
 	const sendOnce = async (requestId: string) => {
-		const entry = pickEntry(world);
+		const entry = pickEntry(environment);
 		const call = {service: 'claims', requestId, key, body};
-		return entry ? send(world, entry, call) : undefined;
+		return entry ? send(environment, entry, call) : undefined;
 	};
 
-	const isTwin = world.random() < twinShare;
+	const isTwin = environment.random() < twinShare;
 	for (let repeat = 0; repeat < maxRepeats && !load.isStopped; repeat += 1) {
 		const outcomes = await Promise.all([
 			sendOnce(`${key}-${repeat}`),
 			isTwin ? sendOnce(`${key}-${repeat}-twin`) : undefined,
 		]);
 		const hasRun = outcomes.includes('ran');
-		// Some are asked for again though their answer was received.
-		if (hasRun && world.random() > twinShare) {
+		// Some claims are repeated although their answer was received.
+		if (hasRun && environment.random() > twinShare) {
 			return;
 		}
 
@@ -152,15 +162,19 @@
 	}
 };
 
-const runClaims = async (world: TestEnvironment, load: Load, id: string) => {
+const runClaims = async (
+	environment: TestEnvironment,
+	load: Load,
+	id: string,
+) => {
 	for (let count = 0; !load.isStopped; count += 1) {
-		await runClaim(world, load, `${id}-${count}`);
+		await runClaim(environment, load, `${id}-${count}`);
 		await wait(pauseMs);
 	}
 };
 
-/** Whether a token of the probe customer is taken; undefined if unanswered. */
-const isTokenTaken = async (
+/** True if a probe token is accepted; undefined without an answer. */
+const isTokenAccepted = async (
 	entry: Entry,
 	change: number,
 	requestId: string,
@@ -181,66 +195,73 @@
 	}
 };
 
-type ProbeWay = {
-	readonly world: TestEnvironment;
+type ProbeTarget = {
+	readonly environment: TestEnvironment;
 	readonly entry: Entry;
 	readonly id: string;
 };
 
 /**
- * Seeks upward, so that an entry that moves on meanwhile is still found: it is
- * missed only if it follows a change below `from`, or none.
+ * Tries changes in ascending order, so that an entry that advances meanwhile is
+ * still found. Misses it only if it follows a change below `from`, or none.
  */
-const seekUpward = async ({world, entry, id}: ProbeWay, from: number) => {
-	for (let change = from; change <= world.changes.highest; change += 1) {
+const findAcceptedChange = async (
+	{environment, entry, id}: ProbeTarget,
+	from: number,
+) => {
+	for (let change = from; change <= environment.changes.highest; change += 1) {
 		const at = now();
-		const isTaken = await isTokenTaken(entry, change, `${id}-${change}`);
-		if (isTaken !== false) {
-			return isTaken && {at, change};
+		const isAccepted = await isTokenAccepted(entry, change, `${id}-${change}`);
+		if (isAccepted !== false) {
+			return isAccepted && {at, change};
 		}
 	}
 
 	return {at: now(), change: noChange};
 };
 
-/** The change that an entry answers by; undefined if it does not answer. */
-const probe = async (way: ProbeWay, last: number) => {
-	const found = await seekUpward(way, last);
+/** Finds the change that an entry follows; undefined without an answer. */
+const probe = async (target: ProbeTarget, last: number) => {
+	const found = await findAcceptedChange(target, last);
 	if (found?.change !== noChange) {
 		return found;
 	}
 
-	// It went back; the second look only tells how far.
-	const lower = await seekUpward(way, 0);
+	// The entry has reverted; the second search finds how far.
+	const lower = await findAcceptedChange(target, 0);
 	return lower && lower.change < last ? lower : found;
 };
 
-const runProbes = async (world: TestEnvironment, load: Load, slot: number) => {
-	const lasts = new Map<string, number>();
+const runProbes = async (
+	environment: TestEnvironment,
+	load: Load,
+	slot: number,
+) => {
+	const lastChanges = new Map<string, number>();
 	for (let count = 0; !load.isStopped; count += 1) {
-		const entry = world.slots[slot];
+		const entry = environment.slots[slot];
 		const id = `probe-${slot}-${count}`;
-		const last = lasts.get(entry?.id ?? '') ?? 0;
-		const found = entry && (await probe({world, entry, id}, last));
+		const last = lastChanges.get(entry?.id ?? '') ?? 0;
+		const found = entry && (await probe({environment, entry, id}, last));
 		if (found) {
-			world.recorder.probes.push({...found, entry: entry.id});
-			lasts.set(entry.id, Math.max(last, found.change));
+			environment.recorder.probes.push({...found, entry: entry.id});
+			lastChanges.set(entry.id, Math.max(last, found.change));
 		}
 
 		await wait(probePauseMs);
 	}
 };
 
-/** Starts the callers of all slots; resolves when they have stopped. */
+/** Runs the callers of all slots; resolves when they have stopped. */
 export const runCallers = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 ): Promise<void> => {
-	const callers = world.slots.flatMap((_, slot) => [
-		runQuotes(world, load, slot, `quote-${slot}`),
-		runClaims(world, load, `claim-${slot}`),
-		runBursts(world, load, slot),
-		runProbes(world, load, slot),
+	const callers = environment.slots.flatMap((_, slot) => [
+		runQuotes(environment, load, slot, `quote-${slot}`),
+		runClaims(environment, load, `claim-${slot}`),
+		runBursts(environment, load, slot),
+		runProbes(environment, load, slot),
 	]);
 	await Promise.all(callers);
 };
--- a/packages/bench/src/benches/invariants/entries.ts
+++ b/packages/bench/src/benches/invariants/entries.ts
@@ -1,4 +1,4 @@
-/** Entries of a world: real daemons that are started, stopped and killed. */
+/** Real daemons as entries that are started, stopped and killed. */
 import {PassThrough} from 'node:stream';
 import {setTimeout as wait} from 'node:timers/promises';
 import * as core from '@gullstand/core';
@@ -8,14 +8,16 @@
 import {now} from './recorder.js';
 import type {StoreLink, TestEnvironment} from './test-environment.js';
 
-const createCutTable = (
+const createInterruptibleTable = (
 	inner: platform.TableService,
-	cut: Readonly<StoreLink>,
+	storeLink: Readonly<StoreLink>,
 ): platform.TableService => {
 	const call = async <Value>(action: () => Promise<Value>) => {
-		const heldMs = cut.heldUntil - now();
+		const heldMs = storeLink.heldUntil - now();
 		await (heldMs > 0 ? wait(heldMs) : undefined);
-		return cut.isCut ? core.fail({kind: 'unavailable'} as const) : action();
+		return storeLink.isCut
+			? core.fail({kind: 'unavailable'} as const)
+			: action();
 	};
 
 	return {
@@ -42,7 +44,7 @@
 
 /** Starts an entry in a slot and lists it. */
 export const startEntry = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	slot: number,
 	id: string,
 ): Promise<void> => {
@@ -57,22 +59,22 @@
 		settings,
 		platform: {
 			table: createGuardedTable(
-				createCutTable(world.table, storeLink),
+				createInterruptibleTable(environment.table, storeLink),
 				usualEntries,
 			),
-			objects: world.objects,
-			list: world.list,
-			workers: world.workers,
+			objects: environment.objects,
+			list: environment.list,
+			workers: environment.workers,
 		},
 		logger: daemon.createLogger(settings.log, id, new PassThrough().resume()),
-		now: () => now() + world.clock.aheadMs,
+		now: () => now() + environment.clock.aheadMs,
 	});
 	const entry = {id, daemon: created, agent: new Agent(), storeLink};
-	world.started.push(entry);
+	environment.started.push(entry);
 	await created.start((err) => {
 		throw err;
 	});
-	world.list.set({
+	environment.list.set({
 		id,
 		role: 'entry',
 		address: created.agreement.peers.getAddress(),
@@ -80,37 +82,37 @@
 		state: 'live',
 		incarnation: created.agreement.life.incarnation,
 	});
-	world.slots[slot] = entry;
+	environment.slots[slot] = entry;
 };
 
-/** Stops an entry as an operator does. */
+/** Stops an entry gracefully and removes it from the list. */
 export const stopEntry = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	slot: number,
 ): Promise<void> => {
-	const entry = world.slots[slot];
+	const entry = environment.slots[slot];
 	if (entry) {
-		world.slots[slot] = undefined;
+		environment.slots[slot] = undefined;
 		await entry.daemon.stop();
-		world.list.remove(entry.id);
-		world.started.splice(world.started.indexOf(entry), 1);
+		environment.list.remove(entry.id);
+		environment.started.splice(environment.started.indexOf(entry), 1);
 		await entry.agent.destroy();
 	}
 };
 
 /**
- * An entry is gone for the store, its peers, the list and its callers; what it
- * has sent to executors goes on.
+ * Cuts an entry off from the store, its peers, the list and its callers. The
+ * requests that it has sent to executors continue.
  */
 export const killEntry = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	slot: number,
 ): Promise<void> => {
-	const entry = world.slots[slot];
+	const entry = environment.slots[slot];
 	if (entry) {
-		world.slots[slot] = undefined;
+		environment.slots[slot] = undefined;
 		entry.storeLink.isCut = true;
-		world.list.remove(entry.id);
+		environment.list.remove(entry.id);
 		await entry.agent.destroy();
 		await entry.daemon.agreement.peers.stop(now());
 	}
--- a/packages/bench/src/benches/invariants/executor.ts
+++ b/packages/bench/src/benches/invariants/executor.ts
@@ -1,4 +1,4 @@
-/** An executor that logs every run, and can be silent, lost or rebooted. */
+/** An executor that logs its runs and can hang, be lost or be rebooted. */
 import {once} from 'node:events';
 import http from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
@@ -10,21 +10,19 @@
 /** Length of an answer, in bytes. */
 export const answerBytes = 256;
 
-/** A running executor. */
 export type Executor = {
 	readonly id: string;
 	readonly availabilityZone: string;
-	/** IP number and port. */
+	/** IP address and port. */
 	readonly address: string;
-	/** Connections that are open now carry nothing any more. */
+	/** Stops all traffic on the connections that are open now. */
 	readonly silence: () => void;
-	/** Stops at once; `isPlanned` leaves open runs without an end. */
+	/** Stops at once; if `isPlanned`, open runs are left without an end. */
 	readonly stop: (isPlanned: boolean) => void;
 	/** Listens again on the same port. */
 	readonly listen: () => Promise<void>;
 };
 
-/** What an executor is made of. */
 export type ExecutorOptions = {
 	readonly id: string;
 	readonly availabilityZone: string;
@@ -32,14 +30,14 @@
 	/** Pool that a service belongs to. */
 	readonly getPool: (service: string) => string;
 	readonly drawWorkMs: () => number;
-	/** Whether the next request is refused, which runs nothing. */
+	/** True if the next request is refused without running. */
 	readonly drawRefusal: () => boolean;
 };
 
 type State = {
 	readonly options: ExecutorOptions;
 	readonly sockets: Set<Socket>;
-	readonly silent: WeakSet<Socket>;
+	readonly unresponsive: WeakSet<Socket>;
 	readonly open: Set<OpenRun>;
 };
 
@@ -72,8 +70,8 @@
 	res: http.ServerResponse,
 ) => {
 	const body = await text(req);
-	const isSilent = () => state.silent.has(req.socket);
-	if (isSilent()) {
+	const isUnresponsive = () => state.unresponsive.has(req.socket);
+	if (isUnresponsive()) {
 		return;
 	}
 
@@ -89,13 +87,13 @@
 
 	const run = startRun(state, req);
 	await wait(state.options.drawWorkMs());
-	// A run that is not open any more ended with its process.
+	// A run that is no longer open ended with its process.
 	if (!state.open.delete(run)) {
 		return;
 	}
 
 	run.endedAt = now();
-	if (!isSilent()) {
+	if (!isUnresponsive()) {
 		const proof = run.key ?? run.requestId;
 		res.end(answers.createAnswer(proof, body, answerBytes));
 	}
@@ -107,7 +105,7 @@
 		try {
 			await handle(state, req, res);
 		} catch {
-			// A request that was cut off while it was read gets no answer.
+			// A request that was interrupted while it was read gets no answer.
 		}
 	});
 	server.on('connection', (socket: Socket) => {
@@ -140,7 +138,7 @@
 	const state: State = {
 		options,
 		sockets: new Set(),
-		silent: new WeakSet(),
+		unresponsive: new WeakSet(),
 		open: new Set(),
 	};
 	const server = createServer(state);
@@ -157,7 +155,7 @@
 		address: `127.0.0.1:${port}`,
 		silence() {
 			for (const socket of state.sockets) {
-				state.silent.add(socket);
+				state.unresponsive.add(socket);
 			}
 		},
 		stop(isPlanned) {
--- a/packages/bench/src/benches/invariants/fault-pairs.ts
+++ b/packages/bench/src/benches/invariants/fault-pairs.ts
@@ -1,4 +1,4 @@
-/** The table of fault pairs, each on a world of its own. */
+/** Pairs of faults; each pair runs in its own test environment. */
 import {setTimeout as wait} from 'node:timers/promises';
 import type {Load} from './callers.js';
 import {killEntry, startEntry, stopEntry} from './entries.js';
@@ -6,42 +6,42 @@
 import {now} from './recorder.js';
 import {setListedState, type TestEnvironment} from './test-environment.js';
 
-/** Two faults that come together; times in milliseconds. */
+/** Two faults that occur together; times in milliseconds. */
 export type FaultPair = {
 	readonly name: string;
-	/** Operators that race for the contract. */
+	/** Number of operators that change the contract concurrently. */
 	readonly operators: number;
 	readonly run: (
-		world: TestEnvironment,
+		environment: TestEnvironment,
 		load: Load,
 		lengthMs: number,
 	) => Promise<void>;
 };
 
-/** Longer than a lease. */
+/** Pause of an entry, longer than a lease. */
 const pausedMs = 6500;
 
 const outageDuringWave = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ) => {
-	await startWave(world, load, 'quote');
+	await startWave(environment, load, 'quote');
 	await wait(0.15 * lengthMs);
-	world.faults.set({isDown: true});
+	environment.faults.set({isDown: true});
 	await wait(0.25 * lengthMs);
-	world.faults.set({isDown: false});
+	environment.faults.set({isDown: false});
 	await wait(0.5 * lengthMs);
 };
 
-const loseZone = (world: TestEnvironment, availabilityZone: string) => {
-	const lost = world.executors.filter(
+const loseZone = (environment: TestEnvironment, availabilityZone: string) => {
+	const lost = environment.executors.filter(
 		(each) => each.availabilityZone === availabilityZone,
 	);
 	for (const executor of lost) {
 		const {id: instance} = executor;
-		world.recorder.losses.push({at: now(), instance, isLost: true});
-		setListedState(world, executor, 'leaving');
+		environment.recorder.losses.push({at: now(), instance, isLost: true});
+		setListedState(environment, executor, 'leaving');
 		executor.stop(false);
 	}
 
@@ -49,43 +49,43 @@
 		for (const executor of lost) {
 			const {id: instance} = executor;
 			await executor.listen();
-			world.recorder.losses.push({at: now(), instance, isLost: false});
-			setListedState(world, executor, 'live');
+			environment.recorder.losses.push({at: now(), instance, isLost: false});
+			setListedState(environment, executor, 'live');
 		}
 	};
 };
 
-const silenceDuringLoss = async (
-	world: TestEnvironment,
+const hangDuringLoss = async (
+	environment: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ) => {
 	await wait(0.1 * lengthMs);
-	for (const executor of world.executors) {
+	for (const executor of environment.executors) {
 		if (executor.availabilityZone === 'zone-1') {
 			executor.silence();
 		}
 	}
 
-	const bringBack = loseZone(world, 'zone-0');
+	const restoreZone = loseZone(environment, 'zone-0');
 	await wait(0.1 * lengthMs);
-	await startWave(world, load, 'claims');
+	await startWave(environment, load, 'claims');
 	await wait(0.3 * lengthMs);
-	await bringBack();
+	await restoreZone();
 	await wait(0.4 * lengthMs);
 };
 
 const replaceDuringChange = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ) => {
-	const moves = runMoves(world, load);
+	const moves = runMoves(environment, load);
 	for (const slot of [2, 0]) {
 		await wait(0.15 * lengthMs);
-		const id = world.slots[slot]?.id ?? `e${slot + 1}`;
-		await stopEntry(world, slot);
-		await startEntry(world, slot, id);
+		const id = environment.slots[slot]?.id ?? `e${slot + 1}`;
+		await stopEntry(environment, slot);
+		await startEntry(environment, slot, id);
 	}
 
 	await wait(0.5 * lengthMs);
@@ -93,7 +93,7 @@
 	await moves;
 };
 
-/** What an entry has decided reaches the store after its lease is over. */
+/** Delays the calls of an entry to the store until its lease has expired. */
 const pauseWrites = ({slots}: TestEnvironment, slot: number) => {
 	const entry = slots[slot];
 	if (entry) {
@@ -102,39 +102,39 @@
 };
 
 const loseReplies = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ) => {
-	world.faults.set({replyLostShare: 0.05, requestLostShare: 0.02});
-	const moves = runMoves(world, load);
-	const wave = startWave(world, load, 'quote');
+	environment.faults.set({replyLostShare: 0.05, requestLostShare: 0.02});
+	const moves = runMoves(environment, load);
+	const wave = startWave(environment, load, 'quote');
 	await wait(0.2 * lengthMs);
 	for (const slot of [0, 1]) {
-		pauseWrites(world, slot);
+		pauseWrites(environment, slot);
 		await wait(0.25 * lengthMs);
 	}
 
-	world.faults.set({replyLostShare: 0, requestLostShare: 0});
+	environment.faults.set({replyLostShare: 0, requestLostShare: 0});
 	await wait(0.2 * lengthMs);
 	load.isStopped = true;
 	await Promise.all([moves, wave]);
 };
 
 const killDuringClaims = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ) => {
-	await startWave(world, load, 'claims');
+	await startWave(environment, load, 'claims');
 	await wait(0.3 * lengthMs);
-	await killEntry(world, 1);
+	await killEntry(environment, 1);
 	await wait(0.2 * lengthMs);
-	await startEntry(world, 1, 'e4');
+	await startEntry(environment, 1, 'e4');
 	await wait(0.4 * lengthMs);
 };
 
-/** All pairs; their load and their judges are the same. */
+/** All pairs; they share the load and the checkers. */
 export const faultPairs: readonly FaultPair[] = [
 	{
 		name: 'store outage during a wave',
@@ -144,7 +144,7 @@
 	{
 		name: 'silent connections while a zone is lost',
 		operators: 1,
-		run: silenceDuringLoss,
+		run: hangDuringLoss,
 	},
 	{
 		name: 'entry replaced during contract changes',
@@ -163,17 +163,17 @@
 	},
 ];
 
-/** Runs one pair with its operators until the time is over. */
+/** Runs one pair with its operators. */
 export const runFaultPair = async (
 	pair: FaultPair,
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ): Promise<void> => {
 	const operators = Array.from({length: pair.operators}, async () =>
-		runContractChanges(world, load),
+		runContractChanges(environment, load),
 	);
-	await pair.run(world, load, lengthMs);
+	await pair.run(environment, load, lengthMs);
 	load.isStopped = true;
 	await Promise.all(operators);
 };
--- a/packages/bench/src/benches/invariants/operators.ts
+++ b/packages/bench/src/benches/invariants/operators.ts
@@ -1,4 +1,4 @@
-/** Operators at the entries' operator ports: contracts, waves and moves. */
+/** Operators that change contracts and start waves and moves. */
 import {setTimeout as wait} from 'node:timers/promises';
 import {embeddedOperatorToken} from '@gullstand/daemon';
 import {request} from 'undici';
@@ -27,8 +27,8 @@
 
 const movePauseMs = 400;
 
-/** Asks any entry; undefined if it cannot be reached. */
-const ask = async (
+/** Calls a random entry; undefined without an answer. */
+const callEntry = async (
 	{slots, random}: TestEnvironment,
 	{method, path, body, etag}: OperatorCall,
 ): Promise<OperatorAnswer | undefined> => {
@@ -64,46 +64,49 @@
 	answer?.status === 200 || answer?.status === 202;
 
 /**
- * One change of the probe customer's contract. Its number is drawn after the
- * version that it replaces was read, so that numbers grow as commits do.
+ * Changes the probe customer's contract once. The number of the change is
+ * assigned after the old version was read, so that numbers follow commit order.
  */
-const changeContract = async (world: TestEnvironment) => {
-	const read = await ask(world, {method: 'GET', path: probeContract});
+const changeContract = async (environment: TestEnvironment) => {
+	const read = await callEntry(environment, {
+		method: 'GET',
+		path: probeContract,
+	});
 	if (read?.etag === undefined) {
 		return;
 	}
 
-	world.changes.highest += 1;
-	const change = world.changes.highest;
-	const written = await ask(world, {
+	environment.changes.highest += 1;
+	const change = environment.changes.highest;
+	const written = await callEntry(environment, {
 		method: 'PUT',
 		path: probeContract,
 		body: createProbeContract(change),
 		etag: read.etag,
 	});
 	if (isAccepted(written)) {
-		world.recorder.acceptances.push({at: now(), change});
+		environment.recorder.acceptances.push({at: now(), change});
 	}
 };
 
-/** Changes the contract again and again; several of these race. */
+/** Changes the contract repeatedly, concurrently with other operators. */
 export const runContractChanges = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 ): Promise<void> => {
 	while (!load.isStopped) {
-		await changeContract(world);
-		await wait(changePauseMs * (0.5 + world.random()));
+		await changeContract(environment);
+		await wait(changePauseMs * (0.5 + environment.random()));
 	}
 };
 
-/** A repeat after a lost reply finds its own step done, a conflict. */
+/** True for a conflict too: a lost reply may have hidden the success. */
 const isDone = (answer: OperatorAnswer | undefined): boolean =>
 	isAccepted(answer) || answer?.status === 409;
 
-/** Plans and starts a wave, again until both are done. */
+/** Plans and starts a wave, with retries. */
 export const startWave = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 	pool: string,
 ): Promise<void> => {
@@ -113,23 +116,23 @@
 		{method: 'PUT', path, body},
 		{method: 'POST', path: `${path}/start`},
 	] as const) {
-		while (!load.isStopped && !isDone(await ask(world, call))) {
+		while (!load.isStopped && !isDone(await callEntry(environment, call))) {
 			await wait(retryMs);
 		}
 	}
 };
 
-/** Moves executors of a pool there and back; races with waves. */
+/** Moves executors between the pools, concurrently with waves. */
 export const runMoves = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 	load: Load,
 ): Promise<void> => {
-	const ids = world.executors.map(({id}) => id);
+	const ids = environment.executors.map(({id}) => id);
 	while (!load.isStopped) {
-		const id = ids[drawBelow(world.random, ids.length)]!;
-		const to = world.random() < 0.5 ? 'quote' : 'claims';
+		const id = ids[drawBelow(environment.random, ids.length)]!;
+		const to = environment.random() < 0.5 ? 'quote' : 'claims';
 		const path = `/v1/instances/${id}/move`;
-		await ask(world, {method: 'POST', path, body: {to}});
+		await callEntry(environment, {method: 'POST', path, body: {to}});
 		await wait(movePauseMs);
 	}
 };
--- a/packages/bench/src/benches/invariants/recorder.ts
+++ b/packages/bench/src/benches/invariants/recorder.ts
@@ -1,4 +1,4 @@
-/** Collects the outside records that judges read; times are monotonic ms. */
+/** Collects the records that checkers read; times are monotonic ms. */
 import {performance} from 'node:perf_hooks';
 import type {Contract, Instance, Service} from '@gullstand/core';
 import type {TableService, Write} from '@gullstand/ports';
@@ -6,18 +6,17 @@
 
 type Mutable<Type> = {-readonly [Key in keyof Type]: Type[Key]};
 
-/** A run that may still go on. */
+/** A run that may not have ended. */
 export type OpenRun = Mutable<RunRecord>;
 
-/** Records that grow. */
+/** Records under collection. */
 export type Recorder = {
 	readonly [Key in keyof Records]: Array<Records[Key][number]>;
 };
 
-/** The one clock of all records. */
+/** The clock of all records, in milliseconds. */
 export const now = (): number => performance.now();
 
-/** Makes a recorder without records. */
 export const createRecorder = (): Recorder => ({
 	runs: [],
 	answers: [],
@@ -53,7 +52,7 @@
 	}
 };
 
-/** The store itself, whose committed rows are recorded in their order. */
+/** Wraps a table service and records its committed rows in commit order. */
 export const recordTableService = (
 	inner: TableService,
 	recorder: Recorder,
--- a/packages/bench/src/benches/invariants/test-environment.ts
+++ b/packages/bench/src/benches/invariants/test-environment.ts
@@ -1,4 +1,4 @@
-/** One platform with faults, its executors and the records of both. */
+/** A platform with faults, its executors and the records of both. */
 import {setTimeout as wait} from 'node:timers/promises';
 import type {Contract, Instance, Service} from '@gullstand/core';
 import * as daemon from '@gullstand/daemon';
@@ -14,24 +14,23 @@
 	type Recorder,
 } from './recorder.js';
 
-/** What stands between an entry and the store. */
+/** Faults of the link between an entry and the store. */
 export type StoreLink = {
-	/** No call reaches the store. */
+	/** True if no call reaches the store. */
 	isCut: boolean;
-	/** Calls wait until then before they are sent, as in a paused process. */
+	/** Time until which calls are delayed, as in a paused process. */
 	heldUntil: number;
 };
 
-/** One entry. */
 export type Entry = {
 	readonly id: string;
 	readonly daemon: daemon.Daemon;
-	/** Connections of its callers. */
+	/** Agent that holds the connections of its callers. */
 	readonly agent: Agent;
 	readonly storeLink: StoreLink;
 };
 
-/** What a pair of faults works on. */
+/** Environment in which a pair of faults runs. */
 export type TestEnvironment = {
 	readonly random: Random;
 	readonly recorder: Recorder;
@@ -41,25 +40,25 @@
 	readonly list: platform.MemoryInstanceList;
 	readonly workers: platform.Workers;
 	readonly executors: readonly Executor[];
-	/** Entries that callers may reach, one a slot. */
+	/** Entries that callers may reach, one per slot. */
 	readonly slots: Array<Entry | undefined>;
-	/** Every entry that was started. */
+	/** Every entry that was started and not stopped. */
 	readonly started: Entry[];
-	/** Highest change of the probe customer's contract that was tried. */
+	/** Highest attempted change of the probe customer's contract. */
 	readonly changes: {highest: number};
-	/** How far the entries' clock is ahead; moved on after they have stopped. */
+	/** Offset of the entries' clock; advanced after they have stopped. */
 	readonly clock: {aheadMs: number};
-	/** Life of each executor. */
+	/** Current incarnation of each executor. */
 	readonly incarnations: Map<string, number>;
 };
 
-/** Services and pools, of the same names. */
+/** Names of the services and of their pools. */
 export const services = ['quote', 'claims'] as const;
 
-/** Token of the customer whose requests are the load. */
+/** Token of the customer that sends the load. */
 export const callerToken = 'north-caller';
 
-/** Token that change `change` gives to the probe customer. */
+/** Returns the token that a change gives to the probe customer. */
 export const getProbeToken = (change: number): string => `probe-${change}`;
 
 const executorsPerPool = 6;
@@ -70,7 +69,7 @@
 
 const longRunShare = 0.05;
 
-/** Share of requests that an executor declares not to run. */
+/** Share of requests that an executor refuses without running them. */
 const refusedShare = 0.02;
 
 const offersEndAfterMs = 60_000;
@@ -105,7 +104,7 @@
 	jobs: {cores: 0, memoryMb: 0, accelerators: 0, urgentStartMs: 1500},
 });
 
-/** The contract that change `change` puts in place of the one before. */
+/** Creates the contract of the probe customer after a change. */
 export const createProbeContract = (change: number): Contract =>
 	createContract('probe', getProbeToken(change), 1);
 
@@ -121,7 +120,7 @@
 	rack: executor.id,
 });
 
-/** Shows an executor in the platform's list. */
+/** Sets the state of an executor in the platform's list. */
 export const setListedState = (
 	{list, incarnations}: Pick<TestEnvironment, 'list' | 'incarnations'>,
 	{id, address, availabilityZone}: Executor,
@@ -143,22 +142,22 @@
 	'recorder' | 'executors' | 'list' | 'incarnations'
 >;
 
-const reboot = async (world: Rebooted, id: string) => {
-	const executor = world.executors.find((each) => each.id === id);
+const reboot = async (environment: Rebooted, id: string) => {
+	const executor = environment.executors.find((each) => each.id === id);
 	if (!executor) {
 		return;
 	}
 
-	world.recorder.reboots.push({at: now(), instance: id});
+	environment.recorder.reboots.push({at: now(), instance: id});
 	executor.stop(true);
-	setListedState(world, executor, 'leaving');
+	setListedState(environment, executor, 'leaving');
 	await wait(rebootMs);
 	await executor.listen();
-	world.incarnations.set(id, (world.incarnations.get(id) ?? 1) + 1);
-	setListedState(world, executor, 'live');
+	environment.incarnations.set(id, (environment.incarnations.get(id) ?? 1) + 1);
+	setListedState(environment, executor, 'live');
 };
 
-/** Most runs are short; some are still open when a wave's next step comes. */
+/** Draws a run time; a small share outlasts a step of a wave. */
 const drawWorkMs = (random: Random): number =>
 	random() < longRunShare ? 400 + 800 * random() : 2 + 20 * random();
 
@@ -210,7 +209,7 @@
 	];
 };
 
-/** Makes the platform and the executors; entries start after. */
+/** Creates the platform and the executors; entries are started later. */
 export const createTestEnvironment = async (
 	seed: number,
 ): Promise<TestEnvironment> => {
@@ -229,13 +228,13 @@
 	await daemon.commitChange(store, getFirstChanges(executors), 'first');
 	const list = platform.createMemoryInstanceList();
 	const incarnations = new Map<string, number>();
-	const shown = {recorder, executors, list, incarnations};
+	const base = {recorder, executors, list, incarnations};
 	for (const executor of executors) {
-		setListedState(shown, executor, 'live');
+		setListedState(base, executor, 'live');
 	}
 
 	return {
-		...shown,
+		...base,
 		random,
 		faults,
 		table: platform.faults.wrapTableService(store, faults),
@@ -245,7 +244,7 @@
 			now,
 			getIncarnation: (id) => `${id}-${incarnations.get(id) ?? 1}`,
 			onReboot(id) {
-				void reboot(shown, id);
+				void reboot(base, id);
 			},
 		}),
 		slots: [],
@@ -255,22 +254,22 @@
 	};
 };
 
-/** Ends everything that was started. */
+/** Stops the entries and the executors. */
 export const closeTestEnvironment = async (
-	world: TestEnvironment,
+	environment: TestEnvironment,
 ): Promise<void> => {
-	world.faults.set(platform.faults.noFaults);
+	environment.faults.set(platform.faults.noFaults);
 	await Promise.all(
-		world.started.map(async ({daemon: each, agent}) => {
+		environment.started.map(async ({daemon: each, agent}) => {
 			await agent.destroy();
 			await each.stop();
 		}),
 	);
-	// Stopped entries go on offering changes to peers that are gone for a while.
-	world.clock.aheadMs = offersEndAfterMs;
-	// A reboot may still be under way.
+	// Stopped entries keep sending changes to removed peers for a while.
+	environment.clock.aheadMs = offersEndAfterMs;
+	// A reboot may still be in progress.
 	await wait(2 * rebootMs);
-	for (const executor of world.executors) {
+	for (const executor of environment.executors) {
 		executor.stop(true);
 	}
 };
--- a/packages/bench/src/benches/limits.ts
+++ b/packages/bench/src/benches/limits.ts
@@ -9,7 +9,7 @@
 import * as loads from './limits/load.js';
 import * as settings from './limits/settings.js';
 import * as ways from './limits/simple-strategies.js';
-import * as worlds from './limits/simulation.js';
+import * as simulations from './limits/simulation.js';
 
 const runMs = 60_000;
 const shortRunMs = 8000;
@@ -34,7 +34,7 @@
 
 /** Two entries die; the list shows it and two new ones after its lag. */
 const scheduleLoss = (
-	world: worlds.Simulation,
+	simulation: simulations.Simulation,
 	way: ways.Strategy,
 	first: readonly string[],
 	{atMs, loss}: {atMs: number; loss: Loss},
@@ -42,43 +42,53 @@
 	const lost = [first[2]!, first[5]!];
 	const added = ['entry-10', 'entry-11'];
 	const second = [...first.filter((each) => !lost.includes(each)), ...added];
-	world.lossAtMs = atMs;
-	worlds.schedule(world, atMs, () => {
+	simulation.lossAtMs = atMs;
+	simulations.schedule(simulation, atMs, () => {
 		for (const entry of lost) {
-			world.alive.delete(entry);
+			simulation.alive.delete(entry);
 			way.removeEntry(entry);
 			if (loss === 'killed') {
-				worlds.closeAll(world, entry);
+				simulations.closeAll(simulation, entry);
 			}
 		}
 
-		world.serving = world.serving.filter((each) => !lost.includes(each));
+		simulation.serving = simulation.serving.filter(
+			(each) => !lost.includes(each),
+		);
 	});
 	const ended = new Set(loss === 'killed' ? lost : []);
 	if (loss === 'killed') {
 		const left = first.filter((each) => !lost.includes(each));
-		worlds.schedule(world, atMs + settings.connectionRefusedAfterMs, () => {
-			for (const entry of left) {
-				way.applyMembership(entry, left, ended);
-			}
-		});
+		simulations.schedule(
+			simulation,
+			atMs + settings.connectionRefusedAfterMs,
+			() => {
+				for (const entry of left) {
+					way.applyMembership(entry, left, ended);
+				}
+			},
+		);
 	}
 
-	worlds.schedule(world, atMs + settings.listLagMs, () => {
+	simulations.schedule(simulation, atMs + settings.listLagMs, () => {
 		for (const entry of added) {
-			world.alive.add(entry);
+			simulation.alive.add(entry);
 		}
 
 		for (const entry of second) {
-			const readMs = world.draw() * settings.listReadMs;
-			worlds.schedule(world, world.nowMs + readMs, () => {
+			const readMs = simulation.draw() * settings.listReadMs;
+			simulations.schedule(simulation, simulation.nowMs + readMs, () => {
 				way.applyMembership(entry, second, ended);
 			});
 		}
 	});
-	worlds.schedule(world, atMs + settings.listLagMs + settings.warmUpMs, () => {
-		world.serving = [...world.serving, ...added];
-	});
+	simulations.schedule(
+		simulation,
+		atMs + settings.listLagMs + settings.warmUpMs,
+		() => {
+			simulation.serving = [...simulation.serving, ...added];
+		},
+	);
 };
 
 const runOne = (
@@ -86,30 +96,30 @@
 	arrivals: readonly loads.Arrival[],
 	loss: Loss,
 	{seed, untilMs}: {seed: number; untilMs: number},
-): worlds.Counts => {
+): simulations.Counts => {
 	const first = Array.from(
 		{length: settings.entryCount},
 		(_, index) => `entry-${index + 1}`,
 	);
-	const world = worlds.createSimulation(seed, first);
-	const way = createWays[name](world);
+	const simulation = simulations.createSimulation(seed, first);
+	const way = createWays[name](simulation);
 	for (const entry of first) {
 		way.applyMembership(entry, first, new Set());
 	}
 
 	if (loss !== 'none') {
-		scheduleLoss(world, way, first, {atMs: Math.floor(untilMs / 3), loss});
+		scheduleLoss(simulation, way, first, {atMs: Math.floor(untilMs / 3), loss});
 	}
 
-	const requests: worlds.Request[] = [];
+	const requests: simulations.Request[] = [];
 	const arriveNext = (index: number) => {
 		const arrival = arrivals[index];
 		if (!arrival) {
 			return;
 		}
 
-		worlds.schedule(world, arrival.atMs, () => {
-			const {serving} = world;
+		simulations.schedule(simulation, arrival.atMs, () => {
+			const {serving} = simulation;
 			const entry = serving[Math.floor(arrival.entryDraw * serving.length)]!;
 			const pool = settings.pools[arrival.pool]!;
 			const deadlineMs = arrival.atMs + pool.answerWithinMs;
@@ -122,10 +132,12 @@
 	};
 
 	arriveNext(0);
-	worlds.runUntil(world, untilMs + drainMs);
-	world.counts.requests = requests.length;
-	world.counts.lostWithEntry = requests.filter((each) => !each.done).length;
-	return world.counts;
+	simulations.runUntil(simulation, untilMs + drainMs);
+	simulation.counts.requests = requests.length;
+	simulation.counts.lostWithEntry = requests.filter(
+		(each) => !each.done,
+	).length;
+	return simulation.counts;
 };
 
 const round = (value: number): number => Number(value.toPrecision(4));
@@ -135,7 +147,7 @@
 	0,
 );
 
-const toFigures = (counts: worlds.Counts, untilMs: number): Figures => ({
+const toFigures = (counts: simulations.Counts, untilMs: number): Figures => ({
 	requests: counts.requests,
 	late: counts.late,
 	latePercent: round((100 * counts.late) / counts.requests),
@@ -164,7 +176,7 @@
 
 const createChecks = (
 	title: string,
-	credits: worlds.Counts,
+	credits: simulations.Counts,
 	ratio: number,
 ): readonly Check[] => {
 	const most = settings.slotsPerExecutor + credits.overshootMax;
@@ -185,7 +197,7 @@
 		const arrivals = loads.createArrivals(seed, load, untilMs);
 		for (const {loss, names} of scenarios) {
 			const title = `${load}, loss ${loss}`;
-			const byWay = new Map<WayName, worlds.Counts>();
+			const byWay = new Map<WayName, simulations.Counts>();
 			for (const name of names) {
 				const counts = runOne(name, arrivals, loss, {seed, untilMs});
 				byWay.set(name, counts);
--- a/packages/bench/src/benches/limits/credit-strategy.ts
+++ b/packages/bench/src/benches/limits/credit-strategy.ts
@@ -6,7 +6,7 @@
 import * as settings from './settings.js';
 import type {Strategy} from './simple-strategies.js';
 import type {Request, Simulation} from './simulation.js';
-import * as worlds from './simulation.js';
+import * as simulations from './simulation.js';
 
 type Entry = {
 	readonly name: string;
@@ -29,7 +29,7 @@
 /** Way with the given settings. */
 export const createCreditStrategy =
 	(creditSettings: core.CreditSettings) =>
-	(world: Simulation): Strategy => {
+	(simulation: Simulation): Strategy => {
 		const entries = new Map<string, Entry>();
 
 		const deliver = (
@@ -37,19 +37,19 @@
 			to: string,
 			envelopes: ReadonlyArray<{pool: number; message: CreditMessage}>,
 		) => {
-			worlds.send(world, to, () => {
+			simulations.send(simulation, to, () => {
 				const entry = entries.get(to);
 				if (!entry) {
 					return;
 				}
 
-				entry.heardAt.set(from.name, world.nowMs);
+				entry.heardAt.set(from.name, simulation.nowMs);
 				for (const {pool, message} of envelopes) {
 					const limits = entry.limits[pool]!;
 					const answers = core.poolLimits.receiveMessage(
 						limits,
 						message,
-						world.nowMs,
+						simulation.nowMs,
 					);
 					sendAll(entry, pool, answers);
 					queues.dispatchWaiting(entry.queues[pool]!);
@@ -82,7 +82,7 @@
 				const open = Math.max(inFlight, Math.min(before, limit));
 				if (open !== before) {
 					entry.connections.set(executor, open);
-					worlds.setConnections(world, entry.name, executor, open);
+					simulations.setConnections(simulation, entry.name, executor, open);
 				}
 			}
 		};
@@ -92,11 +92,11 @@
 			const queue = entry.queues[pool]!;
 			const isOwn = limits.borrower.home === entry.name;
 			const dueMs = limits.borrower.lastReportMs + reportGapMs;
-			if (!isOwn && world.nowMs < dueMs) {
+			if (!isOwn && simulation.nowMs < dueMs) {
 				if (entry.flushAtMs[pool]! < dueMs) {
 					entry.flushAtMs[pool] = dueMs;
-					worlds.schedule(world, dueMs, () => {
-						if (limits.borrower.dirty && world.alive.has(entry.name)) {
+					simulations.schedule(simulation, dueMs, () => {
+						if (limits.borrower.dirty && simulation.alive.has(entry.name)) {
 							flush(entry, pool);
 						}
 					});
@@ -108,7 +108,7 @@
 			const envelopes = core.poolLimits.flushReport(
 				limits,
 				getDeadlines(queue.waiting),
-				world.nowMs,
+				simulation.nowMs,
 			);
 			sendAll(entry, pool, envelopes);
 			if (isOwn) {
@@ -127,7 +127,7 @@
 							...creditSettings,
 							longestAttemptMs: pool.answerWithinMs + settings.slotReuseDelayMs,
 						},
-						world.nowMs,
+						simulation.nowMs,
 					),
 				),
 				queues: [],
@@ -141,11 +141,11 @@
 			for (const pool of settings.pools.keys()) {
 				const {borrower} = entry.limits[pool]!;
 				let reported = 0;
-				const queue = queues.createQueue(world, pool, {
+				const queue = queues.createQueue(simulation, pool, {
 					acquire: (request) =>
 						core.creditSlots.acquireSlot(
 							borrower,
-							world.nowMs,
+							simulation.nowMs,
 							request.deadlineMs,
 							() => 1,
 						),
@@ -156,7 +156,7 @@
 						core.creditSlots.releaseSpares(
 							borrower,
 							waiting.length,
-							world.nowMs,
+							simulation.nowMs,
 						);
 						updateConnections(entry, pool);
 						if (waiting.length > reported) {
@@ -173,7 +173,7 @@
 			}
 
 			entries.set(name, entry);
-			worlds.schedule(world, world.nowMs, () => {
+			simulations.schedule(simulation, simulation.nowMs, () => {
 				tick(entry);
 			});
 			return entry;
@@ -196,21 +196,21 @@
 						ended: entry.ended,
 						slots,
 					},
-					world.nowMs,
+					simulation.nowMs,
 				);
 				queues.dispatchWaiting(entry.queues[pool]!);
 			}
 		};
 
 		const tick = (entry: Entry) => {
-			if (!world.alive.has(entry.name)) {
+			if (!simulation.alive.has(entry.name)) {
 				return;
 			}
 
 			const silent = core.silence.getSilentMembers(
 				entry.heardAt,
 				entry.listed.filter((each) => each !== entry.name),
-				world.nowMs,
+				simulation.nowMs,
 				core.silence.defaultSilentAfterMs,
 			);
 			if ([...silent].join(' ') !== [...entry.silent].join(' ')) {
@@ -228,11 +228,11 @@
 			);
 			for (const [pool, limits] of entry.limits.entries()) {
 				const envelopes = [
-					...core.poolLimits.tickPool(limits, world.nowMs),
+					...core.poolLimits.tickPool(limits, simulation.nowMs),
 					...core.poolLimits.flushReport(
 						limits,
 						getDeadlines(entry.queues[pool]!.waiting),
-						world.nowMs,
+						simulation.nowMs,
 					),
 				];
 				for (const {to, message} of envelopes) {
@@ -246,9 +246,13 @@
 				deliver(entry, to, batch);
 			}
 
-			worlds.schedule(world, world.nowMs + creditSettings.heartbeatMs, () => {
-				tick(entry);
-			});
+			simulations.schedule(
+				simulation,
+				simulation.nowMs + creditSettings.heartbeatMs,
+				() => {
+					tick(entry);
+				},
+			);
 		};
 
 		return {
--- a/packages/bench/src/benches/limits/queues.ts
+++ b/packages/bench/src/benches/limits/queues.ts
@@ -1,6 +1,6 @@
 /** Waiting requests of every entry and pool, first in, first out. */
 import type {Request, Simulation} from './simulation.js';
-import * as worlds from './simulation.js';
+import * as simulations from './simulation.js';
 
 /** What a way decides for one entry and pool. */
 export type Decisions = {
@@ -21,10 +21,10 @@
 };
 
 export const createQueue = (
-	world: Simulation,
+	simulation: Simulation,
 	pool: number,
 	decisions: Decisions,
-): EntryQueue => ({simulation: world, pool, decisions, waiting: []});
+): EntryQueue => ({simulation, pool, decisions, waiting: []});
 
 /** Dispatches all that can be, then lets the way settle. */
 export const dispatchWaiting = (queue: EntryQueue) => {
@@ -36,8 +36,8 @@
 		}
 
 		waiting.shift();
-		worlds.addWaiting(simulation, pool, -1);
-		worlds.dispatch(simulation, request, executor, {
+		simulations.addWaiting(simulation, pool, -1);
+		simulations.dispatch(simulation, request, executor, {
 			onEnd() {
 				decisions.finish(executor);
 				dispatchWaiting(queue);
@@ -52,13 +52,13 @@
 export const enqueue = (queue: EntryQueue, request: Request) => {
 	const {simulation, pool, waiting} = queue;
 	waiting.push(request);
-	worlds.addWaiting(simulation, pool, 1);
-	worlds.schedule(simulation, request.giveUpAtMs, () => {
+	simulations.addWaiting(simulation, pool, 1);
+	simulations.schedule(simulation, request.giveUpAtMs, () => {
 		const index = waiting.indexOf(request);
 		if (index !== -1) {
 			waiting.splice(index, 1);
-			worlds.addWaiting(simulation, pool, -1);
-			worlds.giveUp(simulation, request);
+			simulations.addWaiting(simulation, pool, -1);
+			simulations.giveUp(simulation, request);
 		}
 	});
 	dispatchWaiting(queue);
@@ -66,6 +66,6 @@
 
 /** The entry is lost with all that waits in it. */
 export const drop = (queue: EntryQueue) => {
-	worlds.addWaiting(queue.simulation, queue.pool, -queue.waiting.length);
+	simulations.addWaiting(queue.simulation, queue.pool, -queue.waiting.length);
 	queue.waiting.length = 0;
 };
--- a/packages/bench/src/benches/limits/simple-strategies.ts
+++ b/packages/bench/src/benches/limits/simple-strategies.ts
@@ -4,7 +4,7 @@
 import * as queues from './queues.js';
 import * as settings from './settings.js';
 import type {Request, Simulation} from './simulation.js';
-import * as worlds from './simulation.js';
+import * as simulations from './simulation.js';
 
 /** One way in one run. */
 export type Strategy = {
@@ -29,7 +29,7 @@
  * executor is done, which no sender can know.
  */
 const createOneQueue = (
-	world: Simulation,
+	simulation: Simulation,
 	knowsExecutors: boolean,
 ): Strategy => {
 	const waiting: Request[][] = settings.pools.map(() => []);
@@ -54,14 +54,14 @@
 			const picked = executor;
 			assigned.set(picked, least + 1);
 			waiting[pool]!.shift();
-			worlds.addWaiting(world, pool, -1);
+			simulations.addWaiting(simulation, pool, -1);
 			const onFree = () => {
 				assigned.set(picked, assigned.get(picked)! - 1);
 				pump(pool);
 			};
 
-			worlds.dispatch(
-				world,
+			simulations.dispatch(
+				simulation,
 				request,
 				picked,
 				knowsExecutors ? {onFree} : {onEnd: onFree, endsWhenLost: true},
@@ -73,7 +73,7 @@
 		const index = waiting[pool]!.indexOf(request);
 		if (index !== -1) {
 			waiting[pool]!.splice(index, 1);
-			worlds.addWaiting(world, pool, -1);
+			simulations.addWaiting(simulation, pool, -1);
 		}
 
 		return index !== -1;
@@ -83,10 +83,10 @@
 		arrive(request) {
 			const {pool} = request.arrival;
 			waiting[pool]!.push(request);
-			worlds.addWaiting(world, pool, 1);
-			worlds.schedule(world, request.giveUpAtMs, () => {
+			simulations.addWaiting(simulation, pool, 1);
+			simulations.schedule(simulation, request.giveUpAtMs, () => {
 				if (remove(pool, request)) {
-					worlds.giveUp(world, request);
+					simulations.giveUp(simulation, request);
 				}
 			});
 			pump(pool);
@@ -103,12 +103,12 @@
 };
 
 /** The bound for all that see a slot free when its answer has come. */
-export const createOmniscient = (world: Simulation) =>
-	createOneQueue(world, false);
+export const createOmniscient = (simulation: Simulation) =>
+	createOneQueue(simulation, false);
 
 /** The bound with knowledge of the executors besides. */
-export const createClairvoyant = (world: Simulation) =>
-	createOneQueue(world, true);
+export const createClairvoyant = (simulation: Simulation) =>
+	createOneQueue(simulation, true);
 
 /** What one entry knows; counts are of one pool's executors. */
 type EntryState = {
@@ -124,12 +124,12 @@
 type Pick = (
 	state: EntryState,
 	pool: number,
-	world: Simulation,
+	simulation: Simulation,
 ) => string | undefined;
 
 const createLocalWay =
 	(pick: Pick, exchangeMs?: number) =>
-	(world: Simulation): Strategy => {
+	(simulation: Simulation): Strategy => {
 		const states = new Map<string, EntryState>();
 		const createState = (entry: string): EntryState => {
 			const state: EntryState = {
@@ -142,9 +142,9 @@
 				shares: [],
 			};
 			for (const pool of settings.pools.keys()) {
-				const queue = queues.createQueue(world, pool, {
+				const queue = queues.createQueue(simulation, pool, {
 					acquire() {
-						const executor = pick(state, pool, world);
+						const executor = pick(state, pool, simulation);
 						if (executor !== undefined) {
 							core.creditMessages.addCount(state.inFlight, executor, 1);
 						}
@@ -167,7 +167,7 @@
 		};
 
 		const exchange = (state: EntryState, everyMs: number) => {
-			if (!world.alive.has(state.entry)) {
+			if (!simulation.alive.has(state.entry)) {
 				return;
 			}
 
@@ -175,7 +175,7 @@
 			for (const to of state.listed) {
 				const peer = states.get(to);
 				if (peer && peer !== state) {
-					worlds.send(world, to, () => {
+					simulations.send(simulation, to, () => {
 						peer.peers.set(state.entry, counts);
 						peer.peerSums = core.powerOfTwo.sumPeerCounts(peer.peers.values());
 						for (const queue of peer.queues) {
@@ -185,7 +185,7 @@
 				}
 			}
 
-			worlds.schedule(world, world.nowMs + everyMs, () => {
+			simulations.schedule(simulation, simulation.nowMs + everyMs, () => {
 				exchange(state, everyMs);
 			});
 		};
@@ -250,17 +250,17 @@
 	);
 
 /** Power of two choices by the entry's own requests in flight. */
-export const createPowerOfTwoLocal = createLocalWay((state, pool, world) =>
-	pickOfTwo(world, pool, (executor) => state.inFlight.get(executor) ?? 0),
+export const createPowerOfTwoLocal = createLocalWay((state, pool, simulation) =>
+	pickOfTwo(simulation, pool, (executor) => state.inFlight.get(executor) ?? 0),
 );
 
 const exchangeMs = 20;
 
 /** The same with what peers said of theirs, exchanged every 20 ms. */
 export const createPowerOfTwoPeers = createLocalWay(
-	(state, pool, world) =>
+	(state, pool, simulation) =>
 		pickOfTwo(
-			world,
+			simulation,
 			pool,
 			(executor) =>
 				(state.inFlight.get(executor) ?? 0) +
--- a/packages/bench/src/benches/limits/simulation.ts
+++ b/packages/bench/src/benches/limits/simulation.ts
@@ -116,9 +116,17 @@
 	a.atMs < b.atMs || (a.atMs === b.atMs && a.seq < b.seq);
 
 /** Adds an event to the binary heap. */
-export const schedule = (world: Simulation, atMs: number, run: () => void) => {
-	const {events} = world;
-	const event = {atMs: Math.max(atMs, world.nowMs), seq: world.seq++, run};
+export const schedule = (
+	simulation: Simulation,
+	atMs: number,
+	run: () => void,
+) => {
+	const {events} = simulation;
+	const event = {
+		atMs: Math.max(atMs, simulation.nowMs),
+		seq: simulation.seq++,
+		run,
+	};
 	let index = events.length;
 	events.push(event);
 	while (index > 0) {
@@ -168,76 +176,89 @@
 };
 
 /** Runs events in order of time until a time. */
-export const runUntil = (world: Simulation, untilMs: number) => {
-	while (world.events[0] && world.events[0].atMs <= untilMs) {
-		const event = takeFirst(world.events)!;
-		world.nowMs = event.atMs;
+export const runUntil = (simulation: Simulation, untilMs: number) => {
+	while (simulation.events[0] && simulation.events[0].atMs <= untilMs) {
+		const event = takeFirst(simulation.events)!;
+		simulation.nowMs = event.atMs;
 		event.run();
 	}
 };
 
-export const drawLink = (world: Simulation): number =>
-	settings.linkMinMs + world.draw() * (settings.linkMaxMs - settings.linkMinMs);
+export const drawLink = (simulation: Simulation): number =>
+	settings.linkMinMs +
+	simulation.draw() * (settings.linkMaxMs - settings.linkMinMs);
 
 /** Sends a message from entry to entry; lost if either is dead. */
-export const send = (world: Simulation, to: string, run: () => void) => {
-	world.counts.messages++;
-	schedule(world, world.nowMs + drawLink(world), () => {
-		if (world.alive.has(to)) {
+export const send = (simulation: Simulation, to: string, run: () => void) => {
+	simulation.counts.messages++;
+	schedule(simulation, simulation.nowMs + drawLink(simulation), () => {
+		if (simulation.alive.has(to)) {
 			run();
 		}
 	});
 };
 
-const account = (world: Simulation, pool: number) => {
-	const elapsed = world.nowMs - world.changedAtMs[pool]!;
+const account = (simulation: Simulation, pool: number) => {
+	const elapsed = simulation.nowMs - simulation.changedAtMs[pool]!;
 	const slots =
 		settings.pools[pool]!.executors.length * settings.slotsPerExecutor;
-	const idle = slots - world.busy[pool]!;
-	world.counts.idleWhileWaitingMs +=
-		elapsed * Math.min(idle, world.waiting[pool]!);
-	world.changedAtMs[pool] = world.nowMs;
+	const idle = slots - simulation.busy[pool]!;
+	simulation.counts.idleWhileWaitingMs +=
+		elapsed * Math.min(idle, simulation.waiting[pool]!);
+	simulation.changedAtMs[pool] = simulation.nowMs;
 };
 
 /** Changes the number of requests that wait for a slot of a pool. */
-export const addWaiting = (world: Simulation, pool: number, change: number) => {
-	account(world, pool);
-	world.waiting[pool]! += change;
+export const addWaiting = (
+	simulation: Simulation,
+	pool: number,
+	change: number,
+) => {
+	account(simulation, pool);
+	simulation.waiting[pool]! += change;
 };
 
 const load = (executor: Executor) => executor.running + executor.queue.length;
 
-const accountOvershoot = (world: Simulation, executor: Executor) => {
+const accountOvershoot = (simulation: Simulation, executor: Executor) => {
 	if (load(executor) > settings.slotsPerExecutor) {
-		world.counts.overshootMs += world.nowMs - executor.changedAtMs;
+		simulation.counts.overshootMs += simulation.nowMs - executor.changedAtMs;
 	}
 
-	executor.changedAtMs = world.nowMs;
+	executor.changedAtMs = simulation.nowMs;
 };
 
-const finish = (world: Simulation, request: Request, answered: boolean) => {
+const finish = (
+	simulation: Simulation,
+	request: Request,
+	answered: boolean,
+) => {
 	if (request.done) {
 		return;
 	}
 
 	request.done = true;
-	if (!answered || world.nowMs > request.deadlineMs) {
-		world.counts.late++;
-		const sinceLoss = request.arrival.atMs - world.lossAtMs;
+	if (!answered || simulation.nowMs > request.deadlineMs) {
+		simulation.counts.late++;
+		const sinceLoss = request.arrival.atMs - simulation.lossAtMs;
 		if (sinceLoss >= -1000 && sinceLoss < nearLossMs) {
-			world.counts.lateNearLoss++;
+			simulation.counts.lateNearLoss++;
 		}
 	}
 };
 
 /** A waiting request whose deadline has passed is answered and late. */
-export const giveUp = (world: Simulation, request: Request) => {
-	finish(world, request, false);
+export const giveUp = (simulation: Simulation, request: Request) => {
+	finish(simulation, request, false);
 };
 
-const leave = (world: Simulation, executor: Executor, start: () => void) => {
-	account(world, executor.pool);
-	accountOvershoot(world, executor);
+const leave = (
+	simulation: Simulation,
+	executor: Executor,
+	start: () => void,
+) => {
+	account(simulation, executor.pool);
+	accountOvershoot(simulation, executor);
 	const index = executor.queue.indexOf(start);
 	if (index !== -1) {
 		executor.queue.splice(index, 1);
@@ -249,18 +270,25 @@
 		next();
 	} else {
 		executor.running--;
-		world.busy[executor.pool]!--;
+		simulation.busy[executor.pool]!--;
 	}
 };
 
-const enter = (world: Simulation, executor: Executor, start: () => void) => {
-	account(world, executor.pool);
-	accountOvershoot(world, executor);
+const enter = (
+	simulation: Simulation,
+	executor: Executor,
+	start: () => void,
+) => {
+	account(simulation, executor.pool);
+	accountOvershoot(simulation, executor);
 	const over = load(executor) + 1 - settings.slotsPerExecutor;
-	world.counts.overshootMax = Math.max(world.counts.overshootMax, over);
+	simulation.counts.overshootMax = Math.max(
+		simulation.counts.overshootMax,
+		over,
+	);
 	if (executor.running < settings.slotsPerExecutor) {
 		executor.running++;
-		world.busy[executor.pool]!++;
+		simulation.busy[executor.pool]!++;
 		start();
 	} else {
 		executor.queue.push(start);
@@ -274,7 +302,7 @@
  * `endsWhenLost`.
  */
 export const dispatch = (
-	world: Simulation,
+	simulation: Simulation,
 	request: Request,
 	name: string,
 	{
@@ -283,7 +311,7 @@
 		endsWhenLost = false,
 	}: {onFree?: () => void; onEnd?: () => void; endsWhenLost?: boolean},
 ) => {
-	const executor = world.executors.get(name)!;
+	const executor = simulation.executors.get(name)!;
 	let state: 'sent' | 'there' | 'gone' = 'sent';
 	let told = false;
 	const tellEntry = () => {
@@ -295,77 +323,81 @@
 
 	const end = () => {
 		if (state === 'there') {
-			leave(world, executor, start);
+			leave(simulation, executor, start);
 			onFree?.();
 		}
 
 		state = 'gone';
-		world.open.get(request.entry)?.delete(close);
+		simulation.open.get(request.entry)?.delete(close);
 	};
 
 	const close = () => {
 		end();
 		if (endsWhenLost) {
-			schedule(world, world.nowMs + drawLink(world), tellEntry);
+			schedule(simulation, simulation.nowMs + drawLink(simulation), tellEntry);
 		}
 	};
 
 	const start = () => {
-		schedule(world, world.nowMs + request.arrival.serviceMs, () => {
+		schedule(simulation, simulation.nowMs + request.arrival.serviceMs, () => {
 			if (state !== 'there') {
 				return;
 			}
 
 			end();
-			schedule(world, world.nowMs + drawLink(world), () => {
-				if (endsWhenLost && !world.alive.has(request.entry)) {
+			schedule(simulation, simulation.nowMs + drawLink(simulation), () => {
+				if (endsWhenLost && !simulation.alive.has(request.entry)) {
 					tellEntry();
-				} else if (world.alive.has(request.entry) && !request.done) {
-					finish(world, request, true);
+				} else if (simulation.alive.has(request.entry) && !request.done) {
+					finish(simulation, request, true);
 					tellEntry();
 				}
 			});
 		});
 	};
 
-	const open = world.open.get(request.entry) ?? new Set();
-	world.open.set(request.entry, open.add(close));
-	schedule(world, world.nowMs + drawLink(world), () => {
+	const open = simulation.open.get(request.entry) ?? new Set();
+	simulation.open.set(request.entry, open.add(close));
+	schedule(simulation, simulation.nowMs + drawLink(simulation), () => {
 		if (state === 'sent') {
 			state = 'there';
-			enter(world, executor, start);
+			enter(simulation, executor, start);
 		}
 	});
-	schedule(world, request.deadlineMs, () => {
-		if (request.done || !world.alive.has(request.entry)) {
+	schedule(simulation, request.deadlineMs, () => {
+		if (request.done || !simulation.alive.has(request.entry)) {
 			return;
 		}
 
-		finish(world, request, false);
-		schedule(world, world.nowMs + drawLink(world), end);
-		schedule(world, world.nowMs + settings.slotReuseDelayMs, tellEntry);
+		finish(simulation, request, false);
+		schedule(simulation, simulation.nowMs + drawLink(simulation), end);
+		schedule(
+			simulation,
+			simulation.nowMs + settings.slotReuseDelayMs,
+			tellEntry,
+		);
 	});
 };
 
 /** The host of a process that has ended closes its connections. */
-export const closeAll = (world: Simulation, entry: string) => {
-	for (const close of world.open.get(entry) ?? []) {
-		schedule(world, world.nowMs + drawLink(world), close);
+export const closeAll = (simulation: Simulation, entry: string) => {
+	for (const close of simulation.open.get(entry) ?? []) {
+		schedule(simulation, simulation.nowMs + drawLink(simulation), close);
 	}
 };
 
 /** Sets the connections that an entry has open to an executor. */
 export const setConnections = (
-	world: Simulation,
+	simulation: Simulation,
 	entry: string,
 	name: string,
 	open: number,
 ) => {
-	const executor = world.executors.get(name)!;
+	const executor = simulation.executors.get(name)!;
 	executor.connections += open - (executor.connectionsOf.get(entry) ?? 0);
 	executor.connectionsOf.set(entry, open);
-	world.counts.connectionsMax = Math.max(
-		world.counts.connectionsMax,
+	simulation.counts.connectionsMax = Math.max(
+		simulation.counts.connectionsMax,
 		executor.connections,
 	);
 };
--- a/packages/bench/src/benches/outage/daemons.ts
+++ b/packages/bench/src/benches/outage/daemons.ts
@@ -77,7 +77,7 @@
 	}
 };
 
-const startWorld = async (seed: number) => {
+const startTestEnvironment = async (seed: number) => {
 	const embedded = await daemon.startEmbeddedPlatform(now);
 	const faults = platform.faults.createFaultControl({
 		random: createRandom(seed),
@@ -128,10 +128,10 @@
 	return {embedded, faults, entries, arrivals, server, listState};
 };
 
-type World = Awaited<ReturnType<typeof startWorld>>;
+type TestEnvironment = Awaited<ReturnType<typeof startTestEnvironment>>;
 
 /** Starts an entry; resolves when it has answered a caller. */
-const startEntry = async (world: World, id: string) => {
+const startEntry = async (environment: TestEnvironment, id: string) => {
 	const startedAt = now();
 	const base = daemon.createEmbeddedSettings(0, 0, 'error');
 	const settings: daemon.Settings = {
@@ -140,7 +140,7 @@
 		peers: {address: '127.0.0.1', port: 0, keyHex: 'ab'.repeat(32)},
 	};
 	const opened = daemon.openPlatform(
-		{kind: 'http', url: world.server.origin, timeoutMs: 2000},
+		{kind: 'http', url: environment.server.origin, timeoutMs: 2000},
 		now,
 	);
 	const created = daemon.createDaemon({
@@ -158,7 +158,7 @@
 		await wait(5);
 	}
 
-	world.entries.set({
+	environment.entries.set({
 		id,
 		role: 'entry',
 		address: created.agreement.peers.getAddress(),
@@ -171,8 +171,8 @@
 	return {entry, servesAfterMs: isServing ? servesAfterMs : Number.NaN};
 };
 
-const stopEntry = async (world: World, entry: Entry) => {
-	world.entries.remove(entry.id);
+const stopEntry = async (environment: TestEnvironment, entry: Entry) => {
+	environment.entries.remove(entry.id);
 	await entry.daemon.stop();
 	await entry.agent.close();
 	await entry.close();
@@ -208,10 +208,10 @@
 	};
 };
 
-const waitForSnapshot = async (world: World) => {
+const waitForSnapshot = async (environment: TestEnvironment) => {
 	const deadline = now() + maxStartMs;
 	while (now() < deadline) {
-		const {objects} = world.embedded.platform;
+		const {objects} = environment.embedded.platform;
 		const read = await daemon.readSnapshot(objects, daemon.fleetName);
 		if (read.ok) {
 			return;
@@ -238,19 +238,19 @@
  * tell the entries that they still count.
  */
 const runWithoutList = async (
-	world: World,
+	environment: TestEnvironment,
 	entries: Entry[],
 	lengthMs: number,
 ) => {
 	const [last] = entries.splice(-1);
-	await stopEntry(world, last!);
-	const {entry} = await startEntry(world, last!.id);
-	world.listState.isDown = true;
+	await stopEntry(environment, last!);
+	const {entry} = await startEntry(environment, last!.id);
+	environment.listState.isDown = true;
 	const [registered, sponsored] = await Promise.all([
 		runPhase(entries, lengthMs),
 		runPhase([entry], lengthMs),
 	]);
-	world.listState.isDown = false;
+	environment.listState.isDown = false;
 	entries.push(entry);
 	return {registered, sponsored};
 };
@@ -259,40 +259,47 @@
 export const runDaemons = async (
 	options: DaemonsOptions,
 ): Promise<DaemonsReport> => {
-	const world = await startWorld(options.seed);
+	const environment = await startTestEnvironment(options.seed);
 	const entries: Entry[] = [];
 	for (const id of entryIds) {
-		const {entry} = await startEntry(world, id);
+		const {entry} = await startEntry(environment, id);
 		entries.push(entry);
 	}
 
-	await waitForSnapshot(world);
+	await waitForSnapshot(environment);
 	const before = await runPhase(entries, options.healthyMs);
-	world.faults.set({isDown: true});
+	environment.faults.set({isDown: true});
 	const [last] = entries.splice(-1);
 	const duringCalls = runPhase(entries, options.outageMs);
 	await wait(options.outageMs / 4);
-	await stopEntry(world, last!);
-	const again = await startEntry(world, last!.id);
+	await stopEntry(environment, last!);
+	const again = await startEntry(environment, last!.id);
 	const during = await duringCalls;
 	entries.push(again.entry);
-	world.faults.set({isDown: false});
+	environment.faults.set({isDown: false});
 	const returnedAt = now();
 	const after = await runPhase(entries, options.healthyMs);
-	const mostCallsInSecondOnReturn = getMostInSecond(world.arrivals, returnedAt);
-	world.faults.set({isDown: true});
-	const listDown = await runWithoutList(world, entries, options.outageMs / 2);
+	const mostCallsInSecondOnReturn = getMostInSecond(
+		environment.arrivals,
+		returnedAt,
+	);
+	environment.faults.set({isDown: true});
+	const listDown = await runWithoutList(
+		environment,
+		entries,
+		options.outageMs / 2,
+	);
 	for (const entry of entries) {
-		await stopEntry(world, entry);
+		await stopEntry(environment, entry);
 	}
 
-	const alone = await startEntry(world, 'e9');
+	const alone = await startEntry(environment, 'e9');
 	const origins = [again, alone].map(({entry}) =>
 		entry.daemon.agreement.follower.getOrigin(),
 	);
-	await stopEntry(world, alone.entry);
-	await world.server.close();
-	await world.embedded.close();
+	await stopEntry(environment, alone.entry);
+	await environment.server.close();
+	await environment.embedded.close();
 	return {
 		before,
 		during,
--- a/packages/bench/src/benches/ownership.ts
+++ b/packages/bench/src/benches/ownership.ts
@@ -1,4 +1,4 @@
-/** Moves of instances between pools under faults: issue 4, item 2. */
+/** `bench ownership`: moves of instances between pools under faults. */
 import {check} from '../frame/check.js';
 import type {Bench, Figures} from '../frame/types.js';
 import {getQuantile} from './agreement/quantile.js';
--- a/packages/bench/src/benches/ownership/control.ts
+++ b/packages/bench/src/benches/ownership/control.ts
@@ -1,4 +1,4 @@
-/** Control parts of an entry: shard leases, moves, forgetting. */
+/** Control loop of an entry: shard leases, moves, removal of dead entries. */
 import * as core from '@gullstand/core';
 import type {
 	Instance,
@@ -24,21 +24,21 @@
 
 const controlMs = 200;
 
-/** Entries that hold no shard look less often. */
+/** Period of entries that hold no shard. */
 const idleControlMs = 1000;
 
 const leaseMs = 6000;
 
-/** Longer gaps between reads restart every observation. */
+/** Gap between reads that restarts every observation. */
 const maxGapMs = 3000;
 
 const timerMs = 1000;
 
-/** Steps in one transaction. */
+/** Maximum number of steps in one transaction. */
 const maxSteps = 16;
 
 type Control = {
-	readonly world: Simulation;
+	readonly simulation: Simulation;
 	readonly state: EntryState;
 	observations: observation.Observations;
 	readonly unlistedSince: Map<string, number>;
@@ -52,14 +52,17 @@
 	>;
 };
 
-const readRows = async ({world, state}: Control): Promise<Rows | undefined> => {
-	const isReachable = () => isConnected(world, state.host);
-	const membership = await world.link(
-		() => world.store.read('membership', core.singleRowKey)!,
+const readRows = async ({
+	simulation,
+	state,
+}: Control): Promise<Rows | undefined> => {
+	const isReachable = () => isConnected(simulation, state.host);
+	const membership = await simulation.link(
+		() => simulation.store.read('membership', core.singleRowKey)!,
 		isReachable,
 	);
-	const registrations = await world.link(
-		() => world.store.list<registration.Registration>('entry'),
+	const registrations = await simulation.link(
+		() => simulation.store.list<registration.Registration>('entry'),
 		isReachable,
 	);
 	return membership.ok && registrations.ok
@@ -71,7 +74,7 @@
 };
 
 const observe = (control: Control, {registrations}: Rows) => {
-	const now = control.world.clock.now();
+	const now = control.simulation.clock.now();
 	const versions = new Map(
 		registrations.map(([entry, {version}]) => [entry, version]),
 	);
@@ -81,8 +84,8 @@
 		maxGapMs,
 		now,
 	);
-	for (const host of control.world.hosts) {
-		if (isListed(control.world, host)) {
+	for (const host of control.simulation.hosts) {
+		if (isListed(control.simulation, host)) {
 			control.unlistedSince.delete(host.entry);
 		} else if (!control.unlistedSince.has(host.entry)) {
 			control.unlistedSince.set(host.entry, now);
@@ -90,12 +93,12 @@
 	}
 };
 
-const getSilentMs = (control: Control, entry: string, version: number) =>
+const getUnchangedMs = (control: Control, entry: string, version: number) =>
 	core.observation.getUnchangedMs(control.observations, entry, version);
 
-const acquire = async (control: Control, rows: Rows, shard: string) => {
-	const {world, state, held} = control;
-	const read = world.store.read<shardLease.ShardLease>('shard', shard);
+const acquireShard = async (control: Control, rows: Rows, shard: string) => {
+	const {simulation, state, held} = control;
+	const read = simulation.store.read<shardLease.ShardLease>('shard', shard);
 	const own = core.shardLease.adoptShard(read, state.life);
 	if (own) {
 		held.set(shard, own);
@@ -109,39 +112,39 @@
 		leaseMs,
 		evidence: {
 			registeredIncarnation: row?.value.acknowledged.incarnation,
-			unresponsiveMs: row ? getSilentMs(control, holder, row.version) : 0,
+			unresponsiveMs: row ? getUnchangedMs(control, holder, row.version) : 0,
 		},
 	});
 	if (!result.ok) {
 		return;
 	}
 
-	const reply = await world.link(
+	const reply = await simulation.link(
 		() =>
-			world.store.commit([result.value]) &&
-			world.store.read<shardLease.ShardLease>('shard', shard),
-		() => isConnected(world, state.host),
+			simulation.store.commit([result.value]) &&
+			simulation.store.read<shardLease.ShardLease>('shard', shard),
+		() => isConnected(simulation, state.host),
 	);
 	if (reply.ok && reply.value) {
 		const {value, version} = reply.value;
 		held.set(shard, {shard, token: value.token, version});
-		world.counts.takeovers += 1;
+		simulation.counts.takeovers += 1;
 	}
 };
 
-const forgetSilent = async (control: Control, rows: Rows) => {
-	const {world, state} = control;
-	const now = world.clock.now();
+const forgetUnresponsive = async (control: Control, rows: Rows) => {
+	const {simulation, state} = control;
+	const now = simulation.clock.now();
 	const observed = rows.registrations.map(([entry, {value, version}]) => ({
 		registration: value,
-		unchangedMs: getSilentMs(control, entry, version),
+		unchangedMs: getUnchangedMs(control, entry, version),
 	}));
 	for (const [entry, {value, version}] of rows.registrations) {
 		const since = control.unlistedSince.get(entry);
 		const evidence = {
 			entry,
 			version,
-			unchangedMs: getSilentMs(control, entry, version),
+			unchangedMs: getUnchangedMs(control, entry, version),
 			unlistedMs: since === undefined ? 0 : now - since,
 			unheardBy: core.forgetEntry.countEntriesWithoutContact(
 				value,
@@ -156,30 +159,33 @@
 			state.life.entry,
 		);
 		if (result.ok) {
-			await world.link(
+			await simulation.link(
 				() => {
-					world.counts.forgotten += world.store.commit(result.value) ? 1 : 0;
+					simulation.counts.forgotten += simulation.store.commit(result.value)
+						? 1
+						: 0;
 				},
-				() => isConnected(world, state.host),
+				() => isConnected(simulation, state.host),
 			);
 		}
 	}
 };
 
 const selectRegistrations = (
-	world: Simulation,
+	simulation: Simulation,
 	{registrations}: Rows,
 ): readonly registration.Registration[] => {
-	if (world.rule === 'timer') {
+	if (simulation.rule === 'timer') {
 		return [];
 	}
 
 	const all = registrations.map(([, {value}]) => value);
-	return world.rule === 'acknowledged'
+	return simulation.rule === 'acknowledged'
 		? all
 		: all.filter(({acknowledged}) =>
-				world.hosts.some(
-					(host) => host.entry === acknowledged.entry && isListed(world, host),
+				simulation.hosts.some(
+					(host) =>
+						host.entry === acknowledged.entry && isListed(simulation, host),
 				),
 			);
 };
@@ -190,32 +196,33 @@
 	held: shardLease.HeldShard,
 	moveRow: ReadRow<move.Move>,
 ): move.MoveStep => {
-	const {world} = control;
+	const {simulation} = control;
 	const {instance} = moveRow.value;
-	const drainedMs = world.clock.now() - world.startedAt.get(instance)!;
-	if (world.rule === 'timer' && drainedMs < timerMs) {
+	const drainedMs =
+		simulation.clock.now() - simulation.startedAt.get(instance)!;
+	if (simulation.rule === 'timer' && drainedMs < timerMs) {
 		return {kind: 'wait', pendingEntries: []};
 	}
 
 	return core.move.decideMove(
 		moveRow,
-		world.store.read<Instance>('instance', instance),
+		simulation.store.read<Instance>('instance', instance),
 		{
 			version: rows.membershipVersion,
-			registrations: selectRegistrations(world, rows),
-			received: world.receivedAcknowledgements,
+			registrations: selectRegistrations(simulation, rows),
+			received: simulation.receivedAcknowledgements,
 			outageStart: core.move.noOutageStart,
 		},
 		held,
 	);
 };
 
-const pauseRarely = async ({world, state}: Control, part: number) => {
-	if (!world.isQuiet && world.random() < part) {
-		await world.clock.sleep(drawExponential(world.random, 8000));
+const maybePause = async ({simulation, state}: Control, part: number) => {
+	if (!simulation.isQuiet && simulation.random() < part) {
+		await simulation.clock.sleep(drawExponential(simulation.random, 8000));
 	}
 
-	return waitWhilePaused(world, state.host, state.host.incarnation);
+	return waitWhilePaused(simulation, state.host, state.host.incarnation);
 };
 
 const advanceMoves = async (
@@ -223,23 +230,23 @@
 	rows: Rows,
 	held: shardLease.HeldShard,
 ) => {
-	const {world, state} = control;
-	const counter = world.store.read('counter', core.singleRowKey)!;
-	const steps = world.store
+	const {simulation, state} = control;
+	const counter = simulation.store.read('counter', core.singleRowKey)!;
+	const steps = simulation.store
 		.list<move.Move>('move')
 		.filter(([instance]) => getShard(instance) === held.shard)
 		.map(([, row]) => decide(control, rows, held, row))
 		.filter((step) => step.kind === 'commit');
-	// A mover may pause between its decision and its commit.
-	if (steps.length === 0 || !(await pauseRarely(control, 0.005))) {
+	// Simulates a process that pauses between its decision and its commit.
+	if (steps.length === 0 || !(await maybePause(control, 0.005))) {
 		return;
 	}
 
-	const reply = await world.link(
-		() => commitSteps(world, steps.slice(0, maxSteps), counter.version),
-		() => isConnected(world, state.host),
+	const reply = await simulation.link(
+		() => commitSteps(simulation, steps.slice(0, maxSteps), counter.version),
+		() => isConnected(simulation, state.host),
 	);
-	world.counts.lostConflicts += reply.ok && !reply.value ? 1 : 0;
+	simulation.counts.lostConflicts += reply.ok && !reply.value ? 1 : 0;
 };
 
 const runControl = async (control: Control) => {
@@ -250,11 +257,11 @@
 
 	observe(control, rows);
 	for (const shard of shards) {
-		await acquire(control, rows, shard);
+		await acquireShard(control, rows, shard);
 	}
 
 	for (const held of control.held.values()) {
-		const read = control.world.store.read<shardLease.ShardLease>(
+		const read = control.simulation.store.read<shardLease.ShardLease>(
 			'shard',
 			held.shard,
 		);
@@ -265,15 +272,18 @@
 
 		await advanceMoves(control, rows, held);
 		if (held.shard === shards[0]) {
-			await forgetSilent(control, rows);
+			await forgetUnresponsive(control, rows);
 		}
 	}
 };
 
-/** Runs the control parts of one life of an entry. */
-export const startControl = async (world: Simulation, state: EntryState) => {
+/** Runs the control loop of one incarnation of an entry. */
+export const startControl = async (
+	simulation: Simulation,
+	state: EntryState,
+) => {
 	const control: Control = {
-		world,
+		simulation,
 		state,
 		observations: core.observation.emptyObservations,
 		unlistedSince: new Map(),
@@ -281,11 +291,11 @@
 	};
 	const {incarnation} = state.host;
 	while (
-		!world.isDone &&
-		(await waitWhilePaused(world, state.host, incarnation))
+		!simulation.isDone &&
+		(await waitWhilePaused(simulation, state.host, incarnation))
 	) {
 		await runControl(control);
 		const gapMs = control.held.size > 0 ? controlMs : idleControlMs;
-		await world.clock.sleep(gapMs * (0.8 + 0.4 * world.random()));
+		await simulation.clock.sleep(gapMs * (0.8 + 0.4 * simulation.random()));
 	}
 };
--- a/packages/bench/src/benches/ownership/entry.ts
+++ b/packages/bench/src/benches/ownership/entry.ts
@@ -1,4 +1,4 @@
-/** One life of an entry: follows the view, routes, acknowledges. */
+/** One incarnation of an entry: follows the view, routes, acknowledges. */
 import * as core from '@gullstand/core';
 import type {
 	acknowledgement,
@@ -29,9 +29,9 @@
 
 const meanRequestGapMs = 60;
 
-const stallPart = 0.005;
+const stallShare = 0.005;
 
-/** State of one life. */
+/** State of one incarnation of an entry. */
 export type EntryState = {
 	readonly host: EntryHost;
 	readonly life: acknowledgement.EntryIncarnation;
@@ -45,13 +45,13 @@
 	lastSent: string;
 };
 
-const makeRegistration = (
-	world: Simulation,
+const createRegistration = (
+	simulation: Simulation,
 	state: EntryState,
 ): registration.Registration => {
 	state.sequence += 1;
 	const {view} = state.followed;
-	const now = world.clock.now();
+	const now = simulation.clock.now();
 	const router = {
 		routedRevision: view.revision,
 		inFlight: state.inFlight,
@@ -62,11 +62,11 @@
 	return {
 		address: '',
 		availabilityZone: '',
-		heard: world.hosts
+		heard: simulation.hosts
 			.filter((each) => now - each.lastHeardAt <= settings.forgetAfterMs)
 			.map(({entry}) => entry),
 		upMs: now - state.startedAt,
-		quorum: world.hosts.map(({entry}) => entry),
+		quorum: simulation.hosts.map(({entry}) => entry),
 		acknowledged: core.acknowledgement.createAcknowledgement(
 			state.life,
 			state.sequence,
@@ -75,13 +75,16 @@
 	};
 };
 
-/** Tells the movers what is in force, if it has changed. */
-const sendAcknowledgement = async (world: Simulation, state: EntryState) => {
-	if (!state.isRegistered || !isConnected(world, state.host)) {
+/** Sends the acknowledgement to the movers if it has changed. */
+const sendAcknowledgement = async (
+	simulation: Simulation,
+	state: EntryState,
+) => {
+	if (!state.isRegistered || !isConnected(simulation, state.host)) {
 		return;
 	}
 
-	const {acknowledged} = makeRegistration(world, state);
+	const {acknowledged} = createRegistration(simulation, state);
 	const {inForce, holding} = acknowledged;
 	const text = `${inForce} ${holding.toSorted().join(' ')}`;
 	if (text === state.lastSent) {
@@ -89,13 +92,13 @@
 	}
 
 	state.lastSent = text;
-	await world.clock.sleep(drawHopMs(world.random));
-	if (isConnected(world, state.host) && world.random() > 0.02) {
-		const known = world.receivedAcknowledgements.get(state.life.entry);
-		const isNewLife = known?.incarnation !== state.life.incarnation;
-		world.receivedAcknowledgements.set(
+	await simulation.clock.sleep(drawHopMs(simulation.random));
+	if (isConnected(simulation, state.host) && simulation.random() > 0.02) {
+		const known = simulation.receivedAcknowledgements.get(state.life.entry);
+		const isNewIncarnation = known?.incarnation !== state.life.incarnation;
+		simulation.receivedAcknowledgements.set(
 			state.life.entry,
-			isNewLife
+			isNewIncarnation
 				? acknowledged
 				: core.acknowledgement.chooseNewerAcknowledgement(known, acknowledged),
 		);
@@ -103,7 +106,7 @@
 };
 
 const applyDeltas = (
-	world: Simulation,
+	simulation: Simulation,
 	state: EntryState,
 	deltas: readonly viewChange.ViewDelta[],
 ) => {
@@ -111,43 +114,44 @@
 		state.followed,
 		deltas,
 	).followed;
-	void sendAcknowledgement(world, state);
+	void sendAcknowledgement(simulation, state);
 };
 
-const readLog = async (world: Simulation, state: EntryState) => {
-	const reply = await world.link(
-		() => world.log.slice(state.followed.view.revision),
-		() => isConnected(world, state.host),
+const readLog = async (simulation: Simulation, state: EntryState) => {
+	const reply = await simulation.link(
+		() => simulation.log.slice(state.followed.view.revision),
+		() => isConnected(simulation, state.host),
 	);
 	if (reply.ok) {
-		applyDeltas(world, state, reply.value);
+		applyDeltas(simulation, state, reply.value);
 	}
 };
 
 const register = async (
-	world: Simulation,
+	simulation: Simulation,
 	state: EntryState,
 ): Promise<boolean> => {
-	await readLog(world, state);
-	const reply = await world.link(
-		() => world.store.read('counter', core.singleRowKey)!,
-		() => isConnected(world, state.host),
+	await readLog(simulation, state);
+	const reply = await simulation.link(
+		() => simulation.store.read('counter', core.singleRowKey)!,
+		() => isConnected(simulation, state.host),
 	);
 	const {revision} = state.followed.view;
 	if (!reply.ok || reply.value.value !== revision) {
 		return false;
 	}
 
-	const askedAt = world.clock.now();
-	const row = makeRegistration(world, state);
+	const askedAt = simulation.clock.now();
+	const row = createRegistration(simulation, state);
 	const writes = core.registration.registerEntry(row, {
 		revision,
 		counterVersion: reply.value.version,
 	});
 	const {entry} = state.life;
-	const committed = await world.link(
-		() => world.store.commit(writes) && world.store.read('entry', entry),
-		() => isConnected(world, state.host),
+	const committed = await simulation.link(
+		() =>
+			simulation.store.commit(writes) && simulation.store.read('entry', entry),
+		() => isConnected(simulation, state.host),
 	);
 	if (!committed.ok || !committed.value) {
 		return false;
@@ -159,16 +163,16 @@
 	return true;
 };
 
-/** After a lost reply the row itself tells whether the write was made. */
+/** Reads the row back after a lost reply to learn if the write was made. */
 const readBack = async (
-	world: Simulation,
+	simulation: Simulation,
 	state: EntryState,
 	askedAt: number,
 ) => {
 	const {entry, incarnation} = state.life;
-	const reply = await world.link(
-		() => world.store.read<registration.Registration>('entry', entry),
-		() => isConnected(world, state.host),
+	const reply = await simulation.link(
+		() => simulation.store.read<registration.Registration>('entry', entry),
+		() => isConnected(simulation, state.host),
 	);
 	if (!reply.ok) {
 		return;
@@ -199,28 +203,29 @@
 	);
 };
 
-const renew = async (world: Simulation, state: EntryState) => {
-	const askedAt = world.clock.now();
+const renew = async (simulation: Simulation, state: EntryState) => {
+	const askedAt = simulation.clock.now();
 	const writes = core.registration.renewRegistration(
-		makeRegistration(world, state),
+		createRegistration(simulation, state),
 		state.rowVersion,
 	);
 	const {entry} = state.life;
-	const reply = await world.link(
-		() => world.store.commit(writes) && world.store.read('entry', entry),
-		() => isConnected(world, state.host),
+	const reply = await simulation.link(
+		() =>
+			simulation.store.commit(writes) && simulation.store.read('entry', entry),
+		() => isConnected(simulation, state.host),
 	);
 	if (reply.ok && reply.value) {
 		state.rowVersion = reply.value.version;
 		confirm(state, 'table', askedAt);
 	} else {
-		await readBack(world, state, askedAt);
+		await readBack(simulation, state, askedAt);
 	}
 };
 
-const send = async (world: Simulation, state: EntryState) => {
+const send = async (simulation: Simulation, state: EntryState) => {
 	const {view} = state.followed;
-	const {pool} = pick(world.random, [...view.instances.values()]);
+	const {pool} = pick(simulation.random, [...view.instances.values()]);
 	const serving = [...view.instances.values()].filter(
 		(each) => each.pool === pool && each.state === 'serving',
 	);
@@ -228,51 +233,54 @@
 		return;
 	}
 
-	const {id} = pick(world.random, serving);
+	const {id} = pick(simulation.random, serving);
 	state.inFlight.set(id, (state.inFlight.get(id) ?? 0) + 1);
-	if (world.random() < stallPart) {
-		await world.clock.sleep(world.random() * settings.stallMarginMs);
+	if (simulation.random() < stallShare) {
+		await simulation.clock.sleep(simulation.random() * settings.stallMarginMs);
 	}
 
-	await world.clock.sleep(drawHopMs(world.random));
-	const isLong = world.random() < 0.01;
+	await simulation.clock.sleep(drawHopMs(simulation.random));
+	const isLong = simulation.random() < 0.01;
 	const meanMs = isLong ? 1000 : 20;
 	const serviceMs = Math.min(
-		drawExponential(world.random, meanMs),
+		drawExponential(simulation.random, meanMs),
 		settings.longestRequestMs - settings.stallMarginMs,
 	);
 	if (state.host.isUp) {
-		await runAtExecutor(world, id, pool, serviceMs);
+		await runAtExecutor(simulation, id, pool, serviceMs);
 	}
 
-	if (await waitWhilePaused(world, state.host, state.host.incarnation)) {
+	if (await waitWhilePaused(simulation, state.host, state.host.incarnation)) {
 		state.inFlight.set(id, state.inFlight.get(id)! - 1);
-		void sendAcknowledgement(world, state);
+		void sendAcknowledgement(simulation, state);
 	}
 };
 
-/** Runs a loop for as long as the life lasts. */
+/** Repeats a step until the incarnation ends. */
 const repeat = async (
-	world: Simulation,
+	simulation: Simulation,
 	state: EntryState,
 	getGapMs: () => number,
 	step: () => void | Promise<void>,
 ) => {
 	const {incarnation} = state.host;
 	while (
-		!world.isDone &&
-		(await waitWhilePaused(world, state.host, incarnation))
+		!simulation.isDone &&
+		(await waitWhilePaused(simulation, state.host, incarnation))
 	) {
 		await step();
-		await world.clock.sleep(getGapMs());
+		await simulation.clock.sleep(getGapMs());
 	}
 };
 
-/** Starts one life of an entry. */
-export const startEntry = (world: Simulation, host: EntryHost): EntryState => {
+/** Starts the next incarnation of an entry. */
+export const startEntry = (
+	simulation: Simulation,
+	host: EntryHost,
+): EntryState => {
 	host.incarnation += 1;
 	host.isUp = true;
-	const {random, clock} = world;
+	const {random, clock} = simulation;
 	const state: EntryState = {
 		host,
 		life: {entry: host.entry, incarnation: String(host.incarnation)},
@@ -290,30 +298,32 @@
 	};
 	host.receiveDelta = (delta) => {
 		if (host.pausedUntil <= clock.now()) {
-			applyDeltas(world, state, [delta]);
+			applyDeltas(simulation, state, [delta]);
 		}
 	};
 
 	const jitter = (ms: number) => () => ms * (0.8 + 0.4 * random());
-	void repeat(world, state, jitter(heartbeatMs), async () => {
+	void repeat(simulation, state, jitter(heartbeatMs), async () => {
 		if (state.isRegistered) {
-			await renew(world, state);
+			await renew(simulation, state);
 		}
 	});
-	void repeat(world, state, jitter(pollMs), async () => {
-		await (state.isRegistered ? readLog(world, state) : register(world, state));
+	void repeat(simulation, state, jitter(pollMs), async () => {
+		await (state.isRegistered
+			? readLog(simulation, state)
+			: register(simulation, state));
 	});
-	void repeat(world, state, jitter(listPollMs), () => {
+	void repeat(simulation, state, jitter(listPollMs), () => {
 		const askedAt = clock.now();
-		if (isConnected(world, host)) {
+		if (isConnected(simulation, host)) {
 			host.lastHeardAt = askedAt;
-			if (isListed(world, host)) {
+			if (isListed(simulation, host)) {
 				confirm(state, 'list', askedAt);
 			}
 		}
 	});
 	void repeat(
-		world,
+		simulation,
 		state,
 		() => drawExponential(random, meanRequestGapMs),
 		() => {
@@ -322,7 +332,7 @@
 				state.isRegistered &&
 				core.membershipStatus.mayRoute(state.standing, settings, now)
 			) {
-				void send(world, state);
+				void send(simulation, state);
 			}
 		},
 	);
--- a/packages/bench/src/benches/ownership/run-simulation.ts
+++ b/packages/bench/src/benches/ownership/run-simulation.ts
@@ -1,4 +1,4 @@
-/** Builds a world, lets operators and faults loose, and counts. */
+/** Runs a simulation with operators and faults and counts the results. */
 import * as core from '@gullstand/core';
 import type {Instance, move} from '@gullstand/core';
 import {createRandom, drawExponential, drawBelow} from '../../frame/random.js';
@@ -16,19 +16,19 @@
 	type Simulation,
 } from './simulation.js';
 
-/** Size of one run. */
+/** Options of one run. */
 export type RunOptions = {
 	readonly seed: number;
 	readonly rule: MoveRule;
 	readonly moves: number;
-	/** False leaves out every fault but racing operators. */
+	/** False leaves out all faults except racing operators. */
 	readonly hasFaults: boolean;
 };
 
-/** What a run showed. */
+/** Result of one run. */
 export type RunResult = Counts & {
 	readonly moveMs: readonly number[];
-	/** Instances that are in no pool's service after the faults end. */
+	/** Instances that do not serve any pool after the faults have ended. */
 	readonly leftBetween: number;
 	readonly simulatedMs: number;
 };
@@ -62,13 +62,13 @@
 	receiveDelta: () => undefined,
 });
 
-const startHost = (world: Simulation, host: EntryHost) => {
-	const state = startEntry(world, host);
-	void startControl(world, state);
+const startHost = (simulation: Simulation, host: EntryHost) => {
+	const state = startEntry(simulation, host);
+	void startControl(simulation, state);
 };
 
-const requestMove = async (world: Simulation) => {
-	const {store, random} = world;
+const requestMove = async (simulation: Simulation) => {
+	const {store, random} = simulation;
 	const instance = store.read<Instance>(
 		'instance',
 		`x${drawBelow(random, instanceCount)}`,
@@ -79,18 +79,18 @@
 		instance,
 		to: pick(random, pools),
 		author: 'ann',
-		revision: world.log.length + 1,
+		revision: simulation.log.length + 1,
 		isMoving: moveRow !== undefined,
 	});
 	if (started.ok) {
-		await world.link(() =>
-			commitSteps(world, [started.value], counter.version),
+		await simulation.link(() =>
+			commitSteps(simulation, [started.value], counter.version),
 		);
 	}
 };
 
-const cancelSome = async (world: Simulation) => {
-	const {store, random} = world;
+const cancelRandomMove = async (simulation: Simulation) => {
+	const {store, random} = simulation;
 	const moves = store.list<move.Move>('move');
 	if (moves.length === 0) {
 		return;
@@ -100,66 +100,70 @@
 	const counter = store.read('counter', core.singleRowKey)!;
 	const step = core.move.cancelMove(row, store.read<Instance>('instance', id));
 	if (step.kind === 'commit') {
-		await world.link(() => commitSteps(world, [step], counter.version));
+		await simulation.link(() =>
+			commitSteps(simulation, [step], counter.version),
+		);
 	}
 };
 
-const runOperator = async (world: Simulation, moves: number) => {
-	const {clock, random, counts, store} = world;
+const runOperator = async (simulation: Simulation, moves: number) => {
+	const {clock, random, counts, store} = simulation;
 	while (counts.moved < moves) {
 		if (store.list('move').length < maxOpenMoves) {
-			await requestMove(world);
+			await requestMove(simulation);
 		}
 
 		if (random() < 0.001) {
-			await cancelSome(world);
+			await cancelRandomMove(simulation);
 		}
 
 		await clock.sleep(drawExponential(random, 10));
 	}
 };
 
-/** Between two faults of one kind, on average, in milliseconds. */
+/** Mean time between two faults of one kind, in milliseconds. */
 const meanGapMs = {pause: 10_000, crash: 30_000, cut: 90_000, drop: 60_000};
 
 const runFault = async (
-	world: Simulation,
+	simulation: Simulation,
 	kind: keyof typeof meanGapMs,
 	cause: (host: EntryHost) => Promise<void>,
 ) => {
-	while (!world.isQuiet) {
-		await world.clock.sleep(drawExponential(world.random, meanGapMs[kind]));
-		const host = pick(world.random, world.hosts);
-		if (!world.isQuiet && host.isUp) {
+	while (!simulation.isQuiet) {
+		await simulation.clock.sleep(
+			drawExponential(simulation.random, meanGapMs[kind]),
+		);
+		const host = pick(simulation.random, simulation.hosts);
+		if (!simulation.isQuiet && host.isUp) {
 			await cause(host);
 		}
 	}
 };
 
-const startFaults = (world: Simulation) => {
-	const {clock, random, counts} = world;
+const startFaults = (simulation: Simulation) => {
+	const {clock, random, counts} = simulation;
 	const drawUntil = (maxMs: number) => clock.now() + random() * maxMs;
-	void runFault(world, 'pause', async (host) => {
+	void runFault(simulation, 'pause', async (host) => {
 		counts.pauses += 1;
 		host.pausedUntil = drawUntil(random() < 0.1 ? 60_000 : 3000);
 	});
-	void runFault(world, 'cut', async (host) => {
+	void runFault(simulation, 'cut', async (host) => {
 		counts.cuts += 1;
 		host.cutUntil = drawUntil(60_000);
 	});
-	void runFault(world, 'drop', async (host) => {
+	void runFault(simulation, 'drop', async (host) => {
 		counts.drops += 1;
 		host.droppedUntil = drawUntil(60_000);
 	});
-	void runFault(world, 'crash', async (host) => {
+	void runFault(simulation, 'crash', async (host) => {
 		counts.crashes += 1;
 		host.isUp = false;
 		await clock.sleep(random() < 0.2 ? 40_000 : 2000 * random());
-		startHost(world, host);
+		startHost(simulation, host);
 	});
 };
 
-const createWorld = ({seed, rule, hasFaults}: RunOptions): Simulation => {
+const createSimulation = ({seed, rule, hasFaults}: RunOptions): Simulation => {
 	const random = createRandom(seed);
 	const clock = createClock();
 	const store = createStore();
@@ -171,7 +175,7 @@
 	const instances = Array.from({length: instanceCount}, (_, index) =>
 		createInstance(index),
 	);
-	const world: Simulation = {
+	const simulation: Simulation = {
 		rule,
 		clock,
 		random,
@@ -210,7 +214,7 @@
 		put('instance', instance.id, instance);
 	}
 
-	world.log.push({
+	simulation.log.push({
 		revision: 1,
 		id: 'd1',
 		previousId: '',
@@ -219,41 +223,41 @@
 		changes: instances.map((instance) => ({kind: 'put-instance', instance})),
 	});
 	put('counter', core.singleRowKey, 1);
-	return world;
+	return simulation;
 };
 
-const settleMs = 120_000;
+const recoveryMs = 120_000;
 
-/** Runs one world to the end of its moves, then lets it settle. */
+/** Runs a simulation until its moves are done and the faults have ended. */
 export const runSimulation = async (
 	options: RunOptions,
 ): Promise<RunResult> => {
-	const world = createWorld(options);
-	const {clock, counts, store} = world;
-	for (const host of world.hosts) {
-		startHost(world, host);
+	const simulation = createSimulation(options);
+	const {clock, counts, store} = simulation;
+	for (const host of simulation.hosts) {
+		startHost(simulation, host);
 	}
 
 	await clock.run(5000);
 	if (options.hasFaults) {
-		startFaults(world);
+		startFaults(simulation);
 	}
 
 	for (const _operator of ['ann', 'ben', 'cem']) {
-		void runOperator(world, options.moves);
+		void runOperator(simulation, options.moves);
 	}
 
 	await clock.run(
 		Number.POSITIVE_INFINITY,
 		() => counts.moved >= options.moves,
 	);
-	world.isQuiet = true;
-	await clock.run(clock.now() + settleMs);
+	simulation.isQuiet = true;
+	await clock.run(clock.now() + recoveryMs);
 	const simulatedMs = clock.now();
-	world.isDone = true;
+	simulation.isDone = true;
 	await clock.run(clock.now() + 30_000);
 	const leftBetween = store
 		.list<Instance>('instance')
 		.filter(([, {value}]) => value.state !== 'serving').length;
-	return {...counts, moveMs: world.moveMs, leftBetween, simulatedMs};
+	return {...counts, moveMs: simulation.moveMs, leftBetween, simulatedMs};
 };
--- a/packages/bench/src/benches/ownership/simulation.ts
+++ b/packages/bench/src/benches/ownership/simulation.ts
@@ -1,4 +1,4 @@
-/** What the processes of the ownership bench share. */
+/** Shared state of the simulated processes of the ownership bench. */
 import * as core from '@gullstand/core';
 import type {
 	acknowledgement,
@@ -11,16 +11,16 @@
 import type {Clock} from '../agreement/clock.js';
 import type {Link, Store} from '../agreement/store.js';
 
-/** How movers decide that a drain has ended. */
+/** The rule by which movers decide that a drain has ended. */
 export type MoveRule =
 	/** Every registered entry has acknowledged. */
 	| 'acknowledged'
 	/** Every entry on the platform's list has acknowledged. */
 	| 'listed'
-	/** A fixed time has passed, as with time leases without a lease. */
+	/** A fixed time has passed. */
 	| 'timer';
 
-/** One entry as the platform and the network see it. */
+/** The process of one entry and its current faults. */
 export type EntryHost = {
 	readonly entry: string;
 	incarnation: number;
@@ -28,13 +28,13 @@
 	pausedUntil: number;
 	/** Cut off from the store, the list and its peers until then. */
 	cutUntil: number;
-	/** Not on the list until then, though it runs. */
+	/** Missing from the list until then, although it runs. */
 	droppedUntil: number;
 	lastHeardAt: number;
 	receiveDelta: (delta: viewChange.ViewDelta) => void;
 };
 
-/** One executor: what runs on it, by pool of the request. */
+/** One executor, with its running requests counted by pool. */
 export type Executor = {readonly running: Map<string, number>};
 
 /** Counts of a run. */
@@ -53,7 +53,7 @@
 	lostConflicts: number;
 };
 
-/** Everything that the processes share. */
+/** State that the processes share. */
 export type Simulation = {
 	readonly rule: MoveRule;
 	readonly clock: Clock;
@@ -63,7 +63,7 @@
 	readonly log: viewChange.ViewDelta[];
 	readonly hosts: readonly EntryHost[];
 	readonly executors: ReadonlyMap<string, Executor>;
-	/** Acknowledgements that peers have sent to one another. */
+	/** Newest acknowledgement of each entry that its peers have received. */
 	readonly receivedAcknowledgements: Map<
 		string,
 		acknowledgement.Acknowledgement
@@ -78,52 +78,53 @@
 /** Pools of the bench. */
 export const pools = ['quote', 'claims', 'reports', 'fixtures', 'laytime'];
 
-/** Shards by which movers divide the instances. */
+/** Shards that divide the instances among the movers. */
 export const shards = ['s0', 's1', 's2'];
 
-/** Shard of an instance. */
+/** Returns the shard of an instance. */
 export const getShard = (instance: string): string =>
 	shards[Number(instance.slice(1)) % shards.length]!;
 
-/** Delay of a message between two machines, 1 to 3 ms. */
+/** Draws the delay of a message between two machines, 1 to 3 ms. */
 export const drawHopMs = (random: Random): number => 1 + 2 * random();
 
-/** Waits while the entry is paused; false if that life is over. */
+/** Waits while the entry is paused; false if the incarnation has ended. */
 export const waitWhilePaused = async (
-	world: Simulation,
+	simulation: Simulation,
 	host: EntryHost,
-	life: number,
+	incarnation: number,
 ): Promise<boolean> => {
-	while (host.isUp && host.pausedUntil > world.clock.now()) {
-		await world.clock.sleep(host.pausedUntil - world.clock.now());
+	while (host.isUp && host.pausedUntil > simulation.clock.now()) {
+		await simulation.clock.sleep(host.pausedUntil - simulation.clock.now());
 	}
 
-	return host.isUp && host.incarnation === life;
+	return host.isUp && host.incarnation === incarnation;
 };
 
-/** True if messages of the entry arrive now. */
+/** True if messages to and from the entry arrive now. */
 export const isConnected = ({clock}: Simulation, host: EntryHost): boolean =>
 	host.isUp && host.cutUntil <= clock.now();
 
-/** What the platform's list shows: up to 10 s old, and now and then wrong. */
-export const isListed = (world: Simulation, host: EntryHost): boolean => {
+/** True if the platform's list, which may be outdated, shows the entry. */
+export const isListed = (simulation: Simulation, host: EntryHost): boolean => {
 	const {listLagMs} = core.membershipStatus.membershipDefaults;
-	const at = world.clock.now() - world.random() * listLagMs;
-	const isSilent = host.pausedUntil > at + 5000 || host.cutUntil > at + 5000;
-	return host.isUp && !isSilent && host.droppedUntil <= at;
+	const at = simulation.clock.now() - simulation.random() * listLagMs;
+	const isUnresponsive =
+		host.pausedUntil > at + 5000 || host.cutUntil > at + 5000;
+	return host.isUp && !isUnresponsive && host.droppedUntil <= at;
 };
 
 const messageLoss = 0.02;
 
-const offerDelta = async (
-	world: Simulation,
+const sendDelta = async (
+	simulation: Simulation,
 	host: EntryHost,
 	delta: viewChange.ViewDelta,
 ) => {
-	const copies = world.random() < messageLoss ? 2 : 1;
+	const copies = simulation.random() < messageLoss ? 2 : 1;
 	for (let copy = 0; copy < copies; copy++) {
-		await world.clock.sleep(drawHopMs(world.random));
-		if (isConnected(world, host) && world.random() > messageLoss) {
+		await simulation.clock.sleep(drawHopMs(simulation.random));
+		if (isConnected(simulation, host) && simulation.random() > messageLoss) {
 			host.receiveDelta(delta);
 		}
 	}
@@ -160,10 +161,10 @@
 } as const;
 
 const countStep = (
-	world: Simulation,
+	simulation: Simulation,
 	{transition, instance}: move.MoveCommit,
 ) => {
-	const {counts, startedAt, clock} = world;
+	const {counts, startedAt, clock} = simulation;
 	const counter = counterByTransition[transition];
 	if (counter) {
 		counts[counter] += 1;
@@ -174,17 +175,17 @@
 	}
 
 	if (transition === 'commitMove') {
-		world.moveMs.push(clock.now() - startedAt.get(instance.id)!);
+		simulation.moveMs.push(clock.now() - startedAt.get(instance.id)!);
 	}
 };
 
-/** Commits steps of moves together, as one delta of the view. */
+/** Commits steps of moves in one transaction, as one delta of the view. */
 export const commitSteps = (
-	world: Simulation,
+	simulation: Simulation,
 	steps: readonly move.MoveCommit[],
 	counterVersion: number,
 ): boolean => {
-	const {store, log, rule} = world;
+	const {store, log, rule} = simulation;
 	const revision = log.length + 1;
 	const writes = [
 		...steps.flatMap((step) => getStepWrites(rule, step)),
@@ -205,46 +206,46 @@
 		id: `d${revision}`,
 		previousId: `d${revision - 1}`,
 		author: 'bench',
-		committedAt: world.clock.now(),
+		committedAt: simulation.clock.now(),
 		changes: steps.map(({instance}) => ({
 			kind: 'put-instance' as const,
 			instance,
 		})),
 	};
 	log.push(delta);
-	for (const host of world.hosts) {
-		void offerDelta(world, host, delta);
+	for (const host of simulation.hosts) {
+		void sendDelta(simulation, host, delta);
 	}
 
 	for (const step of steps) {
-		countStep(world, step);
+		countStep(simulation, step);
 	}
 
 	return true;
 };
 
-/** Runs one request at its executor and checks the pool that it is for. */
+/** Runs one request on its executor and counts a violation of its pool. */
 export const runAtExecutor = async (
-	world: Simulation,
+	simulation: Simulation,
 	instance: string,
 	pool: string,
 	serviceMs: number,
 ): Promise<void> => {
-	const {running} = world.executors.get(instance)!;
-	const truth = world.store.read<Instance>('instance', instance)!.value;
+	const {running} = simulation.executors.get(instance)!;
+	const stored = simulation.store.read<Instance>('instance', instance)!.value;
 	const isShared = [...running].some(
 		([other, count]) => other !== pool && count > 0,
 	);
-	world.counts.requests += 1;
-	if (isShared || truth.pool !== pool || truth.state === 'away') {
-		world.counts.violations += 1;
+	simulation.counts.requests += 1;
+	if (isShared || stored.pool !== pool || stored.state === 'away') {
+		simulation.counts.violations += 1;
 	}
 
 	running.set(pool, (running.get(pool) ?? 0) + 1);
-	await world.clock.sleep(serviceMs);
+	await simulation.clock.sleep(serviceMs);
 	running.set(pool, running.get(pool)! - 1);
 };
 
-/** Picks one of a list. */
+/** Picks a random element. */
 export const pick = <Value>(random: Random, values: readonly Value[]): Value =>
 	values[drawBelow(random, values.length)]!;
--- a/packages/bench/src/benches/placement/placing.ts
+++ b/packages/bench/src/benches/placement/placing.ts
@@ -19,57 +19,57 @@
 const maxPassedOver = 8;
 
 const learnFromEnd = (
-	world: Simulation,
+	simulation: Simulation,
 	{id, customer, declared}: TraceJob,
 ) => {
-	const history = world.histories.get(id);
+	const history = simulation.histories.get(id);
 	const habit =
-		world.usageModels.get(customer) ?? placement.emptyCustomerUsageModel;
+		simulation.usageModels.get(customer) ?? placement.emptyCustomerUsageModel;
 	if (history) {
-		world.usageModels.set(
+		simulation.usageModels.set(
 			customer,
 			placement.addEndedJob(habit, declared, history),
 		);
 	}
 
-	world.histories.delete(id);
+	simulation.histories.delete(id);
 };
 
-const end = (world: Simulation, id: string, run: number, now: number) => {
-	if (world.running.get(id)?.run !== run) {
+const end = (simulation: Simulation, id: string, run: number, now: number) => {
+	if (simulation.running.get(id)?.run !== run) {
 		return;
 	}
 
-	const task = stop(world, id);
+	const task = stop(simulation, id);
 	if (task) {
-		learnFromEnd(world, task.job);
+		learnFromEnd(simulation, task.job);
 	}
 
-	world.counts.finished += 1;
-	placePending(world, now);
+	simulation.counts.finished += 1;
+	placePending(simulation, now);
 };
 
 const begin = (
-	world: Simulation,
+	simulation: Simulation,
 	job: TraceJob,
 	worker: string,
 	now: number,
 ) => {
-	world.runs += 1;
-	const run = world.runs;
-	world.running.set(job.id, {job, worker, startedAt: now, run});
-	placement.addTask(world.cluster, {
+	simulation.runs += 1;
+	const run = simulation.runs;
+	simulation.running.set(job.id, {job, worker, startedAt: now, run});
+	placement.addTask(simulation.cluster, {
 		job: job.id,
 		customer: job.customer,
 		worker,
-		estimate: estimate(world, job),
+		estimate: estimate(simulation, job),
 		urgent: job.urgent,
 		canThrottle: job.canThrottle,
 		canCheckpoint: job.canCheckpoint,
 		startedAt: now,
 	});
-	world.queue.add(now + job.runMs, (at) => {
-		end(world, job.id, run, at);
+	simulation.queue.add(now + job.runMs, (at) => {
+		end(simulation, job.id, run, at);
 	});
 };
 
@@ -85,26 +85,26 @@
 	}
 };
 
-const checkpoint = (world: Simulation, job: string) => {
-	const task = stop(world, job);
+const checkpoint = (simulation: Simulation, job: string) => {
+	const task = stop(simulation, job);
 	if (task) {
-		world.pending.set(job, task.job);
-		world.counts.moves += 1;
+		simulation.pending.set(job, task.job);
+		simulation.counts.moves += 1;
 	}
 };
 
 /** Makes room; the time until it is there, in milliseconds. */
 const preempt = (
-	world: Simulation,
+	simulation: Simulation,
 	preemptions: readonly core.placement.Preemption[],
 ): number => {
 	let delayMs = 0;
 	for (const {job, kind} of preemptions) {
 		if (kind === 'throttle') {
-			throttle(world, job);
+			throttle(simulation, job);
 			delayMs = Math.max(delayMs, throttleMs);
 		} else {
-			checkpoint(world, job);
+			checkpoint(simulation, job);
 			delayMs = Math.max(delayMs, checkpointMs);
 		}
 	}
@@ -125,9 +125,9 @@
 	return {kind: 'wait', reason: 'capacity'};
 };
 
-const decide = (world: Simulation, job: TraceJob, now: number) => {
-	const {cluster, policy, quota} = world;
-	const expected = estimate(world, job);
+const decide = (simulation: Simulation, job: TraceJob, now: number) => {
+	const {cluster, policy, quota} = simulation;
+	const expected = estimate(simulation, job);
 	return policy.firstFit
 		? firstFit(cluster, expected)
 		: placement.placeJob(
@@ -138,18 +138,22 @@
 			);
 };
 
-const tryPlace = (world: Simulation, job: TraceJob, now: number): boolean => {
-	const decision = decide(world, job, now);
+const tryPlace = (
+	simulation: Simulation,
+	job: TraceJob,
+	now: number,
+): boolean => {
+	const decision = decide(simulation, job, now);
 	if (decision.kind !== 'place') {
 		return false;
 	}
 
-	const {counts} = world;
-	const delayMs = preempt(world, decision.preempt) + startMs;
+	const {counts} = simulation;
+	const delayMs = preempt(simulation, decision.preempt) + startMs;
 	const waitMs = now - job.submittedAt + delayMs;
-	begin(world, job, decision.worker, now);
+	begin(simulation, job, decision.worker, now);
 	counts.started += 1;
-	world.lastStarts.set(job.customer, now);
+	simulation.lastStarts.set(job.customer, now);
 	counts.maxWaitHours = Math.max(counts.maxWaitHours, waitMs / hourMs);
 	if (job.urgent) {
 		counts.urgentInTime += waitMs <= urgentBoundMs ? 1 : 0;
@@ -159,8 +163,8 @@
 };
 
 /** Places what waits, as far as there is room. */
-export const placePending = (world: Simulation, now: number) => {
-	const {cluster, pending, quotas} = world;
+export const placePending = (simulation: Simulation, now: number) => {
+	const {cluster, pending, quotas} = simulation;
 	let passedOver = 0;
 	for (const job of placement.sortPending(
 		cluster,
@@ -171,7 +175,7 @@
 			return;
 		}
 
-		if (tryPlace(world, job, now)) {
+		if (tryPlace(simulation, job, now)) {
 			pending.delete(job.id);
 		} else {
 			passedOver += 1;
@@ -180,23 +184,28 @@
 };
 
 /** A job is submitted. */
-export const submit = (world: Simulation, job: TraceJob, now: number) => {
-	world.counts.urgentJobs += job.urgent ? 1 : 0;
-	if (!tryPlace(world, job, now)) {
-		world.pending.set(job.id, job);
+export const submit = (simulation: Simulation, job: TraceJob, now: number) => {
+	simulation.counts.urgentJobs += job.urgent ? 1 : 0;
+	if (!tryPlace(simulation, job, now)) {
+		simulation.pending.set(job.id, job);
 	}
 };
 
 /** Moves running jobs, if the run's way does. */
-export const relocate = (world: Simulation, now: number) => {
-	const {cluster, policy, running, counts} = world;
+export const relocate = (simulation: Simulation, now: number) => {
+	const {cluster, policy, running, counts} = simulation;
 	const cfg = policy.relocation;
 	if (!cfg) {
 		return;
 	}
 
-	world.observed = placement.observeLoads(cluster, world.observed, now, cfg);
-	const {observed} = world;
+	simulation.observed = placement.observeLoads(
+		cluster,
+		simulation.observed,
+		now,
+		cfg,
+	);
+	const {observed} = simulation;
 	for (const {job, to} of placement.chooseRelocations(
 		cluster,
 		observed,
--- a/packages/bench/src/benches/placement/reports.ts
+++ b/packages/bench/src/benches/placement/reports.ts
@@ -17,10 +17,10 @@
 const minTasksForSpread = 6;
 
 /** A worker over its memory evicts its youngest jobs. */
-const evictOverfull = (world: Simulation, now: number) => {
-	for (const load of world.cluster.loads.values()) {
+const evictOverfull = (simulation: Simulation, now: number) => {
+	for (const load of simulation.cluster.loads.values()) {
 		const tasks = [...load.tasks.keys()]
-			.map((id) => world.running.get(id))
+			.map((id) => simulation.running.get(id))
 			.filter((task) => task !== undefined)
 			.toSorted((a, b) => b.startedAt - a.startedAt);
 		let memoryMb = tasks.reduce(
@@ -33,9 +33,9 @@
 			}
 
 			memoryMb -= getUse(task, now).memoryMb;
-			stop(world, task.job.id);
-			world.pending.set(task.job.id, task.job);
-			world.counts.evictions += 1;
+			stop(simulation, task.job.id);
+			simulation.pending.set(task.job.id, task.job);
+			simulation.counts.evictions += 1;
 		}
 	}
 };
@@ -61,8 +61,8 @@
 	}
 };
 
-const learn = (world: Simulation, now: number) => {
-	const {running, histories, throttled, cluster} = world;
+const learn = (simulation: Simulation, now: number) => {
+	const {running, histories, throttled, cluster} = simulation;
 	for (const task of running.values()) {
 		const measuredAt = now - reportLagMs;
 		if (measuredAt < task.startedAt) {
@@ -77,17 +77,17 @@
 		});
 		histories.set(id, history);
 		if (!throttled.has(id)) {
-			placement.updateEstimate(cluster, id, estimate(world, task.job));
+			placement.updateEstimate(cluster, id, estimate(simulation, task.job));
 		}
 	}
 };
 
 /** A customer starves if it waits an hour in which nothing of it starts. */
-const noteWaiting = (world: Simulation, now: number) => {
-	const {pending, cluster, quota, lastStarts, starved} = world;
+const noteWaiting = (simulation: Simulation, now: number) => {
+	const {pending, cluster, quota, lastStarts, starved} = simulation;
 	for (const job of pending.values()) {
 		const used = placement.getCustomerUsage(cluster, job.customer);
-		const need = placement.addResources(used, estimate(world, job).mean);
+		const need = placement.addResources(used, estimate(simulation, job).mean);
 		const since = Math.max(job.submittedAt, lastStarts.get(job.customer) ?? 0);
 		if (placement.fitsInto(need, quota) && now - since > starvedMs) {
 			starved.add(job.customer);
@@ -106,12 +106,12 @@
 };
 
 /** One report of all workers. */
-export const report = (world: Simulation, now: number) => {
-	account(world, now);
-	evictOverfull(world, now);
-	learn(world, now);
-	relocate(world, now);
-	placePending(world, now);
-	noteWaiting(world, now);
-	noteSpread(world);
+export const report = (simulation: Simulation, now: number) => {
+	account(simulation, now);
+	evictOverfull(simulation, now);
+	learn(simulation, now);
+	relocate(simulation, now);
+	placePending(simulation, now);
+	noteWaiting(simulation, now);
+	noteSpread(simulation);
 };
--- a/packages/bench/src/benches/placement/run-trace.ts
+++ b/packages/bench/src/benches/placement/run-trace.ts
@@ -23,27 +23,27 @@
 	trace: readonly TraceJob[],
 	policy: Policy,
 ): PlacementFigures => {
-	const world = createSimulation(deployment, policy);
+	const simulation = createSimulation(deployment, policy);
 	for (const job of trace) {
-		world.queue.add(job.submittedAt, (now) => {
-			submit(world, job, now);
+		simulation.queue.add(job.submittedAt, (now) => {
+			submit(simulation, job, now);
 		});
 	}
 
 	const endAt = deployment.hours * hourMs;
 	for (let at = reportEveryMs; at <= endAt; at += reportEveryMs) {
-		world.queue.add(at, (now) => {
-			report(world, now);
+		simulation.queue.add(at, (now) => {
+			report(simulation, now);
 		});
 	}
 
-	world.queue.advance(endAt);
-	const {counts} = world;
+	simulation.queue.advance(endAt);
+	const {counts} = simulation;
 	return {
 		...counts,
 		// The share of the urgent jobs in place of their number.
 		urgentInTime:
 			counts.urgentJobs > 0 ? counts.urgentInTime / counts.urgentJobs : 1,
-		starved: world.starved.size,
+		starved: simulation.starved.size,
 	};
 };
--- a/packages/bench/src/benches/placement/simulation.ts
+++ b/packages/bench/src/benches/placement/simulation.ts
@@ -69,7 +69,7 @@
 	accelerators: 0,
 });
 
-/** A world in which nothing runs yet. */
+/** A simulation in which nothing runs yet. */
 export const createSimulation = (
 	deployment: Deployment,
 	policy: Policy,
@@ -143,21 +143,24 @@
 };
 
 /** What the run's way expects of a job now. */
-export const estimate = (world: Simulation, job: TraceJob) =>
+export const estimate = (simulation: Simulation, job: TraceJob) =>
 	limitToWorker(
-		world.policy.estimate(
+		simulation.policy.estimate(
 			job,
-			world.histories.get(job.id),
-			world.usageModels.get(job.customer),
+			simulation.histories.get(job.id),
+			simulation.usageModels.get(job.customer),
 		),
-		world.deployment,
+		simulation.deployment,
 	);
 
 /** Takes a job off its worker. */
-export const stop = (world: Simulation, id: string): Running | undefined => {
-	const task = world.running.get(id);
-	world.running.delete(id);
-	world.throttled.delete(id);
-	placement.removeTask(world.cluster, id);
+export const stop = (
+	simulation: Simulation,
+	id: string,
+): Running | undefined => {
+	const task = simulation.running.get(id);
+	simulation.running.delete(id);
+	simulation.throttled.delete(id);
+	placement.removeTask(simulation.cluster, id);
 	return task;
 };
--- a/packages/bench/src/benches/rollout/entry.ts
+++ b/packages/bench/src/benches/rollout/entry.ts
@@ -11,7 +11,7 @@
 } from './simulation.js';
 
 /** Tells those who wait for it what is in force. */
-export const sendAcknowledgements = (world: Simulation, entry: Entry) => {
+export const sendAcknowledgements = (simulation: Simulation, entry: Entry) => {
 	const {view} = entry.followed;
 	entry.sequence += 1;
 	const router = {routedRevision: view.revision, inFlight: new Map()};
@@ -22,8 +22,8 @@
 	);
 	entry.receivedAcknowledgements.set(ack.entry, ack);
 	for (const index of entry.awaitedBy) {
-		const peer = world.nodes[index]!;
-		void send(world, peer, JSON.stringify(ack).length, () => {
+		const peer = simulation.nodes[index]!;
+		void send(simulation, peer, JSON.stringify(ack).length, () => {
 			const known = peer.receivedAcknowledgements.get(ack.entry);
 			peer.receivedAcknowledgements.set(
 				ack.entry,
@@ -50,7 +50,7 @@
 
 /** Puts deltas in force. */
 export const applyDeltas = (
-	world: Simulation,
+	simulation: Simulation,
 	entry: Entry,
 	deltas: readonly viewChange.ViewDelta[],
 ) => {
@@ -62,34 +62,34 @@
 	entry.followed = followed;
 	entry.reverted += countReverted(before, followed);
 	if (applied.length > 0) {
-		sendAcknowledgements(world, entry);
+		sendAcknowledgements(simulation, entry);
 	}
 
 	if (refusal?.kind === 'gap') {
-		void poll(world, entry);
+		void poll(simulation, entry);
 	}
 };
 
-const readLog = async (world: Simulation, entry: Entry) => {
-	world.counts.reads += 1;
+const readLog = async (simulation: Simulation, entry: Entry) => {
+	simulation.counts.reads += 1;
 	const {revision} = entry.followed.view;
-	const deltas = await world.link(() => world.log.slice(revision));
+	const deltas = await simulation.link(() => simulation.log.slice(revision));
 	if (deltas.ok) {
-		world.counts.storeBytes += JSON.stringify(deltas.value).length;
-		await waitWhilePaused(world, entry);
-		applyDeltas(world, entry, deltas.value);
+		simulation.counts.storeBytes += JSON.stringify(deltas.value).length;
+		await waitWhilePaused(simulation, entry);
+		applyDeltas(simulation, entry, deltas.value);
 	}
 };
 
-const poll = async (world: Simulation, entry: Entry) => {
+const poll = async (simulation: Simulation, entry: Entry) => {
 	if (entry.isPolling) {
 		return;
 	}
 
 	entry.isPolling = true;
-	world.counts.reads += 1;
-	world.counts.storeBytes += counterBytes;
-	const {link, log} = world;
+	simulation.counts.reads += 1;
+	simulation.counts.storeBytes += counterBytes;
+	const {link, log} = simulation;
 	const reply = await link(() => log.length);
 	const applied = entry.followed.view.revision;
 	if (reply.ok) {
@@ -99,7 +99,7 @@
 			reply.value,
 		);
 		if (verdict.kind === 'newer') {
-			await readLog(world, entry);
+			await readLog(simulation, entry);
 		}
 	}
 
@@ -107,20 +107,20 @@
 };
 
 /** Starts the periodic work of an entry. */
-export const startEntry = (world: Simulation, entry: Entry) => {
-	const {clock, random, counts} = world;
-	const periods = core.periods.getPeriods(world.entries);
-	const heartbeatBytes = getHeartbeatBytes(world.entries);
+export const startEntry = (simulation: Simulation, entry: Entry) => {
+	const {clock, random, counts} = simulation;
+	const periods = core.periods.getPeriods(simulation.entries);
+	const heartbeatBytes = getHeartbeatBytes(simulation.entries);
 	const repeat = async (periodMs: number, step: () => Promise<void>) => {
 		await clock.sleep(random() * periodMs);
-		while (!world.isDone) {
-			await waitWhilePaused(world, entry);
+		while (!simulation.isDone) {
+			await waitWhilePaused(simulation, entry);
 			await step();
 			await clock.sleep(periodMs * (0.75 + 0.5 * random()));
 		}
 	};
 
-	void repeat(periods.viewPollMs, async () => poll(world, entry));
+	void repeat(periods.viewPollMs, async () => poll(simulation, entry));
 	void repeat(periods.heartbeatMs, async () => {
 		counts.writes += 1;
 		counts.storeBytes += heartbeatBytes;
@@ -128,7 +128,7 @@
 	void repeat(periods.watchMs, async () => {
 		const neighbours = Math.min(
 			core.monitoredPeers.monitoredPeerCount,
-			world.entries - 1,
+			simulation.entries - 1,
 		);
 		// The membership row is read with them.
 		counts.reads += neighbours + 1;
--- a/packages/bench/src/benches/rollout/operator.ts
+++ b/packages/bench/src/benches/rollout/operator.ts
@@ -38,24 +38,24 @@
 
 /** Offers a change to every peer again until all have acknowledged. */
 const announce = async (
-	world: Simulation,
+	simulation: Simulation,
 	index: number,
 	delta: viewChange.ViewDelta,
 ) => {
-	const {clock, nodes} = world;
+	const {clock, nodes} = simulation;
 	const entry = nodes[index]!;
 	const acceptedAt = clock.now();
 	let offeredAt = Number.NEGATIVE_INFINITY;
-	applyDeltas(world, entry, [delta]);
-	while (!isInForce(world, entry, delta.revision)) {
+	applyDeltas(simulation, entry, [delta]);
+	while (!isInForce(simulation, entry, delta.revision)) {
 		if (clock.now() - offeredAt >= offerAgainMs) {
 			offeredAt = clock.now();
 			const bytes = JSON.stringify(delta).length;
-			for (const peer of listWaitedFor(world, entry, delta.revision)) {
-				void send(world, peer, bytes, () => {
+			for (const peer of listWaitedFor(simulation, entry, delta.revision)) {
+				void send(simulation, peer, bytes, () => {
 					peer.awaitedBy.add(index);
-					applyDeltas(world, peer, [delta]);
-					sendAcknowledgements(world, peer);
+					applyDeltas(simulation, peer, [delta]);
+					sendAcknowledgements(simulation, peer);
 				});
 			}
 		}
@@ -64,7 +64,7 @@
 		await clock.sleep(Math.max(1, (clock.now() - acceptedAt) / 50));
 	}
 
-	world.inForceMs.push(clock.now() - acceptedAt);
+	simulation.inForceMs.push(clock.now() - acceptedAt);
 	for (const peer of nodes) {
 		peer.awaitedBy.delete(index);
 	}
@@ -84,11 +84,11 @@
 
 /** One attempt of one change; a race for the counter alone is tried again. */
 const commit = async (
-	world: Simulation,
+	simulation: Simulation,
 	id: string,
 	customer: string,
 ): Promise<Attempt> => {
-	const {data, link, log, counts} = world;
+	const {data, link, log, counts} = simulation;
 	counts.reads += 1;
 	const read = await link(() => data.read<Contract>('contract', customer)!);
 	if (!read.ok) {
@@ -109,7 +109,7 @@
 				id,
 				previousId: log.at(-1)?.id ?? '',
 				author: 'ann',
-				committedAt: world.clock.now(),
+				committedAt: simulation.clock.now(),
 				changes: [{kind: 'put-contract', contract}],
 			});
 		}
@@ -123,11 +123,14 @@
 	return reply.value ? 'accepted' : 'refused';
 };
 
-const readBack = async (world: Simulation, id: string): Promise<Attempt> => {
+const readBack = async (
+	simulation: Simulation,
+	id: string,
+): Promise<Attempt> => {
 	for (;;) {
-		world.counts.reads += 1;
-		const found = await world.link(() =>
-			world.log.some((delta) => delta.id === id),
+		simulation.counts.reads += 1;
+		const found = await simulation.link(() =>
+			simulation.log.some((delta) => delta.id === id),
 		);
 		if (found.ok) {
 			return found.value ? 'accepted' : 'refused';
@@ -136,14 +139,15 @@
 };
 
 /** Changes contracts until enough are accepted. */
-export const runOperator = async (world: Simulation, name: number) => {
-	const {clock, random, acceptedIds, counts, log} = world;
-	for (let index = 0; acceptedIds.size < world.changes; index += 1) {
-		await clock.sleep(drawExponential(random, world.meanGapMs));
+export const runOperator = async (simulation: Simulation, name: number) => {
+	const {clock, random, acceptedIds, counts, log} = simulation;
+	for (let index = 0; acceptedIds.size < simulation.changes; index += 1) {
+		await clock.sleep(drawExponential(random, simulation.meanGapMs));
 		const id = `o${name}-${index}`;
 		const customer = customers[drawBelow(random, customers.length)]!;
-		const attempt = await commit(world, id, customer);
-		const outcome = attempt === 'unknown' ? await readBack(world, id) : attempt;
+		const attempt = await commit(simulation, id, customer);
+		const outcome =
+			attempt === 'unknown' ? await readBack(simulation, id) : attempt;
 		if (outcome === 'refused') {
 			counts.refused += 1;
 			continue;
@@ -151,6 +155,10 @@
 
 		acceptedIds.add(id);
 		const delta = log.find((each) => each.id === id)!;
-		void announce(world, drawBelow(random, world.nodes.length), delta);
+		void announce(
+			simulation,
+			drawBelow(random, simulation.nodes.length),
+			delta,
+		);
 	}
 };
--- a/packages/bench/src/benches/rollout/run-rollout.ts
+++ b/packages/bench/src/benches/rollout/run-rollout.ts
@@ -18,11 +18,12 @@
 
 const pauseMs = 30_000;
 
-const runPauses = async (world: Simulation) => {
-	while (!world.isDone) {
-		await world.clock.sleep(2 * pauseMs);
-		const entry = world.nodes[drawBelow(world.random, world.entries)]!;
-		entry.pausedUntil = world.clock.now() + pauseMs;
+const runPauses = async (simulation: Simulation) => {
+	while (!simulation.isDone) {
+		await simulation.clock.sleep(2 * pauseMs);
+		const entry =
+			simulation.nodes[drawBelow(simulation.random, simulation.entries)]!;
+		entry.pausedUntil = simulation.clock.now() + pauseMs;
 	}
 };
 
@@ -37,7 +38,7 @@
 	isPolling: false,
 });
 
-const createWorld = (options: RolloutOptions): Simulation => {
+const createSimulation = (options: RolloutOptions): Simulation => {
 	const random = createRandom(options.seed);
 	const clock = createClock();
 	const data = createStore();
@@ -77,18 +78,18 @@
 export const runRollout = async (
 	options: RolloutOptions,
 ): Promise<RolloutResult> => {
-	const world = createWorld(options);
-	const {clock, counts, nodes, inForceMs, acceptedIds} = world;
+	const simulation = createSimulation(options);
+	const {clock, counts, nodes, inForceMs, acceptedIds} = simulation;
 	for (const entry of nodes) {
-		startEntry(world, entry);
+		startEntry(simulation, entry);
 	}
 
 	if (options.hasPauses) {
-		void runPauses(world);
+		void runPauses(simulation);
 	}
 
 	for (let name = 0; name < operators; name += 1) {
-		void runOperator(world, name);
+		void runOperator(simulation, name);
 	}
 
 	await clock.run(
@@ -100,12 +101,12 @@
 	const simulatedMs = clock.now();
 	const used = {...counts};
 	await clock.run(simulatedMs + 2 * pauseMs);
-	world.isDone = true;
+	simulation.isDone = true;
 	return {
 		accepted: acceptedIds.size,
 		refused: counts.refused,
 		inForceMs,
-		lost: countLost(world),
+		lost: countLost(simulation),
 		reverted: nodes.reduce((sum, {reverted}) => sum + reverted, 0),
 		simulatedMs,
 		storeReads: used.reads,
--- a/packages/bench/src/benches/rollout/simulation.ts
+++ b/packages/bench/src/benches/rollout/simulation.ts
@@ -102,15 +102,15 @@
 
 /** Brings a message to a peer, which handles it when it is awake. */
 export const send = async (
-	world: Simulation,
+	simulation: Simulation,
 	to: Entry,
 	bytes: number,
 	handle: () => void,
 ) => {
-	world.counts.peerBytes += frameBytes + bytes;
-	await world.clock.sleep(1 + 2 * world.random());
-	if (world.random() >= world.lostMessages) {
-		await waitWhilePaused(world, to);
+	simulation.counts.peerBytes += frameBytes + bytes;
+	await simulation.clock.sleep(1 + 2 * simulation.random());
+	if (simulation.random() >= simulation.lostMessages) {
+		await waitWhilePaused(simulation, to);
 		handle();
 	}
 };
--- a/packages/bench/src/benches/wave.ts
+++ b/packages/bench/src/benches/wave.ts
@@ -1,7 +1,6 @@
 /**
- * `bench wave`: a maintenance wave over the two deployments of the brief and
- * over the planned size, with a rack, a switch and an availability zone lost
- * while it runs. Source of the bounds: issue 5, item 1.
+ * `bench wave`: a maintenance wave over the two current deployments and the
+ * planned size while a rack, a switch and an availability zone are lost.
  */
 import {budget, waves} from '@gullstand/core';
 import {check} from '../frame/check.js';
@@ -25,12 +24,12 @@
 
 const hourMs = 3_600_000;
 const startAt = 12 * hourMs;
-/** Hours in which a rack, a switch and a zone are lost; the wave is running. */
+/** Hours in which a rack, a switch and an availability zone are lost. */
 const outageHours = [13, 14, 15] as const;
 const seedsPerPlan = 5;
-/** The baselines take weeks at the planned size; they are cut off there. */
+/** Time limit of the baselines at the planned size, where they take weeks. */
 const plannedBaselineMs = 7 * 24 * hourMs;
-/** Least difference that counts as fewer or less. */
+/** Smallest difference that counts as a saving. */
 const leastDifference = 0.01;
 
 const {waveDefaults, fastWeights, fewMovesWeights, littleBufferWeights} = waves;
@@ -47,7 +46,7 @@
 	settings: {...waveDefaults, ...settings},
 });
 
-/** Empties at once and moves everything to any worker with room. */
+/** Evacuates at once and moves jobs to any worker with room. */
 const atOnce = {
 	weights: {moves: 0, bufferCoreHours: 0, rollOutHours: 1},
 	deferWithinMs: 0,
@@ -101,13 +100,13 @@
 	});
 };
 
-/** A short run takes a third of the planned size. */
+/** The planned size, or a third of it in a short run. */
 const getPlanned = (short: boolean): Size =>
 	short
 		? {...sizes.planned, name: 'third of planned', workers: 1100, pools: 50}
 		: sizes.planned;
 
-/** The runs of each plan on one size. */
+/** Outcomes by plan for one size. */
 type Runs = Map<PlanName, readonly Outcome[]>;
 
 const compareWeights = (size: Size, runs: Runs): Check[] => {
@@ -147,7 +146,7 @@
 	return runs;
 };
 
-/** What a reserve costs, and what it saves while zone after zone is lost. */
+/** Compares reserves while one availability zone after another is lost. */
 const runReserves = (seeds: readonly number[]) => {
 	const size: Size = {
 		...sizes.harrowby,
@@ -166,7 +165,7 @@
 	}));
 };
 
-/** What a run has found so far. */
+/** Findings of the bench so far. */
 type Findings = {
 	readonly figures: Record<string, number | string>;
 	readonly baselines: Record<string, Figures>;
@@ -210,7 +209,7 @@
 	}
 };
 
-/** The longest step; identical runs tell pauses of the machine apart. */
+/** Adds the longest step; repeated runs filter out pauses of the machine. */
 const addSteps = (
 	{figures, checks}: Findings,
 	size: Size,
@@ -244,7 +243,7 @@
 	return findings;
 };
 
-/** The bench. */
+/** The wave bench. */
 export const bench: Bench = {
 	name: 'wave',
 	summary: 'maintenance waves: budgets, roll-out time, moves, buffer',
--- a/packages/bench/src/benches/wave/event-queue.ts
+++ b/packages/bench/src/benches/wave/event-queue.ts
@@ -1,15 +1,15 @@
-/** Events in the order of their times (a binary heap). */
+/** A queue of timed events, as a binary heap. */
 
 type Entry = {readonly at: number; readonly run: (now: number) => void};
 
-/** A queue of things that happen at set times. */
+/** A queue of events in order of time. */
 export type EventQueue = {
 	readonly add: (at: number, run: (now: number) => void) => void;
-	/** Runs all that is due, in order. */
+	/** Runs all events that are due, in order. */
 	readonly advance: (now: number) => void;
 };
 
-/** Makes an empty queue. */
+/** Creates an empty queue. */
 export const createEventQueue = (): EventQueue => {
 	const heap: Entry[] = [];
 	const swap = (a: number, b: number) => {
--- a/packages/bench/src/benches/wave/figures.ts
+++ b/packages/bench/src/benches/wave/figures.ts
@@ -1,4 +1,4 @@
-/** Figures and checks of waves that were run. */
+/** Figures and checks of completed waves. */
 import {check} from '../../frame/check.js';
 import type {Check, Figures} from '../../frame/types.js';
 import type {Outcome} from './plan.js';
@@ -32,7 +32,7 @@
 	};
 };
 
-/** Processor time of the steps; the longest is the least of all runs. */
+/** Processor time of the steps, each step by the least of all runs. */
 export const getStepFigures = (outcomes: readonly Outcome[]): Figures => {
 	const [first, ...rest] = outcomes.map(({stepMs}) => stepMs);
 	const least = first!
@@ -54,7 +54,7 @@
 	getValue: (each: Outcome) => number,
 ) => outcomes.reduce((total, each) => total + getValue(each), 0);
 
-/** The budget was never overspent, by the log alone. */
+/** Checks by the log alone that no availability budget was exceeded. */
 export const checkBudgets = (
 	name: string,
 	outcomes: readonly Outcome[],
@@ -79,7 +79,7 @@
 	),
 ];
 
-/** No job moved twice unless its new worker had failed. */
+/** Checks that no job moved twice unless its new worker had failed. */
 export const checkMoves = (name: string, outcomes: readonly Outcome[]): Check =>
 	check(
 		`${name}: jobs moved again without a failure`,
--- a/packages/bench/src/benches/wave/fleet.ts
+++ b/packages/bench/src/benches/wave/fleet.ts
@@ -1,7 +1,6 @@
 /**
- * The fleet as event lists see it: workers that run jobs, fail and come back,
- * and a list that shows it late. It decides nothing; placement is best fit
- * with the advice it is given.
+ * Simulated fleet: workers that run jobs, fail and return, and an instance
+ * list that shows it late. Placement is best fit with placement advice.
  */
 import {budget, type Instance, type waves} from '@gullstand/core';
 import {
@@ -24,7 +23,7 @@
 const checkpointEveryMs = 30 * minuteMs;
 const listLagMs = {least: 5000, mean: 10_000} as const;
 
-/** The fleet, its log and its counts. */
+/** A simulated fleet with its event log and counts. */
 export type Fleet = {
 	readonly size: Size;
 	readonly random: Random;
@@ -91,7 +90,7 @@
 	}
 };
 
-/** Starts a job; what it has saved it need not repeat. */
+/** Starts a job from the work that it has saved. */
 export const startJob = (fleet: Fleet, worker: Worker, job: Job): void => {
 	job.startedAt = fleet.now;
 	job.starts += 1;
@@ -109,7 +108,7 @@
 	});
 };
 
-/** Takes a job off its worker, with what the way of leaving saves. */
+/** Removes a job from its worker; `savedMs` of its work is kept. */
 export const removeJob = (
 	fleet: Fleet,
 	worker: Worker,
@@ -148,7 +147,7 @@
 	return best;
 };
 
-/** Starts what waits in a pool and fits, in order of arrival. */
+/** Starts the waiting jobs of a pool that fit, in order of arrival. */
 export const fillPool = (fleet: Fleet, pool: string): void => {
 	const waiting = fleet.waiting.get(pool)!;
 	for (const job of waiting.splice(0)) {
@@ -161,60 +160,60 @@
 	}
 };
 
-/** Puts a job into the queue of its pool. */
+/** Queues a job in its pool and starts what fits. */
 export const submitJob = (fleet: Fleet, job: Job): void => {
 	fleet.waiting.get(job.pool)!.push(job);
 	fillPool(fleet, job.pool);
 };
 
-const arriveIn = (fleet: Fleet, pool: string, everyMs: number) => {
+const scheduleArrival = (fleet: Fleet, pool: string, everyMs: number) => {
 	fleet.queue.add(fleet.now + drawExponential(fleet.random, everyMs), (now) => {
 		fleet.now = now;
 		submitJob(fleet, fleet.source.create(pool));
-		arriveIn(fleet, pool, everyMs);
+		scheduleArrival(fleet, pool, everyMs);
 	});
 };
 
 const drawLag = ({random}: Fleet) =>
 	listLagMs.least + drawExponential(random, listLagMs.mean);
 
-const bookLedgers = (
+const updateLedgers = (
 	fleet: Fleet,
 	worker: Worker,
-	book: (
+	update: (
 		ledger: budget.Versioned<budget.Ledger>,
 	) => budget.RowPut<budget.Ledger> | undefined,
 ) => {
 	for (const service of worker.services) {
 		const value = fleet.ledgers.get(service)!;
-		const write = book({value, version: 1});
+		const write = update({value, version: 1});
 		fleet.ledgers.set(service, write?.value ?? value);
 	}
 };
 
-/** Shows the list's new state of a worker, and books loss and recovery. */
+/** Updates the listed state of a worker and records loss or recovery. */
 const updateList = (fleet: Fleet, worker: Worker, incarnation: number) => {
-	const isShown = isUp(worker);
+	const isListed = isUp(worker);
 	if (incarnation !== worker.incarnation) {
 		return;
 	}
 
 	worker.listedIncarnation = worker.incarnation;
-	if (isShown === worker.isListed) {
+	if (isListed === worker.isListed) {
 		return;
 	}
 
-	worker.isListed = isShown;
+	worker.isListed = isListed;
 	const {instance, services} = worker;
-	const kind = isShown ? 'seen-up' : 'seen-down';
+	const kind = isListed ? 'seen-up' : 'seen-down';
 	fleet.log.push({kind, instance: instance.id, services});
-	if (isShown) {
-		bookLedgers(fleet, worker, (ledger) =>
+	if (isListed) {
+		updateLedgers(fleet, worker, (ledger) =>
 			budget.markRecovered(ledger, [instance]),
 		);
 	} else {
 		requeueJobs(fleet, worker);
-		bookLedgers(fleet, worker, (ledger) =>
+		updateLedgers(fleet, worker, (ledger) =>
 			budget.markLost(ledger, [instance.id], fleet.now),
 		);
 	}
@@ -222,7 +221,7 @@
 	fillPool(fleet, instance.pool);
 };
 
-const showLater = (fleet: Fleet, worker: Worker) => {
+const scheduleListUpdate = (fleet: Fleet, worker: Worker) => {
 	const {incarnation} = worker;
 	fleet.queue.add(fleet.now + drawLag(fleet), (now) => {
 		fleet.now = now;
@@ -230,7 +229,7 @@
 	});
 };
 
-/** A worker goes down: its jobs stop, and nobody knows yet. */
+/** Takes a worker down: its jobs stop; the list shows it later. */
 export const takeDown = (fleet: Fleet, worker: Worker): void => {
 	const {instance, services} = worker;
 	fleet.log.push({kind: 'down', instance: instance.id, services});
@@ -244,12 +243,12 @@
 		job.lostAt = {ranMs, savedMs};
 	}
 
-	showLater(fleet, worker);
+	scheduleListUpdate(fleet, worker);
 };
 
-/** The loss of a worker is known: its jobs go back to what they last saved. */
+/** Requeues the jobs of a lost worker from their last checkpoints. */
 const requeueJobs = (fleet: Fleet, worker: Worker) => {
-	// A job that starts again at once may start here.
+	// A requeued job may start on this worker at once.
 	const lost = [...worker.jobs.values()];
 	for (const job of lost) {
 		const {ranMs, savedMs} = job.lostAt!;
@@ -266,17 +265,17 @@
 	}
 };
 
-/** A worker is up again, in a new life. */
+/** Brings a worker up again as a new incarnation. */
 export const bringUp = (fleet: Fleet, worker: Worker): void => {
 	const {instance, services} = worker;
 	requeueJobs(fleet, worker);
 	worker.incarnation += 1;
 	worker.probesPassFrom = fleet.now + minuteMs;
 	fleet.log.push({kind: 'up', instance: instance.id, services});
-	showLater(fleet, worker);
+	scheduleListUpdate(fleet, worker);
 };
 
-/** Drained and away: the worker restarts. */
+/** Reboots a drained worker for its maintenance. */
 export const rebootWorker = (fleet: Fleet, worker: Worker): void => {
 	worker.instance = {...worker.instance, state: 'away'};
 	const wasUp = isUp(worker);
@@ -318,7 +317,7 @@
 	});
 };
 
-const announcePromises = (fleet: Fleet) => {
+const logPromises = (fleet: Fleet) => {
 	for (const {service, terms, entries} of fleet.ledgers.values()) {
 		fleet.log.push({
 			kind: 'promise',
@@ -330,7 +329,7 @@
 	}
 };
 
-/** Makes a fleet of a size with its outages; jobs arrive from time 0. */
+/** Creates a fleet with its outages; jobs arrive from time 0. */
 export const createFleet = (
 	size: Size,
 	random: Random,
@@ -363,10 +362,10 @@
 		fleet.waiting.set(pool, []);
 	}
 
-	announcePromises(fleet);
+	logPromises(fleet);
 	for (const [pool, workers] of fleet.byPool) {
 		const coresWanted = size.load * size.cores * workers.length;
-		arriveIn(fleet, pool, fleet.source.meanCoreMs / coresWanted);
+		scheduleArrival(fleet, pool, fleet.source.meanCoreMs / coresWanted);
 	}
 
 	for (const outage of getOutages(instances)) {
@@ -376,7 +375,7 @@
 	return fleet;
 };
 
-/** Lets all that is due happen. */
+/** Runs all events that are due and sets the time. */
 export const advanceFleet = (fleet: Fleet, now: number): void => {
 	fleet.queue.advance(now);
 	fleet.now = now;
--- a/packages/bench/src/benches/wave/jobs.ts
+++ b/packages/bench/src/benches/wave/jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs of the wave benches: true run times, declarations, what is learned. */
+/** Jobs of the wave benches: true, declared and estimated run times. */
 import type {waves} from '@gullstand/core';
 import {drawBelow, drawLogNormal, type Random} from '../../frame/random.js';
 
@@ -13,25 +13,25 @@
 	readonly runMs: number;
 	readonly declaredMs: number;
 	readonly movability: waves.Movability;
-	/** Work that is safe at a checkpoint. */
+	/** Work that the last checkpoint has saved. */
 	savedMs: number;
 	startedAt: number;
-	/** How far it was when its worker went down, until that is known. */
+	/** Progress when its worker went down; unset once the loss is listed. */
 	lostAt: {readonly ranMs: number; readonly savedMs: number} | undefined;
-	/** Moved by the wave, and its worker has not failed since. */
+	/** True if the wave moved it and its worker has not failed since. */
 	hasMoved: boolean;
-	/** Grows with each start, so that an old end is not taken for a new one. */
+	/** Incremented at each start; tells the end of an earlier start apart. */
 	starts: number;
 };
 
-/** Draws jobs and learns how wrong each team's declarations are. */
+/** Draws jobs and estimates the error of each team's declarations. */
 export type JobSource = {
 	readonly create: (pool: string) => Job;
-	/** Tells the true run time of a job that has finished. */
+	/** Updates the estimates by the true run time of a finished job. */
 	readonly learn: (job: Job) => void;
-	/** Learned estimate of the time that a job still runs. */
+	/** Estimate of the remaining run time of a job. */
 	readonly estimate: (job: Job, now: number) => number;
-	/** Mean of cores times run time, to set a load. */
+	/** Mean of cores times run time. */
 	readonly meanCoreMs: number;
 };
 
@@ -48,7 +48,7 @@
 	return draw < 0.85 ? 'checkpoint' : 'restart';
 };
 
-/** Declared run times are off by up to 10 times, most of it by team. */
+/** Declared run times are wrong by a factor of up to 10, mostly by team. */
 export const createJobSource = (random: Random, teams: number): JobSource => {
 	const biases = Array.from({length: teams}, () => 1.7 * (random() - 0.5));
 	const learned = Array.from({length: teams}, () => 0);
--- a/packages/bench/src/benches/wave/log-checker.ts
+++ b/packages/bench/src/benches/wave/log-checker.ts
@@ -1,9 +1,9 @@
 /**
- * Judges a wave from its event log alone: who was seen lost, who was taken
- * and given back, which job moved. It shares no code with the ledger.
+ * Checks a wave by its event log alone: instances lost, withdrawn and
+ * returned, and jobs moved. It shares no code with the budget ledger.
  */
 
-/** What the outside saw. Services stand in the event, as at that moment. */
+/** An event as seen from outside, with the services of the instance then. */
 export type LogEvent =
 	| {
 			kind: 'promise';
@@ -14,35 +14,35 @@
 	  }
 	| {kind: 'taken'; instance: string; services: readonly string[]}
 	| {kind: 'given-back'; instance: string; services: readonly string[]}
-	/** Really down; the list shows it later. */
+	/** The instance is down; the list shows it later. */
 	| {kind: 'down'; instance: string; services: readonly string[]}
 	| {kind: 'up'; instance: string; services: readonly string[]}
-	/** The list shows it. */
+	/** The list shows the change. */
 	| {kind: 'seen-down'; instance: string; services: readonly string[]}
 	| {kind: 'seen-up'; instance: string; services: readonly string[]}
 	| {kind: 'moved'; job: string}
 	| {kind: 'worker-failed'; job: string};
 
-/** What the log says. */
+/** Counts of one log. */
 export type Verdict = {
 	takes: number;
-	/** Planned away above maxAway. */
+	/** Withdrawals that exceeded `maxAway`. */
 	overMaxAway: number;
-	/** A take while loss that the list shows had used the budget. */
+	/** Withdrawals while listed losses had used up the budget. */
 	takesOnLoss: number;
-	/** A take that left fewer serving than kept, counting listed loss. */
+	/** Withdrawals that left fewer serving than `keep`, with listed losses. */
 	underKeep: number;
-	/** Takes that loss not yet listed would have forbidden. */
+	/** Withdrawals that losses not yet listed would have forbidden. */
 	takesBeforeListed: number;
 	moves: number;
-	/** Moves of a job that had moved and whose worker had not failed since. */
+	/** Repeated moves of a job whose worker had not failed since. */
 	secondMoves: number;
 	losses: number;
-	/** Losses that left a service under its kept capacity. */
+	/** Losses that left a service below `keep`. */
 	lossesUnderKeep: number;
 };
 
-type Account = {
+type ServiceState = {
 	keep: number;
 	maxAway: number;
 	size: number;
@@ -54,16 +54,16 @@
 const countUnion = (one: Set<string>, other: Set<string>) =>
 	one.size + [...other].filter((id) => !one.has(id)).length;
 
-const judgeTake = (account: Account, verdict: Verdict) => {
-	const {taken, down, seenDown, maxAway, keep, size} = account;
+const checkWithdrawal = (state: ServiceState, verdict: Verdict) => {
+	const {taken, down, seenDown, maxAway, keep, size} = state;
 	const listed = countUnion(taken, seenDown);
 	const real = countUnion(taken, down);
 	verdict.overMaxAway += taken.size > maxAway ? 1 : 0;
 	verdict.takesOnLoss += listed > maxAway ? 1 : 0;
 	verdict.underKeep += size - listed < keep ? 1 : 0;
-	const isSeen = listed <= maxAway && size - listed >= keep;
-	const isReal = real <= maxAway && size - real >= keep;
-	verdict.takesBeforeListed += isSeen && !isReal ? 1 : 0;
+	const isAllowedByList = listed <= maxAway && size - listed >= keep;
+	const isAllowed = real <= maxAway && size - real >= keep;
+	verdict.takesBeforeListed += isAllowedByList && !isAllowed ? 1 : 0;
 };
 
 type InstanceEvent = Extract<LogEvent, {instance: string}>;
@@ -78,36 +78,36 @@
 } as const;
 
 const applyInstanceEvent = (
-	accounts: ReadonlyMap<string, Account>,
+	states: ReadonlyMap<string, ServiceState>,
 	event: InstanceEvent,
 	verdict: Verdict,
 ) => {
 	const [set, change] = changes[event.kind];
 	let wasTaken = false;
 	for (const service of event.services) {
-		const account = accounts.get(service)!;
-		wasTaken ||= account.taken.has(event.instance);
-		account[set][change](event.instance);
+		const state = states.get(service)!;
+		wasTaken ||= state.taken.has(event.instance);
+		state[set][change](event.instance);
 		if (event.kind === 'taken') {
-			judgeTake(account, verdict);
+			checkWithdrawal(state, verdict);
 		}
 	}
 
 	verdict.takes += event.kind === 'taken' ? 1 : 0;
 	const isLoss = event.kind === 'down' && !wasTaken;
 	const isShort = event.services.some((service) => {
-		const {size, keep, taken, down} = accounts.get(service)!;
+		const {size, keep, taken, down} = states.get(service)!;
 		return size - countUnion(taken, down) < keep;
 	});
 	verdict.losses += isLoss ? 1 : 0;
 	verdict.lossesUnderKeep += isLoss && isShort ? 1 : 0;
 };
 
-const createAccount = ({
+const createServiceState = ({
 	keep,
 	maxAway,
 	size,
-}: LogEvent & {kind: 'promise'}): Account => ({
+}: LogEvent & {kind: 'promise'}): ServiceState => ({
 	keep,
 	maxAway,
 	size,
@@ -116,7 +116,7 @@
 	seenDown: new Set(),
 });
 
-/** Reads a log from its beginning. */
+/** Checks a log from its beginning. */
 export const checkLog = (log: readonly LogEvent[]): Verdict => {
 	const verdict: Verdict = {
 		takes: 0,
@@ -129,12 +129,12 @@
 		losses: 0,
 		lossesUnderKeep: 0,
 	};
-	const accounts = new Map<string, Account>();
+	const states = new Map<string, ServiceState>();
 	const moved = new Set<string>();
 	for (const event of log) {
 		switch (event.kind) {
 			case 'promise': {
-				accounts.set(event.service, createAccount(event));
+				states.set(event.service, createServiceState(event));
 				break;
 			}
 
@@ -156,7 +156,7 @@
 			case 'up':
 			case 'seen-down':
 			case 'seen-up': {
-				applyInstanceEvent(accounts, event, verdict);
+				applyInstanceEvent(states, event, verdict);
 				break;
 			}
 		}
--- a/packages/bench/src/benches/wave/plan.ts
+++ b/packages/bench/src/benches/wave/plan.ts
@@ -1,11 +1,11 @@
-/** How a wave is run in a bench, and what the run gave. */
+/** Plans and outcomes of the waves of the benches. */
 import type {waves} from '@gullstand/core';
 import type {Verdict} from './log-checker.js';
 
-/** How the wave is run. */
+/** How a bench runs a wave. */
 export type Plan = {
 	readonly settings: waves.WaveSettings;
-	/** Baselines move jobs to any worker, also to one whose turn will come. */
+	/** Targets of moves: only finished workers, or any, as in the baselines. */
 	readonly targets: 'done' | 'any';
 	readonly startAt: number;
 	readonly forMs: number;
@@ -15,10 +15,10 @@
 	readonly windowHours?: readonly [from: number, to: number];
 };
 
-/** What a run gave. */
+/** Outcome of a run. */
 export type Outcome = Verdict & {
 	hours: number;
-	/** Time until nine tenths of the instances are done. */
+	/** Hours until nine tenths of the instances are done. */
 	hoursToMost: number;
 	done: number;
 	skipped: number;
