--- a/packages/bench/src/benches/wave/run.ts
+++ b/packages/bench/src/benches/wave/run.ts
@@ -1,4 +1,4 @@
-/** Runs one wave on a fleet: the core decides, this carries it out. */
+/** Runs one wave on a simulated fleet by the decisions of the core. */
 import {budget, waves} from '@gullstand/core';
 import {
 	advanceFleet,
@@ -16,7 +16,7 @@
 const hourMs = 3_600_000;
 const maxWork = 24;
 const drainMs = 20_000;
-const mostShare = 0.9;
+const mostDoneShare = 0.9;
 
 type Run = {
 	readonly fleet: Fleet;
@@ -26,7 +26,7 @@
 	readonly stepMs: number[];
 	readonly indexMs: number;
 	operations: number;
-	/** When nine tenths were done. */
+	/** Time at which nine tenths of the instances were done. */
 	mostDoneAt: number | undefined;
 	bufferCoreMs: number;
 	emptyingCoreMs: number;
@@ -48,7 +48,7 @@
 	}
 };
 
-const applyTake = (run: Run, ids: readonly string[]) => {
+const withdrawInstances = (run: Run, ids: readonly string[]) => {
 	const {fleet, progress, facts} = run;
 	const workers = ids.map((id) => fleet.workers.get(id)!);
 	run.operations += 1;
@@ -92,7 +92,7 @@
 	fleet.log.push({kind: 'given-back', instance: instance.id, services});
 };
 
-const applyGiveBack = ({fleet, progress, facts}: Run, id: string) => {
+const returnInstance = ({fleet, progress, facts}: Run, id: string) => {
 	const worker = fleet.workers.get(id)!;
 	const change = budget.returnInstance({
 		operationId: `back-${id}`,
@@ -110,7 +110,7 @@
 	}
 };
 
-const applyGiveUp = ({fleet, progress}: Run, id: string) => {
+const abandonInstance = ({fleet, progress}: Run, id: string) => {
 	const worker = fleet.workers.get(id)!;
 	for (const [service, ledger] of readLedgers(fleet, worker)) {
 		const write = budget.convertAwayToLost(ledger, id, fleet.now);
@@ -124,7 +124,7 @@
 	}
 };
 
-const pickAny = ({fleet, progress}: Run, from: Worker, cores: number) =>
+const pickAnyWorker = ({fleet, progress}: Run, from: Worker, cores: number) =>
 	fleet.byPool
 		.get(from.instance.pool)!
 		.filter(
@@ -149,7 +149,8 @@
 
 	const ranMs = job.savedMs + fleet.now - job.startedAt;
 	const savedMs = movability === 'checkpoint' ? ranMs : 0;
-	const target = plan.targets === 'any' ? pickAny(run, worker, job.cores) : to;
+	const target =
+		plan.targets === 'any' ? pickAnyWorker(run, worker, job.cores) : to;
 	removeJob(fleet, worker, job, savedMs);
 	job.hasMoved = true;
 	fleet.log.push({kind: 'moved', job: id});
@@ -186,7 +187,7 @@
 		}
 
 		case 'take': {
-			applyTake(run, action.instances);
+			withdrawInstances(run, action.instances);
 			break;
 		}
 
@@ -202,33 +203,33 @@
 		}
 
 		case 'give-back': {
-			applyGiveBack(run, action.instance);
+			returnInstance(run, action.instance);
 			break;
 		}
 
 		case 'give-up': {
-			applyGiveUp(run, action.instance);
+			abandonInstance(run, action.instance);
 			break;
 		}
 
 		case 'finish': {
-			command(run, 'finish');
+			sendCommand(run, 'finish');
 			break;
 		}
 	}
 };
 
-const command = ({fleet, progress}: Run, name: waves.WaveCommand) => {
+const sendCommand = ({fleet, progress}: Run, name: waves.WaveCommand) => {
 	const changed = waves.applyWaveCommand(progress.wave, name, fleet.now);
 	progress.wave = changed.ok ? changed.value : progress.wave;
 };
 
-const keepWindow = (run: Run) => {
+const applyWindow = (run: Run) => {
 	const hours = run.plan.windowHours;
 	if (hours) {
 		const hour = (run.fleet.now / hourMs) % 24;
 		const isOpen = hour >= hours[0] && hour < hours[1];
-		command(run, isOpen ? 'resume' : 'pause');
+		sendCommand(run, isOpen ? 'resume' : 'pause');
 	}
 };
 
@@ -254,7 +255,7 @@
 	}
 };
 
-const countIdle = (run: Run) => {
+const addIdleTime = (run: Run) => {
 	const {fleet, progress, plan} = run;
 	const {tickMs} = plan;
 	for (const domain of progress.activeDomains) {
@@ -295,7 +296,7 @@
 		domains: rows.length,
 		instances: instances.length,
 	};
-	const poolOf = (id: string) => fleet.workers.get(id)!.instance.pool;
+	const getPool = (id: string) => fleet.workers.get(id)!.instance.pool;
 	const reserves = new Map(
 		[...fleet.byPool].map(([pool, workers]) => [
 			pool.replace('pool', 'service'),
@@ -306,7 +307,7 @@
 		]),
 	);
 	const {servicesByPool, ledgers} = fleet;
-	const progress = waves.createProgress(wave, rows, poolOf, servicesByPool);
+	const progress = waves.createProgress(wave, rows, getPool, servicesByPool);
 	const indexMs = performance.now() - begin;
 	return {
 		fleet,
@@ -344,7 +345,7 @@
 	};
 };
 
-/** Warms the fleet up, runs the wave to its end, and judges the log. */
+/** Warms up the fleet, runs the wave to its end and checks the log. */
 export const runWave = (fleet: Fleet, plan: Plan): Outcome => {
 	advanceFleet(fleet, plan.startAt);
 	fleet.figures.repeatedCoreHours = 0;
@@ -359,16 +360,16 @@
 			waves.getPlacementAdvice(progress, id) === 'never' ? 'never' : 'good';
 	}
 
-	command(run, 'start');
+	sendCommand(run, 'start');
 	const latest = plan.startAt + plan.forMs + 24 * hourMs;
 	while (progress.wave.state !== 'done' && fleet.now < latest) {
-		keepWindow(run);
+		applyWindow(run);
 		if (progress.wave.state === 'running' || progress.activeDomains.size > 0) {
 			runSteps(run);
 		}
 
-		countIdle(run);
-		if (progress.counts.done >= mostShare * progress.wave.instances) {
+		addIdleTime(run);
+		if (progress.counts.done >= mostDoneShare * progress.wave.instances) {
 			run.mostDoneAt ??= fleet.now;
 		}
 
--- a/packages/bench/src/benches/wave/scenario.ts
+++ b/packages/bench/src/benches/wave/scenario.ts
@@ -6,7 +6,7 @@
 const hourMs = 60 * minuteMs;
 const dayMs = 24 * hourMs;
 
-/** One deployment. */
+/** Size of one deployment. */
 export type Size = {
 	readonly name: string;
 	readonly workers: number;
@@ -22,8 +22,8 @@
 	readonly load: number;
 };
 
-/** Seven executors a service, one may be away, and one may fail besides. */
-const today = {
+/** Seven executors per service, of which two may be away. */
+const currentSize = {
 	workers: 35,
 	pools: 5,
 	availabilityZones: 3,
@@ -35,12 +35,12 @@
 	load: 0.65,
 } as const;
 
-/** The two deployments of the brief and the planned size. */
+/** The two current deployments and the planned size. */
 export const sizes = {
-	harrowby: {...today, name: 'harrowby', cores: 32},
-	isarwelle: {...today, name: 'isarwelle', cores: 16},
+	harrowby: {...currentSize, name: 'harrowby', cores: 32},
+	isarwelle: {...currentSize, name: 'isarwelle', cores: 16},
 	planned: {
-		...today,
+		...currentSize,
 		name: 'planned',
 		workers: 3300,
 		pools: 151,
@@ -53,7 +53,7 @@
 	},
 } as const satisfies Record<string, Size>;
 
-/** Lays workers out: racks within an availability zone, pools dealt round. */
+/** Creates workers, spread over racks and availability zones. */
 export const createInstances = (size: Size): Instance[] => {
 	const racks = Math.ceil(size.workers / size.perRack);
 	return Array.from({length: size.workers}, (_, index) => {
@@ -72,7 +72,7 @@
 	});
 };
 
-/** One service a pool, with the size's terms. */
+/** Creates the ledgers of one service per pool with the size's terms. */
 export const createLedgers = (
 	size: Size,
 	instances: readonly Instance[],
@@ -95,7 +95,7 @@
 	return ledgers;
 };
 
-/** One failure: who is down, from when, and for how long. */
+/** One failure: the instances that are down, from when and for how long. */
 export type Outage = {
 	readonly at: number;
 	readonly forMs: number;
@@ -111,7 +111,7 @@
 	return instances.filter((each) => getKey(each) === key).map(({id}) => id);
 };
 
-/** A rack, a switch and an availability zone lost at chosen hours. */
+/** Outages of a rack, a switch and an availability zone at given hours. */
 export const createDomainOutages = (
 	size: Size,
 	instances: readonly Instance[],
@@ -136,7 +136,7 @@
 	}));
 };
 
-/** One availability zone after another, lost at regular times. */
+/** Outages of one availability zone after another at regular intervals. */
 export const createZoneOutages = (
 	size: Size,
 	instances: readonly Instance[],
@@ -158,7 +158,7 @@
 	return outages;
 };
 
-/** Single instances: so many fail and so many restart on a day. */
+/** Failures and restarts of single instances at daily rates. */
 export const createDailyOutages = (
 	instances: readonly Instance[],
 	random: Random,
--- a/packages/bench/src/benches/wave/worker.ts
+++ b/packages/bench/src/benches/wave/worker.ts
@@ -1,18 +1,17 @@
-/** One worker of the wave benches: what it runs and whether it is up. */
+/** A worker of the wave benches, with its jobs and outages. */
 import type {Instance} from '@gullstand/core';
 import type {Job} from './jobs.js';
 
-/** One worker. */
 export type Worker = {
 	instance: Instance;
 	readonly services: readonly string[];
 	readonly jobs: Map<string, Job>;
 	used: number;
-	/** Outages that hold it down; it is up at none. */
+	/** Number of current outages; it is up at 0. */
 	outages: number;
 	/** Down for its own maintenance. */
 	isRebooting: boolean;
-	/** Grows with each boot. */
+	/** Incremented at each boot. */
 	incarnation: number;
 	listedIncarnation: number;
 	isListed: boolean;
@@ -21,11 +20,10 @@
 	probesPassFrom: number;
 };
 
-/** True if the worker runs. */
 export const isUp = ({outages, isRebooting}: Worker) =>
 	outages === 0 && !isRebooting;
 
-/** A worker that is up and idle. */
+/** Creates a worker that is up and idle. */
 export const createWorker = (instance: Instance): Worker => ({
 	instance,
 	services: [instance.pool.replace('pool', 'service')],
--- a/packages/bench/src/bin.ts
+++ b/packages/bench/src/bin.ts
@@ -10,7 +10,7 @@
 const parseSeed = (text: string): number => {
 	const seed = Number(text);
 	if (!Number.isSafeInteger(seed)) {
-		throw new InvalidArgumentError('a whole number is needed');
+		throw new InvalidArgumentError('the seed must be a safe integer');
 	}
 
 	return seed;
--- a/packages/bench/src/checkers/change-checkers.ts
+++ b/packages/bench/src/checkers/change-checkers.ts
@@ -1,7 +1,7 @@
-/** Judge of contract changes: what entries answer, probed from outside. */
+/** Checks contract changes by the answers of entries to outside probes. */
 import type {Checker, ProbeRecord} from './records.js';
 
-/** Time within which an accepted change is in force everywhere. */
+/** Time within which an accepted change must be in force on every entry. */
 export const inForceBoundMs = 15_000;
 
 const groupByEntry = (
@@ -17,14 +17,16 @@
 	return groups;
 };
 
-/** An accepted change is in force everywhere in time and never reverts. */
+/** Checks that an accepted change is in force in time and never reverts. */
 export const checkChanges: Checker = ({probes, acceptances}) => {
 	const violations: string[] = [];
 	for (const [entry, group] of groupByEntry(probes)) {
 		let highest = 0;
 		for (const {at, change} of group) {
 			if (change < highest) {
-				violations.push(`${entry}: went back from ${highest} to ${change}`);
+				violations.push(
+					`${entry}: reverted from change ${highest} to ${change}`,
+				);
 			}
 
 			highest = Math.max(highest, change);
@@ -32,7 +34,9 @@
 				(each) => each.at + inForceBoundMs <= at,
 			);
 			if (due && change < due.change) {
-				violations.push(`${entry}: ${change} while ${due.change} is due`);
+				violations.push(
+					`${entry}: follows change ${change} while ${due.change} is due`,
+				);
 			}
 		}
 	}
--- a/packages/bench/src/checkers/checkers.test.ts
+++ b/packages/bench/src/checkers/checkers.test.ts
@@ -1,4 +1,4 @@
-/** Each judge passes a sound record and catches a broken one. */
+/** Each checker accepts correct records and reports broken ones. */
 import * as tap from 'tap';
 import type {Contract, Instance, InstanceState, Service} from '@gullstand/core';
 import {checkedProperties} from '../checkers/checkers.js';
@@ -98,22 +98,22 @@
 const graceful = 'a planned stop cuts off no request';
 const changes = 'an accepted change is in force and never reverts';
 
-const take = row(100, 'a', 'draining');
+const withdrawal = row(100, 'a', 'draining');
 const probe = (at: number, change: number) => ({at, entry: 'e', change});
 
 const table: Row[] = [
-	[budget, 'one taken', {store: [...fleet, take]}, 0],
+	[budget, 'one withdrawn', {store: [...fleet, withdrawal]}, 0],
 	[
 		budget,
-		'two taken',
-		{store: [...fleet, take, row(101, 'b', 'draining')]},
+		'two withdrawn',
+		{store: [...fleet, withdrawal, row(101, 'b', 'draining')]},
 		1,
 	],
 	[
 		budget,
-		'one taken while two are lost',
+		'one withdrawn while two are lost',
 		{
-			store: [...fleet, take],
+			store: [...fleet, withdrawal],
 			losses: [
 				{at: 1, instance: 'b', isLost: true},
 				{at: 2, instance: 'c', isLost: true},
@@ -123,9 +123,9 @@
 	],
 	[
 		budget,
-		'one taken after the lost came back',
+		'one withdrawn after a lost one returned',
 		{
-			store: [...fleet, take],
+			store: [...fleet, withdrawal],
 			losses: [
 				{at: 1, instance: 'b', isLost: true},
 				{at: 2, instance: 'c', isLost: true},
@@ -156,8 +156,8 @@
 		{store: [...fleet, row(5, 'a', 'serving', 'q')]},
 		1,
 	],
-	[whole, 'an own answer', {answers: [answer()]}, 0],
-	[whole, 'a cut answer', {answers: [answer({body: ''})]}, 1],
+	[whole, 'its own answer', {answers: [answer()]}, 0],
+	[whole, 'a truncated answer', {answers: [answer({body: ''})]}, 1],
 	[
 		notRun,
 		'refused and not run',
@@ -166,7 +166,7 @@
 	],
 	[
 		notRun,
-		'told not-run, but ran',
+		'reported as not-run, but ran',
 		{answers: [answer({outcome: 'not-run'})], runs: [run()]},
 		1,
 	],
@@ -175,20 +175,20 @@
 	[
 		leaving,
 		'work within the bound',
-		{store: [...fleet, take], runs: [run({startedAt: 3000})]},
+		{store: [...fleet, withdrawal], runs: [run({startedAt: 3000})]},
 		0,
 	],
 	[
 		leaving,
 		'work after the bound',
-		{store: [...fleet, take], runs: [run({startedAt: 3200})]},
+		{store: [...fleet, withdrawal], runs: [run({startedAt: 3200})]},
 		1,
 	],
 	[
 		leaving,
-		'work after it came back',
+		'work after it returned',
 		{
-			store: [...fleet, take, row(3100, 'a', 'serving')],
+			store: [...fleet, withdrawal, row(3100, 'a', 'serving')],
 			runs: [run({startedAt: 3200})],
 		},
 		0,
@@ -231,14 +231,16 @@
 
 for (const [property, name, records, violations] of table) {
 	tap.t.test(`${property}: ${name}`, async (t) => {
-		const judged = checkedProperties.find((each) => each.property === property);
-		const verdict = judged?.checkRecords({...emptyRecords, ...records});
+		const checked = checkedProperties.find(
+			(each) => each.property === property,
+		);
+		const verdict = checked?.checkRecords({...emptyRecords, ...records});
 		t.equal(verdict?.violations.length, violations);
 		t.ok(verdict && verdict.checked > 0, 'something was checked');
 	});
 }
 
-tap.t.test('every judge is shown to catch', async (t) => {
+tap.t.test('every checker has a passing and a failing case', async (t) => {
 	for (const {property} of checkedProperties) {
 		const counts = table.filter((each) => each[0] === property);
 		t.ok(counts.some((each) => each[3] > 0));
--- a/packages/bench/src/checkers/checkers.ts
+++ b/packages/bench/src/checkers/checkers.ts
@@ -1,17 +1,17 @@
-/** One judge for each line of the brief's "What must always hold". */
+/** The invariants of the system, each with its checker. */
 import * as change from '../checkers/change-checkers.js';
 import * as instance from '../checkers/instance-checkers.js';
 import * as request from '../checkers/request-checkers.js';
 import type {Checker} from './records.js';
 
-/** A property, its judge and the records that it reads. */
+/** A property, its checker and a description of the records it reads. */
 export type CheckedProperty = {
 	readonly property: string;
 	readonly checkRecords: Checker;
 	readonly reads: string;
 };
 
-/** All judges, in the order of the brief. */
+/** All checked properties. */
 export const checkedProperties: readonly CheckedProperty[] = [
 	{
 		property: 'no availability budget is overspent',
--- a/packages/bench/src/checkers/instance-checkers.ts
+++ b/packages/bench/src/checkers/instance-checkers.ts
@@ -1,8 +1,8 @@
-/** Judges of instances: the platform's records against executors' logs. */
+/** Checks instances: the platform's records against executors' logs. */
 import type {Contract, Instance, Service} from '@gullstand/core';
 import type {Checker, Records, RunRecord, StoreRecord} from './records.js';
 
-/** Time after which a leaving upstream receives no new work. */
+/** Time after which a leaving upstream must receive no new work. */
 export const leavingBoundMs = 3000;
 
 type InstanceRecord = Extract<StoreRecord, {kind: 'instance'}>;
@@ -17,8 +17,8 @@
 	readonly lost: Set<string>;
 };
 
-/** Why a fleet may not have an instance of this pool taken away just now. */
-const findOverspend = (fleet: Fleet, pool: string): string | undefined => {
+/** Describes a contract whose availability budget is exceeded in the pool. */
+const findExceededBudget = (fleet: Fleet, pool: string): string | undefined => {
 	const members = [...fleet.instances.values()].filter(
 		(each) => each.pool === pool,
 	);
@@ -65,7 +65,7 @@
 	lost: new Set(),
 });
 
-/** No planned step takes an instance that a budget does not allow. */
+/** Checks that no planned step withdraws an instance beyond a budget. */
 export const checkBudgets: Checker = ({store, losses}) => {
 	const fleet = createFleet();
 	const violations: string[] = [];
@@ -82,15 +82,15 @@
 				? fleet.instances.get(record.value.id)?.state
 				: undefined;
 		applyRecord(fleet, record);
-		const isTake =
+		const isWithdrawal =
 			record.kind === 'instance' &&
 			before === 'serving' &&
 			record.value.state !== 'serving';
-		if (isTake) {
+		if (isWithdrawal) {
 			checked += 1;
-			const overspend = findOverspend(fleet, record.value.pool);
-			if (overspend) {
-				violations.push(`${record.value.id} taken: ${overspend}`);
+			const exceeded = findExceededBudget(fleet, record.value.pool);
+			if (exceeded) {
+				violations.push(`${record.value.id} withdrawn: ${exceeded}`);
 			}
 		}
 	}
@@ -114,14 +114,16 @@
 	previous.pool !== record.value.pool &&
 	previous.state === 'serving';
 
-/** An instance runs requests of the one pool that it belongs to. */
+/** Checks that an instance runs only requests of the pool it belongs to. */
 export const checkOnePool: Checker = (records) => {
 	const rows = listInstanceRecords(records);
 	const violations: string[] = [];
 	const known = new Map<string, Instance>();
 	for (const row of rows) {
 		if (isMovedWhileServing(row, known.get(row.value.id))) {
-			violations.push(`${row.value.id}: moved to ${row.value.pool} undrained`);
+			violations.push(
+				`${row.value.id}: moved to ${row.value.pool} without draining`,
+			);
 		}
 
 		known.set(row.value.id, row.value);
@@ -140,43 +142,43 @@
 	return {checked: rows.length + records.runs.length, violations};
 };
 
-type Leave = {instance: string; from: number; to: number};
+type Absence = {instance: string; from: number; to: number};
 
-/** Times in which an instance is not serving, by the platform's rows. */
-const listLeaves = (rows: readonly InstanceRecord[]): Leave[] => {
-	const leaves: Leave[] = [];
-	const open = new Map<string, Leave>();
+/** Lists the periods in which an instance is not serving. */
+const listAbsences = (rows: readonly InstanceRecord[]): Absence[] => {
+	const absences: Absence[] = [];
+	const open = new Map<string, Absence>();
 	for (const {at, value} of rows) {
-		const leave = open.get(value.id);
-		if (value.state === 'serving' && leave) {
-			leave.to = at;
+		const absence = open.get(value.id);
+		if (value.state === 'serving' && absence) {
+			absence.to = at;
 			open.delete(value.id);
-		} else if (value.state !== 'serving' && !leave) {
+		} else if (value.state !== 'serving' && !absence) {
 			const created = {instance: value.id, from: at, to: Infinity};
 			open.set(value.id, created);
-			leaves.push(created);
+			absences.push(created);
 		}
 	}
 
-	return leaves;
+	return absences;
 };
 
-/** An upstream that is leaving gets no new work after a few seconds. */
+/** Checks that a leaving upstream receives no new work after the bound. */
 export const checkLeaving: Checker = (records) => {
-	const leaves = listLeaves(listInstanceRecords(records));
-	const isLate = (run: RunRecord, leave: Leave) =>
-		run.executor === leave.instance &&
-		run.startedAt > leave.from + leavingBoundMs &&
-		run.startedAt < leave.to;
+	const absences = listAbsences(listInstanceRecords(records));
+	const isLate = (run: RunRecord, absence: Absence) =>
+		run.executor === absence.instance &&
+		run.startedAt > absence.from + leavingBoundMs &&
+		run.startedAt < absence.to;
 	return {
-		checked: leaves.length,
+		checked: absences.length,
 		violations: records.runs
-			.filter((run) => leaves.some((leave) => isLate(run, leave)))
-			.map((run) => `${run.executor}: got ${run.requestId} while leaving`),
+			.filter((run) => absences.some((absence) => isLate(run, absence)))
+			.map((run) => `${run.executor}: received ${run.requestId} while leaving`),
 	};
 };
 
-/** A planned stop cuts off no request in flight. */
+/** Checks that a planned stop interrupts no request in flight. */
 export const checkGracefulStops: Checker = ({reboots, runs}) => ({
 	checked: reboots.length,
 	violations: reboots.flatMap(({at, instance}) =>
@@ -187,6 +189,6 @@
 					run.startedAt <= at &&
 					(run.endedAt ?? Infinity) > at,
 			)
-			.map((run) => `${instance}: rebooted while it ran ${run.requestId}`),
+			.map((run) => `${instance}: rebooted while running ${run.requestId}`),
 	),
 });
--- a/packages/bench/src/checkers/records.ts
+++ b/packages/bench/src/checkers/records.ts
@@ -1,7 +1,6 @@
 /**
- * What judges read: records made outside the product, by executors, callers
- * and the platform. Times are milliseconds of one clock. Nothing here is the
- * product's own word about itself.
+ * Records that the checkers read. They are made outside the system under test,
+ * by executors, callers and the platform. Times are milliseconds of one clock.
  */
 import type {Contract, Instance, Outcome, Service} from '@gullstand/core';
 
@@ -11,53 +10,53 @@
 	readonly requestId: string;
 	/** Pool that the caller's service belongs to. */
 	readonly pool: string;
-	/** Key of a request that may not be repeated. */
+	/** Idempotency key of a non-repeatable request. */
 	readonly key?: string;
 	readonly startedAt: number;
 	/** Absent if the executor was stopped before it ended. */
 	readonly endedAt?: number;
 };
 
-/** What one caller was told. */
+/** What one caller received. */
 export type AnswerRecord = {
 	readonly requestId: string;
 	readonly outcome: Outcome;
-	/** Body that an executor must give to this request, and to no other. */
+	/** Body that only the answer to this request has. */
 	readonly expectedBody: string;
 	readonly body: string;
-	/** Whether an executor's answer, rather than an error, was received. */
+	/** True if the answer is an executor's and not an error. */
 	readonly isExecutorAnswer: boolean;
 };
 
-/** One committed row of the platform's table service. */
+/** One row that was committed to the platform's table service. */
 export type StoreRecord = {readonly at: number} & (
 	| {readonly kind: 'instance'; readonly value: Instance}
 	| {readonly kind: 'contract'; readonly value: Contract}
 	| {readonly kind: 'service'; readonly value: Service}
 );
 
-/** The platform was asked to reboot an instance. */
+/** A request to the platform to reboot an instance. */
 export type RebootRecord = {
 	readonly at: number;
 	readonly instance: string;
 };
 
-/** An instance was lost without a plan, or came back. */
+/** An unplanned loss of an instance, or its return. */
 export type LossRecord = {
 	readonly at: number;
 	readonly instance: string;
 	readonly isLost: boolean;
 };
 
-/** A caller's probe of which change of a contract one entry follows. */
+/** A probe of the contract change that one entry follows. */
 export type ProbeRecord = {
 	readonly at: number;
 	readonly entry: string;
-	/** Number of the change that the entry answered by. */
+	/** Number of the change that the entry applied. */
 	readonly change: number;
 };
 
-/** An operator was told that a change is accepted. */
+/** The acceptance of a change, as an operator received it. */
 export type AcceptanceRecord = {
 	readonly at: number;
 	readonly change: number;
@@ -67,7 +66,7 @@
 export type Records = {
 	readonly runs: readonly RunRecord[];
 	readonly answers: readonly AnswerRecord[];
-	/** In the order of their commits. */
+	/** In commit order. */
 	readonly store: readonly StoreRecord[];
 	readonly reboots: readonly RebootRecord[];
 	readonly losses: readonly LossRecord[];
@@ -75,7 +74,6 @@
 	readonly acceptances: readonly AcceptanceRecord[];
 };
 
-/** No records. */
 export const emptyRecords: Records = {
 	runs: [],
 	answers: [],
@@ -86,12 +84,12 @@
 	acceptances: [],
 };
 
-/** What a judge found. */
+/** Result of a check. */
 export type Verdict = {
-	/** Events that were held against the property. */
+	/** Number of events that were checked. */
 	readonly checked: number;
 	readonly violations: readonly string[];
 };
 
-/** Holds records against one property. */
+/** Checks records against one property. */
 export type Checker = (records: Records) => Verdict;
--- a/packages/bench/src/checkers/request-checkers.ts
+++ b/packages/bench/src/checkers/request-checkers.ts
@@ -1,4 +1,4 @@
-/** Judges of requests: executors' logs against what callers were told. */
+/** Checks requests: executors' logs against the answers of callers. */
 import type {Checker} from './records.js';
 
 const countBy = <Item>(
@@ -16,30 +16,30 @@
 	return counts;
 };
 
-/** A caller receives the whole answer to its own request. */
+/** Checks that a caller receives the complete answer to its own request. */
 export const checkWholeAnswers: Checker = ({answers}) => {
 	const received = answers.filter((each) => each.isExecutorAnswer);
 	return {
 		checked: received.length,
 		violations: received
 			.filter((each) => each.body !== each.expectedBody)
-			.map((each) => `${each.requestId}: another or a cut answer`),
+			.map((each) => `${each.requestId}: wrong or truncated answer`),
 	};
 };
 
-/** A request that its caller was told did not run, truly did not run. */
+/** Checks that no request reported as `not-run` has run. */
 export const checkNotRun: Checker = ({answers, runs}) => {
 	const ran = new Set(runs.map((each) => each.requestId));
-	const told = answers.filter((each) => each.outcome === 'not-run');
+	const notRun = answers.filter((each) => each.outcome === 'not-run');
 	return {
-		checked: told.length,
-		violations: told
+		checked: notRun.length,
+		violations: notRun
 			.filter((each) => ran.has(each.requestId))
-			.map((each) => `${each.requestId}: told not-run, but it ran`),
+			.map((each) => `${each.requestId}: reported as not-run, but it ran`),
 	};
 };
 
-/** What may not be repeated runs at most once. */
+/** Checks that a non-repeatable request runs at most once. */
 export const checkAtMostOnce: Checker = ({runs}) => {
 	const counts = [...countBy(runs, (each) => each.key)];
 	return {
--- a/packages/bench/src/frame/check.test.ts
+++ b/packages/bench/src/frame/check.test.ts
@@ -20,7 +20,7 @@
 	});
 }
 
-tap.t.test('a seed gives the same numbers in [0, 1)', async (t) => {
+tap.t.test('generators of one seed give equal numbers in [0, 1)', async (t) => {
 	const [one, two] = [createRandom(7), createRandom(7)];
 	const drawn = Array.from({length: 1000}, () => one());
 	t.same(
--- a/packages/bench/src/frame/check.ts
+++ b/packages/bench/src/frame/check.ts
@@ -7,7 +7,7 @@
 	'==': (a, b) => a === b,
 };
 
-/** Holds a value against a bound; a value that is no number never holds. */
+/** Checks a value against a bound; a value that is not finite never holds. */
 export const check = (
 	name: string,
 	value: number,
--- a/packages/bench/src/frame/random.ts
+++ b/packages/bench/src/frame/random.ts
@@ -1,10 +1,10 @@
-/** Seeded random numbers, so that a bench repeats exactly. */
+/** Seeded random numbers, which make a bench reproducible. */
 
 /** Source of numbers in [0, 1). */
 export type Random = () => number;
 
 /**
- * Makes a generator from a seed (mulberry32, a public-domain 32-bit
+ * Creates a generator from a seed (mulberry32, a public-domain 32-bit
  * generator by Tommy Ettinger).
  */
 export const createRandom = (seed: number): Random => {
--- a/packages/bench/src/frame/types.ts
+++ b/packages/bench/src/frame/types.ts
@@ -1,22 +1,22 @@
-/** Form of a bench and of its result; docs/design/benches.md. */
+/** Types of a bench and of its result; see docs/design/benches.md. */
 
 /** Settings of one run. */
 export type BenchOptions = {
 	/** Seed of every random choice. */
 	readonly seed: number;
-	/** Ends within 40 s on one core. */
+	/** True if the run must end within 40 s on one core. */
 	readonly short: boolean;
 	/** Prints a line of progress. */
 	readonly log: (line: string) => void;
 };
 
-/** Named figures; units stand in the names. */
+/** Figures by name; the names include the units. */
 export type Figures = Readonly<Record<string, number | string>>;
 
-/** How a value is held against its bound. */
+/** Comparison of a value with its bound. */
 export type Comparison = '<=' | '>=' | '==';
 
-/** One bound that an issue asked for. */
+/** A measured value, its bound and whether it holds. */
 export type Check = {
 	readonly name: string;
 	readonly value: number;
@@ -24,14 +24,13 @@
 	readonly holds: boolean;
 };
 
-/** What a bench measured. */
+/** Result of a bench. */
 export type BenchResult = {
 	readonly figures: Figures;
 	readonly baselines: Readonly<Record<string, Figures>>;
 	readonly checks: readonly Check[];
 };
 
-/** One bench. */
 export type Bench = {
 	readonly name: string;
 	readonly summary: string;
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,2 +1,2 @@
-/** Parts that benches and their tests share. */
+/** Types of benches and of their results. */
 export type * from './frame/types.js';
--- a/packages/bench/src/registry.ts
+++ b/packages/bench/src/registry.ts
@@ -1,10 +1,10 @@
 /** The list of benches; `npm run bench -- list` prints it. */
 import type {Bench} from './frame/types.js';
 
-/** A module that holds one bench. */
+/** A module that exports one bench. */
 export type BenchModule = {readonly bench: Bench};
 
-/** Loads one bench only when it is run. */
+/** Loaders of the benches by name; a bench is loaded only when it runs. */
 export const benches: Readonly<Record<string, () => Promise<BenchModule>>> = {
 	'bad-input': async () => import('./benches/bad-input.js'),
 	faults: async () => import('./benches/faults.js'),
