--- a/packages/bench/src/benches/agreement/clock.ts
+++ b/packages/bench/src/benches/agreement/clock.ts
@@ -1,11 +1,11 @@
-/** A fake clock whose processes are plain async functions. */
+/** A simulated clock for processes that are async functions. */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 
-/** A fake clock, in milliseconds. */
+/** A simulated clock, in milliseconds. */
 export type Clock = {
 	readonly now: () => number;
 	readonly sleep: (ms: number) => Promise<void>;
-	/** Runs until the time, or until `isDone`. */
+	/** Runs timers until the given time or until `isDone` returns true. */
 	readonly run: (until: number, isDone?: () => boolean) => Promise<void>;
 };
 
@@ -54,7 +54,7 @@
 	}
 };
 
-/** Creates a clock that stands at 0. */
+/** Creates a clock at time 0. */
 export const createClock = (): Clock => {
 	const heap: Timer[] = [];
 	let time = 0;
--- a/packages/bench/src/benches/agreement/heartbeat-bytes.ts
+++ b/packages/bench/src/benches/agreement/heartbeat-bytes.ts
@@ -1,4 +1,4 @@
-/** Size of the row by which an entry shows that it lives. */
+/** Size of the heartbeat row of an entry. */
 import type {registration} from '@gullstand/core';
 
 const createRow = (entries: number): registration.Registration => ({
@@ -16,6 +16,6 @@
 	},
 });
 
-/** Bytes of a row whose quorum names so many entries, as JSON. */
+/** Returns the size in bytes of a JSON row with a quorum of `entries`. */
 export const getHeartbeatBytes = (entries: number): number =>
 	JSON.stringify(createRow(entries)).length;
--- a/packages/bench/src/benches/agreement/quantile.ts
+++ b/packages/bench/src/benches/agreement/quantile.ts
@@ -1,6 +1,6 @@
 /** Quantiles of measured values. */
 
-/** The value below which the part `quantile` lies; NaN without values. */
+/** Returns a quantile in [0, 1] of the values; NaN without values. */
 export const getQuantile = (
 	values: readonly number[],
 	quantile: number,
--- a/packages/bench/src/benches/agreement/store.ts
+++ b/packages/bench/src/benches/agreement/store.ts
@@ -1,9 +1,9 @@
-/** Transactional rows and a link to them that is slow or loses replies. */
+/** A transactional store and a link to it with delays and lost replies. */
 import type {StoreWrite} from '@gullstand/core';
 import {drawExponential, type Random} from '../../frame/random.js';
 import type {Clock} from './clock.js';
 
-/** A row as read. */
+/** A row with its version. */
 export type ReadRow<Value> = {readonly value: Value; readonly version: number};
 
 /** Rows by table and key. */
@@ -15,7 +15,7 @@
 	readonly list: <Value>(
 		table: string,
 	) => ReadonlyArray<readonly [string, ReadRow<Value>]>;
-	/** All writes or none. */
+	/** Applies all writes or none; false if a precondition fails. */
 	readonly commit: (writes: ReadonlyArray<StoreWrite<unknown>>) => boolean;
 };
 
@@ -30,7 +30,11 @@
 		return table;
 	};
 
-	const holds = ({table, key, when}: StoreWrite<unknown>): boolean => {
+	const isPreconditionMet = ({
+		table,
+		key,
+		when,
+	}: StoreWrite<unknown>): boolean => {
 		const version = getTable(table).get(key)?.version;
 		return (
 			when.kind === 'any' ||
@@ -44,7 +48,7 @@
 		list: <Value>(table: string) =>
 			[...getTable(table)] as Array<[string, ReadRow<Value>]>,
 		commit(writes) {
-			if (!writes.every((each) => holds(each))) {
+			if (!writes.every((each) => isPreconditionMet(each))) {
 				return false;
 			}
 
@@ -63,26 +67,26 @@
 	};
 };
 
-/** How calls to the store go. */
+/** Delays and faults of calls to the store. */
 export type LinkFaults = {
 	/** Mean time of a call, in milliseconds. */
 	readonly latencyMs: number;
-	/** Part of the calls whose reply is lost after the effect. */
+	/** Share of the calls whose reply is lost after the effect. */
 	readonly lostReplies: number;
 	readonly timeoutMs: number;
 };
 
-/** A reply, or none: the effect is unknown. */
+/** A reply; if not `ok`, the effect is unknown. */
 export type Reply<Value> =
 	{readonly ok: true; readonly value: Value} | {readonly ok: false};
 
-/** Runs an effect at the store and brings its reply, if any. */
+/** Runs an effect at the store and returns its reply, if any. */
 export type Link = <Value>(
 	effect: () => Value,
 	isReachable?: () => boolean,
 ) => Promise<Reply<Value>>;
 
-/** Creates a link; `faults` is read at each call. */
+/** Creates a link; `getFaults` is called for each call. */
 export const createLink =
 	(clock: Clock, random: Random, getFaults: () => LinkFaults): Link =>
 	async (effect, isReachable = () => true) => {
--- a/packages/bench/src/benches/bad-input.ts
+++ b/packages/bench/src/benches/bad-input.ts
@@ -1,7 +1,6 @@
 /**
- * Malformed, oversized and slow requests by the thousand against one daemon:
- * each gets its answer from the error table, memory stays bounded, and good
- * requests are answered meanwhile.
+ * `bench bad-input`: sends malformed, oversized and slow requests to one daemon
+ * and checks their statuses, the memory and the answers to valid requests.
  */
 import {connect} from 'node:net';
 import process from 'node:process';
@@ -15,16 +14,16 @@
 import {sendLoad} from './overhead/send-load.js';
 import {startUpstreams} from './overhead/upstreams.js';
 
-type Shape = {
+type BadRequest = {
 	readonly name: string;
 	readonly text: string;
-	/** Statuses that are right. */
+	/** Expected statuses. */
 	readonly statuses: readonly number[];
 };
 
 const head = `POST /s/quoting/ HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${benchToken}\r\n`;
 
-const shapes: readonly Shape[] = [
+const badRequests: readonly BadRequest[] = [
 	{
 		name: 'both length headers',
 		text: `${head}content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`,
@@ -74,7 +73,7 @@
 
 const statusPattern = /^HTTP\/1\.1 (\d{3}) /v;
 
-/** Sends text; resolves to the answer's status, 0 if there was none. */
+/** Sends raw text; resolves with the status, or 0 without an answer. */
 const sendRaw = async (port: number, text: string): Promise<number> =>
 	new Promise((resolve) => {
 		const socket = connect(port, '127.0.0.1');
@@ -90,13 +89,13 @@
 		socket.write(text, 'latin1');
 	});
 
-const sendShapes = async (port: number, each: number) => {
+const sendBadRequests = async (port: number, each: number) => {
 	const wrong: Record<string, number> = {};
-	const sends = shapes.flatMap((shape) =>
+	const sends = badRequests.flatMap((badRequest) =>
 		Array.from({length: each}, async () => {
-			const status = await sendRaw(port, shape.text);
-			if (!shape.statuses.includes(status)) {
-				const key = `${shape.name}: ${status}`;
+			const status = await sendRaw(port, badRequest.text);
+			if (!badRequest.statuses.includes(status)) {
+				const key = `${badRequest.name}: ${status}`;
 				wrong[key] = (wrong[key] ?? 0) + 1;
 			}
 		}),
@@ -118,7 +117,7 @@
 		peakMb = Math.max(peakMb, process.memoryUsage().rss / bytesPerMb);
 	}, 20);
 	const [wrong, good] = await Promise.all([
-		sendShapes(gateway.port, each),
+		sendBadRequests(gateway.port, each),
 		sendLoad({
 			port: gateway.port,
 			token: benchToken,
@@ -143,7 +142,7 @@
 	const wrongAnswers = Object.values(wrong).reduce((sum, n) => sum + n, 0);
 	return {
 		figures: {
-			badRequests: shapes.length * each,
+			badRequests: badRequests.length * each,
 			wrongAnswers,
 			peakGrowthMb: growthMb,
 			goodAnswers: good.answers,
@@ -161,7 +160,7 @@
 	};
 };
 
-/** `npm run bench -- bad-input`. */
+/** The bad-input bench. */
 export const bench: Bench = {
 	name: 'bad-input',
 	summary: 'malformed, oversized and slow requests beside good ones',
--- a/packages/bench/src/benches/calendar.ts
+++ b/packages/bench/src/benches/calendar.ts
@@ -1,7 +1,6 @@
 /**
- * `bench calendar`: the whole fleet of the planned size maintained within 7
- * weeks under its budgets, on ordinary days with 20 failures and 170 restarts,
- * and with a rack, a switch and a zone lost. Source: issue 5, item 5.
+ * `bench calendar`: maintenance of the planned fleet within seven weeks, with
+ * 20 failures and 170 restarts a day and a rack, a switch and a zone lost.
  */
 import {waves} from '@gullstand/core';
 import {check} from '../frame/check.js';
@@ -23,9 +22,9 @@
 const weeksAllowed = 7;
 const daysAllowed = 7 * weeksAllowed;
 const warmUpMs = 12 * hourMs;
-/** Hours after the start in which a rack, a switch and a zone are lost. */
+/** Hours in which a rack, a switch and an availability zone are lost. */
 const outageHours = [13, 25, 37] as const;
-/** Part of the fleet that a short run takes, with as many failures less. */
+/** Divisor of the fleet and of its failures in a short run. */
 const shortPart = 10;
 
 const base: Plan = {
@@ -36,7 +35,7 @@
 	tickMs: 60_000,
 };
 
-/** All day, and only in the four hours of each night in which calls are few. */
+/** Plans with and without a nightly maintenance window. */
 const plans: Readonly<Record<string, Plan>> = {
 	allDay: base,
 	nights: {...base, windowHours: [0, 4]},
@@ -84,7 +83,7 @@
 	return {figures, baselines, checks};
 };
 
-/** The bench. */
+/** The calendar bench. */
 export const bench: Bench = {
 	name: 'calendar',
 	summary: 'the whole fleet maintained within seven weeks',
--- a/packages/bench/src/benches/entry-cost.ts
+++ b/packages/bench/src/benches/entry-cost.ts
@@ -1,7 +1,7 @@
 /**
- * What an entry of the jobs side costs while nobody calls, and how long its
- * shards stay without an owner once entries are cut off: real daemons over one
- * store in memory, at several sizes of the fleet.
+ * `bench entry-cost`: cost of an idle entry of the jobs side, and the time
+ * until shards have an owner again after entries are cut off. Runs real daemons
+ * over one in-memory store, at several fleet sizes.
  */
 import {Buffer} from 'node:buffer';
 import {performance} from 'node:perf_hooks';
@@ -15,29 +15,29 @@
 import {createRandom, type Random} from '../frame/random.js';
 import type {Bench, BenchOptions, Check, Figures} from '../frame/types.js';
 
-/** The most that an idle entry may take, as a share of a core. */
+/** Maximum share of a core that an idle entry may use. */
 const maxCore = 0.015;
 
 const maxBytesPerSecond = 8 * 1024;
 
-/** From the cut to owners for all shards: no longer than with heartbeats of all. */
+/** Maximum time from the cut until all shards have an owner. */
 const maxTakeoverMs = 2600;
 
-/** A takeover that takes longer is given up. */
+/** Time limit of the wait for a takeover. */
 const giveUpMs = 40_000;
 
-const settleMs = 12_000;
+const warmUpMs = 12_000;
 
 const pollMs = 20;
 
-/** Headers of a request and of its answer. */
+/** Size of the headers of a request and of its answer. */
 const callBytes = 300;
 
 const serviceNames = ['s0', 's1', 's2', 's3'] as const;
 
 const shardCount = serviceNames.length + 1;
 
-/** Entries with a large machine, as a part of all. */
+/** Share of the entries that have a large machine. */
 const largeShare = 0.15;
 
 const large = {cores: 1.35, linkMbps: 140};
@@ -67,7 +67,7 @@
 	maxBodyBytes: 100_000,
 };
 
-/** What one daemon has done at the store. */
+/** Store usage of one daemon. */
 type Usage = {calls: number; bytes: number; isCutOff: boolean};
 
 type Entry = {
@@ -76,7 +76,7 @@
 	readonly daemon: daemon.JobDaemon;
 };
 
-/** A store that counts, and that answers nothing once the entry is cut off. */
+/** Meters a store, whose calls time out once the entry is cut off. */
 const meterStore = (store: ports.RowStore, usage: Usage): ports.RowStore => {
 	const meter = async <Value>(
 		sent: unknown,
@@ -157,7 +157,7 @@
 	return {store, entries};
 };
 
-/** Entry that holds each shard, by the rows of the leases. */
+/** Reads the holder of each shard from the lease rows. */
 const readHolders = (
 	store: ports.MemoryRowStore,
 ): ReadonlyMap<string, string> =>
@@ -168,8 +168,8 @@
 		}),
 	);
 
-/** Entries that have written a heartbeat between two moments. */
-const listBeating = async (
+/** Lists the entries that write a heartbeat within a time. */
+const listSendingHeartbeats = async (
 	store: ports.MemoryRowStore,
 	forMs: number,
 ): Promise<ReadonlySet<string>> => {
@@ -184,7 +184,7 @@
 	);
 };
 
-/** Time until entries that are not cut off hold all shards. */
+/** Measures the time until the remaining entries hold all shards. */
 const measureTakeover = async (
 	store: ports.MemoryRowStore,
 	entries: readonly Entry[],
@@ -208,16 +208,16 @@
 };
 
 type Cost = {
-	/** Of one entry, the store in memory included, as a share of a core. */
+	/** Share of a core per entry, including the in-memory store. */
 	readonly core: number;
-	/** Of an entry that holds nothing and sends no heartbeats, on average. */
+	/** Mean of the entries that hold no shard and send no heartbeats. */
 	readonly callsPerSecond: number;
 	readonly bytesPerSecond: number;
 	readonly startCalls: number;
 	readonly beating: number;
-	/** All that hold shards or send heartbeats are cut off at once. */
+	/** Time after all entries with shards or heartbeats are cut off at once. */
 	readonly takeoverMs: number;
-	/** All but one entry are. */
+	/** Time after all entries but one are cut off. */
 	readonly lastTakeoverMs: number;
 };
 
@@ -229,12 +229,12 @@
 	const {store, entries} = await createFleet(count, random);
 	const startCalls =
 		entries.reduce((sum, {usage}) => sum + usage.calls, 0) / count;
-	await wait(settleMs);
+	await wait(warmUpMs);
 	const before = new Map(
 		entries.map(({name, usage}) => [name, {...usage}] as const),
 	);
 	const processor = process.cpuUsage();
-	const beating = await listBeating(store, seconds * 1000);
+	const beating = await listSendingHeartbeats(store, seconds * 1000);
 	const {user, system} = process.cpuUsage(processor);
 	const idle = entries.filter(({name}) => !beating.has(name));
 	const measured = idle.length > 0 ? idle : entries;
@@ -253,14 +253,14 @@
 		startCalls,
 		beating: beating.size,
 	};
-	// Where all send heartbeats, one is left.
+	// If all entries send heartbeats, one of them is left.
 	const last = idle.at(-1) ?? entries.at(-1);
 	const takeoverMs = await measureTakeover(
 		store,
 		entries,
 		(name) => beating.has(name) && name !== last?.name,
 	);
-	await wait(settleMs);
+	await wait(warmUpMs);
 	const lastTakeoverMs = await measureTakeover(
 		store,
 		entries,
@@ -308,7 +308,7 @@
 	};
 };
 
-/** The bench. */
+/** The entry-cost bench. */
 export const bench: Bench = {
 	name: 'entry-cost',
 	summary: 'what an idle entry of the jobs side costs in fleets of any size',
--- a/packages/bench/src/benches/faults.ts
+++ b/packages/bench/src/benches/faults.ts
@@ -1,7 +1,7 @@
 /**
- * Bench `faults`: nine entries in front of nine executors over real sockets
- * while executors are slow, reset, cut answers, refuse, go silent on old
- * connections or are lost by availability zone. Bounds: issue 3.
+ * `bench faults`: nine entries and nine executors over real sockets while
+ * executors are slow, reset connections, truncate answers, refuse requests,
+ * hang on old connections or are lost with their availability zone.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {check} from '../frame/check.js';
@@ -22,48 +22,48 @@
 	serviceSigma: 0.4,
 } as const;
 
-/** Requests whose answers issue 3 wants checked. */
+/** Required number of requests whose answers are checked. */
 const wantedRequests = 200_000;
 
 type Plan = {
 	readonly ratePerSecond: number;
 	readonly faultMs: number;
-	readonly healedMs: number;
+	readonly faultFreeMs: number;
 };
 
 const fullPlan: Plan = {
 	ratePerSecond: 1000,
 	faultMs: 13_000,
-	healedMs: 12_000,
+	faultFreeMs: 12_000,
 };
-const shortPlan: Plan = {ratePerSecond: 450, faultMs: 1500, healedMs: 1000};
-const baselinePlan: Plan = {ratePerSecond: 450, faultMs: 700, healedMs: 300};
+const shortPlan: Plan = {ratePerSecond: 450, faultMs: 1500, faultFreeMs: 1000};
+const baselinePlan: Plan = {ratePerSecond: 450, faultMs: 700, faultFreeMs: 300};
 
-/** What one run of all phases gave. */
+/** Result of one run of all phases. */
 type Run = {
 	readonly samples: load.Sample[];
 	readonly executors: readonly ExecutorReport[];
 	readonly stats: {requests: number; attempts: number; probes: number};
-	readonly silencedAt: number;
+	readonly hangStartedAt: number;
 };
 
-type Bed = {
+type Setup = {
 	readonly entries: readonly entryKinds.Entry[];
 	readonly fleet: Fleet;
 	readonly draw: Random;
 };
 
 const runPhase = async (
-	{entries, fleet, draw}: Bed,
+	{entries, fleet, draw}: Setup,
 	phase: Phase,
 	plan: Plan,
 ): Promise<load.Sample[]> => {
-	const stretch = {
+	const loadPhase = {
 		phase: phase.name,
 		ratePerSecond: plan.ratePerSecond * phase.load,
-		durationMs: plan.faultMs + plan.healedMs,
+		durationMs: plan.faultMs + plan.faultFreeMs,
 	};
-	const samples = load.runLoad(entries, stretch, draw);
+	const samples = load.runLoad(entries, loadPhase, draw);
 	await fleet.run({kind: 'apply', phase: phase.name});
 	await sleep(plan.faultMs);
 	await fleet.run({kind: 'heal'});
@@ -94,17 +94,18 @@
 		createEntry(fleet.executors, draw),
 	);
 	const samples: load.Sample[] = [];
-	let silencedAt = 0;
+	let hangStartedAt = 0;
 	for (const phase of phases) {
 		log(`phase ${phase.name}`);
-		silencedAt = phase.name === 'silentOld' ? performance.now() : silencedAt;
+		hangStartedAt =
+			phase.name === 'silentOld' ? performance.now() : hangStartedAt;
 		samples.push(...(await runPhase({entries, fleet, draw}, phase, plan)));
 	}
 
 	await Promise.all(entries.map(async (each) => each.close(load.deadlineMs)));
 	const executors = await fleet.run({kind: 'report'});
 	await fleet.run({kind: 'stop'});
-	return {samples, executors, stats: sumStats(entries), silencedAt};
+	return {samples, executors, stats: sumStats(entries), hangStartedAt};
 };
 
 const getOnTimeShare = (samples: readonly load.Sample[]): number => {
@@ -115,12 +116,12 @@
 	return onTime.length / repeatable.length;
 };
 
-/** Time from the silence to the end of the last request lost to it. */
-const getRecoveryMs = ({samples, executors, silencedAt}: Run): number => {
+/** Time from the hang to the end of the last request that it affected. */
+const getRecoveryMs = ({samples, executors, hangStartedAt}: Run): number => {
 	const swallowed = new Set(executors.flatMap((each) => each.swallowed));
 	const ends = samples
 		.filter((each) => swallowed.has(each.id))
-		.map((each) => each.endedAt - silencedAt);
+		.map((each) => each.endedAt - hangStartedAt);
 	return ends.length === 0 ? Number.NaN : Math.max(...ends);
 };
 
@@ -230,7 +231,7 @@
 	};
 };
 
-/** The bench. */
+/** The faults bench. */
 export const bench: Bench = {
 	name: 'faults',
 	summary: 'answers on time while executors fail, over real sockets',
--- a/packages/bench/src/benches/faults/entries.ts
+++ b/packages/bench/src/benches/faults/entries.ts
@@ -1,4 +1,4 @@
-/** The entries under test, and the plain ones they are held against. */
+/** The entries under test and the baseline entries. */
 import {
 	defaultUpstreamConfig,
 	upstream,
@@ -10,10 +10,10 @@
 import type {Random} from '../../frame/random.js';
 import type {ExecutorReport} from './fleet-messages.js';
 
-/** One entry's path to the service. */
+/** The part of an upstream that the bench uses. */
 export type Entry = Pick<upstream.Upstream, 'dispatch' | 'getStats' | 'close'>;
 
-/** Executors, each with a place in an availability zone. */
+/** Executors with their availability zones. */
 export type Executors = readonly ExecutorReport[];
 
 const service: core.Service = {
@@ -28,7 +28,7 @@
 
 const now = () => performance.now();
 
-/** An entry as the daemon builds it. */
+/** Creates an entry with the upstream of the daemon. */
 export const createEntry = (executors: Executors, random: Random): Entry => {
 	const path = upstream.createUpstream({
 		service,
@@ -51,7 +51,7 @@
 	retiredConnections: 0,
 });
 
-/** Round robin over undici pools: no health, no retry, no probe. */
+/** Creates a baseline entry: round robin, no health checks, no retries. */
 export const createPlainEntry = (executors: Executors): Entry => {
 	const pools = executors.map(
 		({address}) =>
@@ -63,14 +63,14 @@
 	const stats = emptyStats();
 
 	const dispatch: Entry['dispatch'] = async (req) => {
-		const turn = stats.requests % pools.length;
+		const index = stats.requests % pools.length;
 		stats.requests += 1;
 		stats.attempts += 1;
 		const signal = AbortSignal.timeout(
 			Math.max(1, Math.ceil(req.deadline - now())),
 		);
 		try {
-			const res = await pools[turn]!.request({
+			const res = await pools[index]!.request({
 				method: req.method,
 				path: req.path,
 				headers: req.headers as Record<string, string>,
@@ -79,7 +79,7 @@
 			});
 			const body = new Uint8Array(await res.body.arrayBuffer());
 			const {statusCode: status, headers} = res;
-			const {id} = executors[turn]!;
+			const {id} = executors[index]!;
 			return {
 				kind: 'answer',
 				outcome: 'ran',
--- a/packages/bench/src/benches/faults/executor-worker.ts
+++ b/packages/bench/src/benches/faults/executor-worker.ts
@@ -1,4 +1,4 @@
-/** The executors of the bench in a thread of their own. */
+/** Worker thread that runs the executors of the bench. */
 import {parentPort, workerData} from 'node:worker_threads';
 import {executor} from '@gullstand/stand-in';
 import {createRandom, drawLogNormal} from '../../frame/random.js';
--- a/packages/bench/src/benches/faults/fleet-messages.ts
+++ b/packages/bench/src/benches/faults/fleet-messages.ts
@@ -1,6 +1,6 @@
-/** Messages between the bench and the thread of its executors. */
+/** Messages between the bench and its executor thread. */
 
-/** What the executors are made from. */
+/** Settings of the executors. */
 export type FleetSettings = {
 	readonly seed: number;
 	readonly executors: number;
@@ -10,7 +10,7 @@
 	readonly serviceSigma: number;
 };
 
-/** One command; each is answered once, in order. */
+/** A command; each is answered once, in order. */
 export type FleetCommand =
 	| {readonly kind: 'apply'; readonly phase: string}
 	| {readonly kind: 'heal'}
@@ -26,5 +26,5 @@
 	readonly swallowed: readonly string[];
 };
 
-/** Answer to a command; reports come with `report` and at the start. */
+/** Answer to a command; has reports only for `report` and at the start. */
 export type FleetAnswer = {readonly executors: readonly ExecutorReport[]};
--- a/packages/bench/src/benches/faults/fleet.ts
+++ b/packages/bench/src/benches/faults/fleet.ts
@@ -1,4 +1,4 @@
-/** Starts the thread of the executors and talks to it. */
+/** Starts the executor thread and sends it commands. */
 import {once} from 'node:events';
 import {Worker} from 'node:worker_threads';
 import type {
@@ -8,14 +8,14 @@
 	FleetSettings,
 } from './fleet-messages.js';
 
-/** The executors as the bench sees them. */
+/** Handle of the executor thread. */
 export type Fleet = {
 	readonly executors: readonly ExecutorReport[];
-	/** Runs a command; resolves with what it reports. */
+	/** Runs a command; resolves with its reports. */
 	readonly run: (command: FleetCommand) => Promise<readonly ExecutorReport[]>;
 };
 
-/** Starts the executors. Commands are sent one at a time. */
+/** Starts the executors. Commands must be sent one at a time. */
 export const startFleet = async (settings: FleetSettings): Promise<Fleet> => {
 	const url = new URL('executor-worker.js', import.meta.url);
 	const worker = new Worker(url, {workerData: settings});
--- a/packages/bench/src/benches/faults/load.ts
+++ b/packages/bench/src/benches/faults/load.ts
@@ -1,4 +1,4 @@
-/** Callers: requests at a steady rate whose answers prove whose they are. */
+/** Load of callers whose answers can be matched to their requests. */
 import {Buffer} from 'node:buffer';
 import {Readable} from 'node:stream';
 import {buffer} from 'node:stream/consumers';
@@ -8,7 +8,7 @@
 import * as random from '../../frame/random.js';
 import type {Entry} from './entries.js';
 
-/** What became of one request. */
+/** Result of one request. */
 export type Sample = {
 	readonly id: string;
 	readonly phase: string;
@@ -16,7 +16,7 @@
 	readonly endedAt: number;
 	readonly durationMs: number;
 	readonly outcome: upstreamTypes.AttemptResult['outcome'];
-	/** `ok`, an error kind, or what is wrong with the answer. */
+	/** `ok`, an error kind or a fault of the answer. */
 	readonly result: string;
 };
 
@@ -28,7 +28,7 @@
 const largeShare = 0.002;
 const largeBytes = 400_000;
 
-/** What a partial or crossed answer is called. */
+/** Result of a partial answer or of the answer to another request. */
 export const wrongAnswer = 'wrong-answer';
 
 const readBody = async (
@@ -45,7 +45,7 @@
 	}
 };
 
-const judge = async (
+const classify = async (
 	result: upstreamTypes.AttemptResult,
 	wanted: Buffer,
 ): Promise<string> => {
@@ -66,8 +66,8 @@
 };
 
 /**
- * Dispatches; while no slot is free the request waits here until near its
- * deadline, as it would in the admission queue before the upstream.
+ * Dispatches a request. While no slot is free, retries until near the deadline,
+ * in place of the admission queue before the upstream.
  */
 const dispatchAdmitted = async (
 	entry: Entry,
@@ -109,7 +109,7 @@
 		deadline: startedAt + deadlineMs,
 	});
 	const wanted = answers.createAnswer(id, body, bytes);
-	const judged = await judge(result, wanted);
+	const classified = await classify(result, wanted);
 	const endedAt = performance.now();
 	return {
 		id,
@@ -118,11 +118,11 @@
 		endedAt,
 		durationMs: endedAt - startedAt,
 		outcome: result.outcome,
-		result: judged,
+		result: classified,
 	};
 };
 
-/** Settings of one stretch of load. */
+/** Rate and duration of one phase of load. */
 export type LoadPhase = {
 	readonly phase: string;
 	readonly ratePerSecond: number;
@@ -130,8 +130,8 @@
 };
 
 /**
- * Open load: requests start at their times whether or not earlier ones have
- * ended. Resolves once all have ended.
+ * Runs an open-loop load: requests start on schedule whether or not earlier
+ * ones have ended. Resolves once all have ended.
  */
 export const runLoad = async (
 	entries: readonly Entry[],
--- a/packages/bench/src/benches/faults/phases.ts
+++ b/packages/bench/src/benches/faults/phases.ts
@@ -1,10 +1,10 @@
-/** The faults of the bench, one after another. */
+/** The phases of the bench, each with one fault. */
 import type {executor} from '@gullstand/stand-in';
 
-/** One fault, from its start to its healing. */
+/** A phase with one fault. */
 export type Phase = {
 	readonly name: string;
-	/** Share of the usual rate. */
+	/** Load as a factor of the full rate. */
 	readonly load: number;
 	readonly apply: (
 		executors: readonly executor.StandInExecutor[],
@@ -34,11 +34,11 @@
 		);
 	};
 
-// A slow executor takes longer than the deadline for every request.
+// A slow executor exceeds the deadline of every request.
 const slow = {kind: 'slow', factor: 200} as const;
 const reset = {kind: 'reset', share: 0.5} as const;
 
-/** Every fault of issue 3, and the last executor standing. */
+/** All phases; in the last one a single executor is left. */
 export const phases: readonly Phase[] = [
 	{name: 'none', load: 1, apply: async () => undefined},
 	{name: 'slow', load: 1, apply: setFirst(slow, slow)},
@@ -66,6 +66,6 @@
 	},
 ];
 
-/** Ends every fault. */
+/** Clears the faults of all executors. */
 export const clearFaults: Phase['apply'] = async (executors) =>
 	set(executors, {kind: 'none'});
--- a/packages/bench/src/benches/heartbeat.ts
+++ b/packages/bench/src/benches/heartbeat.ts
@@ -1,6 +1,6 @@
 /**
- * One heartbeat a daemon against one for each pool and shard: issue 4,
- * item 4. Messages are heartbeat writes and the reads that watch them.
+ * `bench heartbeat`: one heartbeat per daemon against one for each pool and
+ * shard. Messages are heartbeat writes and the reads that monitor them.
  */
 import * as core from '@gullstand/core';
 import {check} from '../frame/check.js';
@@ -10,11 +10,11 @@
 import {getQuantile} from './agreement/quantile.js';
 
 type Scheme =
-	/** One row a daemon, watched by its three neighbours: kept. */
+	/** One row per daemon, read by the monitoring peers; as in the daemon. */
 	| 'shared'
-	/** One row a daemon, watched by every daemon. */
+	/** One row per daemon, read by every daemon. */
 	| 'shared-by-all'
-	/** One row for each pool of a daemon and one for each shard. */
+	/** One row per pool of a daemon and one per shard. */
 	| 'each';
 
 type Fleet = {
@@ -25,13 +25,13 @@
 
 const maxGapPeriods = 5;
 
-/** Today's size and the planned one. */
+/** The current and the planned size. */
 const sizes = [
 	{daemons: 9, pools: 5},
 	{daemons: 243, pools: 40},
 ] as const;
 
-/** Rows that are kept alive: by daemon, or by daemon and pool, and by shard. */
+/** Lists the keys of the heartbeat rows. */
 const listRows = ({daemons, pools, scheme}: Fleet): readonly string[] => {
 	const names = Array.from({length: daemons}, (_, index) => `e${index}`);
 	if (scheme !== 'each') {
@@ -48,13 +48,17 @@
 	];
 };
 
-type Watched = {readonly key: string; readonly owner: string; phase: number};
+type HeartbeatRow = {
+	readonly key: string;
+	readonly owner: string;
+	phase: number;
+};
 
 const createRows = (
 	fleet: Fleet,
 	heartbeatMs: number,
 	random: Random,
-): readonly Watched[] =>
+): readonly HeartbeatRow[] =>
 	listRows(fleet).map((key) => ({
 		key,
 		owner: key.split('/')[0]!,
@@ -62,19 +66,19 @@
 	}));
 
 type Crash = {
-	readonly rows: readonly Watched[];
+	readonly rows: readonly HeartbeatRow[];
 	readonly at: number;
-	/** When the watcher reads first. */
+	/** Time of the first read by the monitoring daemon. */
 	readonly firstReadAt: number;
 };
 
-/** Time from a crash until a watcher calls every row of the daemon silent. */
+/** Measures the time from a crash until all rows of the daemon expire. */
 const measureDetection = (
 	{rows, at: crashAt, firstReadAt}: Crash,
 	{heartbeatMs, watchMs, leaseMs}: core.periods.AgreementPeriods,
 ): number => {
 	const left = new Set(rows);
-	let seen = core.observation.emptyObservations;
+	let observations = core.observation.emptyObservations;
 	for (let at = firstReadAt; ; at += watchMs) {
 		const versions = new Map(
 			[...left].map(({key, phase}) => [
@@ -83,10 +87,18 @@
 			]),
 		);
 		const maxGapMs = maxGapPeriods * watchMs;
-		seen = core.observation.observeVersions(seen, versions, maxGapMs, at);
+		observations = core.observation.observeVersions(
+			observations,
+			versions,
+			maxGapMs,
+			at,
+		);
 		for (const row of left) {
 			const version = versions.get(row.key)!;
-			if (core.observation.getUnchangedMs(seen, row.key, version) >= leaseMs) {
+			if (
+				core.observation.getUnchangedMs(observations, row.key, version) >=
+				leaseMs
+			) {
 				left.delete(row);
 			}
 		}
@@ -97,7 +109,7 @@
 	}
 };
 
-/** Rows that one daemon reads each time, and the calls for them. */
+/** Returns the rows that one daemon reads per period, and the calls. */
 const getWatch = ({scheme, daemons}: Fleet, rows: number) => {
 	const rowsInOneRead = 500;
 	const watched =
@@ -128,7 +140,7 @@
 	const writes = rows.length / (heartbeatMs / 1000);
 	const {watched, calls} = getWatch(fleet, rows.length);
 	const reads = (fleet.daemons * calls) / (watchMs / 1000);
-	// A row for one pool of a daemon names no quorum.
+	// A row for one pool of a daemon has no quorum.
 	const isEach = fleet.scheme === 'each';
 	const rowBytes = getHeartbeatBytes(isEach ? 0 : fleet.daemons);
 	const bytes =
@@ -163,7 +175,7 @@
 
 const maxBytesPerSecond = 8192;
 
-/** Writes that the platform stands: several hundred a second. */
+/** Maximum rate of heartbeat writes that the platform allows. */
 const maxWritesPerSecond = 300;
 
 /** The heartbeat bench. */
--- a/packages/bench/src/benches/idle.ts
+++ b/packages/bench/src/benches/idle.ts
@@ -1,7 +1,6 @@
 /**
- * What a daemon costs while nobody calls: processor time, heap and bytes a
- * second for control, by real daemons over sockets on a platform in memory,
- * at several sizes; slopes for each entry, pool and instance.
+ * `bench idle`: processor time, heap and control traffic of idle daemons over
+ * sockets on an in-memory platform, extrapolated from several fleet sizes.
  */
 import diagnostics from 'node:diagnostics_channel';
 import type {Socket} from 'node:net';
@@ -22,9 +21,9 @@
 	readonly instances: number;
 };
 
-/** Costs of one daemon; the shares of all daemons are even. */
+/** Mean costs of one daemon. */
 type Cost = {
-	/** Processor time as a share of one core, the platform's included. */
+	/** Share of one core, including the in-memory platform. */
 	readonly core: number;
 	readonly heapMb: number;
 	readonly storeReadsPerSecond: number;
@@ -39,13 +38,13 @@
 
 const maxBytesPerSecond = 8 * 1024;
 
-const settleMs = 6000;
+const warmUpMs = 6000;
 
 const bytesPerMb = 1_048_576;
 
 const rowsPerCommit = 50;
 
-/** The sizes of today, and the planned number of pools and instances. */
+/** The current size, on which the measured sizes are based. */
 const today: Size = {entries: 9, pools: 5, instances: 75};
 
 const few: Size = {...today, entries: 3};
@@ -58,7 +57,7 @@
 	manyInstances: {...few, instances: 3300},
 } as const;
 
-/** Slopes reach from today's size to the planned one. */
+/** Size to which the costs are extrapolated. */
 const planned: Size = {entries: 243, pools: 151, instances: 3300};
 
 const now = () => performance.now();
@@ -170,7 +169,7 @@
 	return created;
 };
 
-/** Bytes of all sockets that this process has opened, both ways. */
+/** Counts the bytes of all client sockets of this process, both ways. */
 const createSocketMeter = () => {
 	const sockets: Socket[] = [];
 	const onSocket = (message: unknown) => {
@@ -190,7 +189,7 @@
 	};
 };
 
-/** Heap in use once garbage is gone. */
+/** Returns the heap in use after a garbage collection. */
 const getHeapBytes = (): number => {
 	v8.setFlagsFromString('--expose_gc');
 	(vm.runInNewContext('gc') as () => void)();
@@ -224,7 +223,7 @@
 		daemons.push(await startEntry(`e${index}`, shared, list));
 	}
 
-	await wait(settleMs);
+	await wait(warmUpMs);
 	const storeBefore = {...meter};
 	const peersBefore = sockets.getBytes();
 	const cpuBefore = process.cpuUsage();
@@ -267,13 +266,13 @@
 
 	const get = (name: keyof typeof sizes): Cost => costs.get(name)!;
 	const extrapolate = (value: (cost: Cost) => number): number => {
-		// Noise may make a slope negative; none is taken as below 0.
+		// Noise may make a slope negative; it is limited to 0.
 		const getSlope = (
 			name: keyof typeof sizes,
 			from: keyof typeof sizes,
 			count: number,
 		): number => Math.max(0, (value(get(name)) - value(get(from))) / count);
-		// A daemon controls its part of the pools, whatever their number.
+		// The pools are divided evenly among the daemons.
 		const morePools = (sizes.manyPools.pools - few.pools) / few.entries;
 		const moreInstances = sizes.manyInstances.instances - few.instances;
 		const moreEntries = sizes.manyEntries.entries - today.entries;
@@ -309,7 +308,7 @@
 	};
 };
 
-/** `npm run bench -- idle`. */
+/** The idle bench. */
 export const bench: Bench = {
 	name: 'idle',
 	summary: 'what control costs a daemon while nobody calls',
--- a/packages/bench/src/benches/limits.ts
+++ b/packages/bench/src/benches/limits.ts
@@ -1,6 +1,6 @@
 /**
- * `bench limits`: ways to share the slots of executors between entries, on
- * even, skewed and bursty load with 2 of 9 entries lost and replaced.
+ * `bench limits`: strategies to share the slots of executors between entries,
+ * under even, skewed and bursty load with 2 of 9 entries lost and replaced.
  */
 import * as core from '@gullstand/core';
 import {check} from '../frame/check.js';
@@ -8,34 +8,34 @@
 import {createCreditStrategy} from './limits/credit-strategy.js';
 import * as loads from './limits/load.js';
 import * as settings from './limits/settings.js';
-import * as ways from './limits/simple-strategies.js';
+import * as strategies from './limits/simple-strategies.js';
 import * as simulations from './limits/simulation.js';
 
 const runMs = 60_000;
 const shortRunMs = 8000;
 const drainMs = 3000;
 
-const createWays = {
-	omniscient: ways.createOmniscient,
-	clairvoyant: ways.createClairvoyant,
-	static: ways.createStatic,
-	'power-of-two': ways.createPowerOfTwoLocal,
-	'power-of-two-peers': ways.createPowerOfTwoPeers,
+const strategyFactories = {
+	omniscient: strategies.createOmniscient,
+	clairvoyant: strategies.createClairvoyant,
+	static: strategies.createStatic,
+	'power-of-two': strategies.createPowerOfTwoLocal,
+	'power-of-two-peers': strategies.createPowerOfTwoPeers,
 	credits: createCreditStrategy(core.creditMessages.defaultSettings),
 } as const;
 
-type WayName = keyof typeof createWays;
+type StrategyName = keyof typeof strategyFactories;
 
 /**
- * How two entries are lost. Of a process that was `killed` its host closes all
- * connections and refuses new ones; from a `silent` one nothing comes.
+ * How two entries are lost. The host of a `killed` process closes its
+ * connections and refuses new ones; a `silent` process stops responding.
  */
 type Loss = 'none' | 'killed' | 'silent';
 
-/** Two entries die; the list shows it and two new ones after its lag. */
+/** Schedules the loss of two entries and their later replacement. */
 const scheduleLoss = (
 	simulation: simulations.Simulation,
-	way: ways.Strategy,
+	strategy: strategies.Strategy,
 	first: readonly string[],
 	{atMs, loss}: {atMs: number; loss: Loss},
 ) => {
@@ -46,7 +46,7 @@
 	simulations.schedule(simulation, atMs, () => {
 		for (const entry of lost) {
 			simulation.alive.delete(entry);
-			way.removeEntry(entry);
+			strategy.removeEntry(entry);
 			if (loss === 'killed') {
 				simulations.closeAll(simulation, entry);
 			}
@@ -64,7 +64,7 @@
 			atMs + settings.connectionRefusedAfterMs,
 			() => {
 				for (const entry of left) {
-					way.applyMembership(entry, left, ended);
+					strategy.applyMembership(entry, left, ended);
 				}
 			},
 		);
@@ -78,7 +78,7 @@
 		for (const entry of second) {
 			const readMs = simulation.draw() * settings.listReadMs;
 			simulations.schedule(simulation, simulation.nowMs + readMs, () => {
-				way.applyMembership(entry, second, ended);
+				strategy.applyMembership(entry, second, ended);
 			});
 		}
 	});
@@ -92,7 +92,7 @@
 };
 
 const runOne = (
-	name: WayName,
+	name: StrategyName,
 	arrivals: readonly loads.Arrival[],
 	loss: Loss,
 	{seed, untilMs}: {seed: number; untilMs: number},
@@ -102,13 +102,16 @@
 		(_, index) => `entry-${index + 1}`,
 	);
 	const simulation = simulations.createSimulation(seed, first);
-	const way = createWays[name](simulation);
+	const strategy = strategyFactories[name](simulation);
 	for (const entry of first) {
-		way.applyMembership(entry, first, new Set());
+		strategy.applyMembership(entry, first, new Set());
 	}
 
 	if (loss !== 'none') {
-		scheduleLoss(simulation, way, first, {atMs: Math.floor(untilMs / 3), loss});
+		scheduleLoss(simulation, strategy, first, {
+			atMs: Math.floor(untilMs / 3),
+			loss,
+		});
 	}
 
 	const requests: simulations.Request[] = [];
@@ -126,7 +129,7 @@
 			const giveUpAtMs = settings.getGiveUpMs(pool, deadlineMs);
 			const request = {arrival, entry, deadlineMs, giveUpAtMs, done: false};
 			requests.push(request);
-			way.arrive(request);
+			strategy.arrive(request);
 			arriveNext(index + 1);
 		});
 	};
@@ -165,12 +168,12 @@
 	connectionsMax: counts.connectionsMax,
 });
 
-const allWays = Object.keys(createWays) as WayName[];
+const strategyNames = Object.keys(strategyFactories) as StrategyName[];
 
-/** Runs compared on one load, and the entries lost in them. */
-const scenarios: ReadonlyArray<{loss: Loss; names: readonly WayName[]}> = [
+/** The losses of entries and the strategies that are compared under them. */
+const scenarios: ReadonlyArray<{loss: Loss; names: readonly StrategyName[]}> = [
 	{loss: 'none', names: ['omniscient', 'credits']},
-	{loss: 'killed', names: allWays},
+	{loss: 'killed', names: strategyNames},
 	{loss: 'silent', names: ['omniscient', 'credits']},
 ];
 
@@ -197,18 +200,18 @@
 		const arrivals = loads.createArrivals(seed, load, untilMs);
 		for (const {loss, names} of scenarios) {
 			const title = `${load}, loss ${loss}`;
-			const byWay = new Map<WayName, simulations.Counts>();
+			const countsByStrategy = new Map<StrategyName, simulations.Counts>();
 			for (const name of names) {
 				const counts = runOne(name, arrivals, loss, {seed, untilMs});
-				byWay.set(name, counts);
+				countsByStrategy.set(name, counts);
 				baselines[`${title}: ${name}`] = toFigures(counts, untilMs);
 				log(`${title}, ${name}: late ${counts.late} of ${counts.requests}`);
 			}
 
-			const credits = byWay.get('credits')!;
-			const ratio = credits.late / byWay.get('omniscient')!.late;
+			const credits = countsByStrategy.get('credits')!;
+			const ratio = credits.late / countsByStrategy.get('omniscient')!.late;
 			figures[`${title}: late ratio`] = round(ratio);
-			const clairvoyant = byWay.get('clairvoyant');
+			const clairvoyant = countsByStrategy.get('clairvoyant');
 			if (clairvoyant) {
 				figures[`${title}: late ratio to clairvoyant`] = round(
 					credits.late / clairvoyant.late,
@@ -222,9 +225,9 @@
 	return {figures, baselines, checks};
 };
 
-/** Ways to share slots between entries. */
+/** The limits bench. */
 export const bench: Bench = {
 	name: 'limits',
-	summary: 'limits across entries: four ways and one omniscient queue',
+	summary: 'limits across entries: four strategies and one omniscient queue',
 	run,
 };
--- a/packages/bench/src/benches/limits/credit-strategy.ts
+++ b/packages/bench/src/benches/limits/credit-strategy.ts
@@ -1,4 +1,4 @@
-/** Credits granted by the home of each pool, as the daemon runs them. */
+/** Credits granted by the credit coordinator of each pool, as in the daemon. */
 import * as core from '@gullstand/core';
 import type {CreditEnvelope, CreditMessage, PoolLimits} from '@gullstand/core';
 import type {EntryQueue} from './queues.js';
@@ -20,13 +20,13 @@
 	silent: ReadonlySet<string>;
 };
 
-/** Time between two reports of one pool, at least. */
+/** Minimum time between two reports of one pool. */
 const reportGapMs = 0;
 
 const getDeadlines = (waiting: readonly Request[]) =>
 	waiting.map((request) => request.deadlineMs);
 
-/** Way with the given settings. */
+/** Creates the credit strategy with the given settings. */
 export const createCreditStrategy =
 	(creditSettings: core.CreditSettings) =>
 	(simulation: Simulation): Strategy => {
@@ -77,10 +77,10 @@
 					core.creditBorrower.getHeld(borrower, executor),
 				);
 				const inFlight = borrower.inFlight.get(executor) ?? 0;
-				const before = entry.connections.get(executor) ?? 0;
-				// A kept connection is only closed when the limit asks for it.
-				const open = Math.max(inFlight, Math.min(before, limit));
-				if (open !== before) {
+				const openBefore = entry.connections.get(executor) ?? 0;
+				// An idle connection is closed only if the limit requires it.
+				const open = Math.max(inFlight, Math.min(openBefore, limit));
+				if (open !== openBefore) {
 					entry.connections.set(executor, open);
 					simulations.setConnections(simulation, entry.name, executor, open);
 				}
@@ -90,9 +90,9 @@
 		const flush = (entry: Entry, pool: number) => {
 			const limits = entry.limits[pool]!;
 			const queue = entry.queues[pool]!;
-			const isOwn = limits.borrower.home === entry.name;
+			const isCoordinator = limits.borrower.home === entry.name;
 			const dueMs = limits.borrower.lastReportMs + reportGapMs;
-			if (!isOwn && simulation.nowMs < dueMs) {
+			if (!isCoordinator && simulation.nowMs < dueMs) {
 				if (entry.flushAtMs[pool]! < dueMs) {
 					entry.flushAtMs[pool] = dueMs;
 					simulations.schedule(simulation, dueMs, () => {
@@ -111,7 +111,7 @@
 				simulation.nowMs,
 			);
 			sendAll(entry, pool, envelopes);
-			if (isOwn) {
+			if (isCoordinator) {
 				queues.dispatchWaiting(queue);
 			}
 		};
--- a/packages/bench/src/benches/limits/load.ts
+++ b/packages/bench/src/benches/limits/load.ts
@@ -1,18 +1,18 @@
-/** The list of arrivals, the same for every way. */
+/** The list of arrivals, the same for every strategy. */
 import type {Random} from '../../frame/random.js';
 import * as random from '../../frame/random.js';
 import * as settings from './settings.js';
 
-/** One request of the list. */
+/** One arrival of a request. */
 export type Arrival = {
 	readonly atMs: number;
 	readonly pool: number;
-	/** Picks one of the entries that serve then. */
+	/** Number in [0, 1) that selects one of the serving entries. */
 	readonly entryDraw: number;
 	readonly serviceMs: number;
 };
 
-/** In a burst, this many times the mean rate; between bursts the rest. */
+/** Rate in a burst relative to the mean rate. */
 const burstFactor = 1.35;
 const burstMs = 500;
 /** Share of a burst's requests that one entry receives. */
@@ -80,7 +80,7 @@
 	}
 };
 
-/** All arrivals until a time, by time. */
+/** Creates all arrivals until a time, in order of time. */
 export const createArrivals = (
 	seed: number,
 	load: settings.Load,
--- a/packages/bench/src/benches/limits/queues.ts
+++ b/packages/bench/src/benches/limits/queues.ts
@@ -1,14 +1,14 @@
-/** Waiting requests of every entry and pool, first in, first out. */
+/** FIFO queues of waiting requests by entry and pool. */
 import type {Request, Simulation} from './simulation.js';
 import * as simulations from './simulation.js';
 
-/** What a way decides for one entry and pool. */
+/** Decisions of a strategy for one entry and pool. */
 export type Decisions = {
-	/** An executor that the request may go to now; counts it in flight. */
+	/** Picks an executor for the request, if any, and counts it in flight. */
 	readonly acquire: (request: Request) => string | undefined;
-	/** The request on this executor has ended. */
+	/** Called when a request on the executor has ended. */
 	readonly finish: (executor: string) => void;
-	/** Called after every change, once nothing more can be dispatched. */
+	/** Called after every change, when nothing more can be dispatched. */
 	readonly onQueueChange?: (waiting: readonly Request[]) => void;
 };
 
@@ -26,7 +26,7 @@
 	decisions: Decisions,
 ): EntryQueue => ({simulation, pool, decisions, waiting: []});
 
-/** Dispatches all that can be, then lets the way settle. */
+/** Dispatches all requests that can be, then reports the queue change. */
 export const dispatchWaiting = (queue: EntryQueue) => {
 	const {simulation, pool, decisions, waiting} = queue;
 	for (let request = waiting[0]; request; request = waiting[0]) {
@@ -48,7 +48,7 @@
 	decisions.onQueueChange?.(waiting);
 };
 
-/** Takes in a request; it is given up at its deadline if still waiting. */
+/** Queues a request; it is given up if it still waits at its limit. */
 export const enqueue = (queue: EntryQueue, request: Request) => {
 	const {simulation, pool, waiting} = queue;
 	waiting.push(request);
@@ -64,7 +64,7 @@
 	dispatchWaiting(queue);
 };
 
-/** The entry is lost with all that waits in it. */
+/** Drops the waiting requests of a lost entry. */
 export const drop = (queue: EntryQueue) => {
 	simulations.addWaiting(queue.simulation, queue.pool, -queue.waiting.length);
 	queue.waiting.length = 0;
--- a/packages/bench/src/benches/limits/settings.ts
+++ b/packages/bench/src/benches/limits/settings.ts
@@ -1,16 +1,16 @@
-/** Sizes of the brief, and the loads that the ways are compared on. */
+/** Sizes and loads on which the strategies are compared. */
 
-/** One service with a pool of its own. */
+/** One service with its own pool. */
 export type PoolSettings = {
 	readonly name: string;
 	readonly executors: readonly string[];
 	/** Median of the log-normal service time. */
 	readonly medianMs: number;
-	/** Time from arrival at an entry within which an answer is on time. */
+	/** Time from arrival at an entry until an answer is late. */
 	readonly answerWithinMs: number;
 };
 
-/** Shape of the load on the entries. */
+/** Distribution of the load over the entries. */
 export type Load = 'even' | 'skewed' | 'bursty';
 
 export const slotsPerExecutor = 8;
@@ -19,18 +19,18 @@
 export const linkMinMs = 1;
 export const linkMaxMs = 3;
 export const serviceSigma = 0.5;
-/** An entry uses the slot of an attempt that it cut again after this. */
+/** Time until an entry reuses the slot of an attempt that it cancelled. */
 export const slotReuseDelayMs = 4;
 export const loadFraction = 0.85;
-/** From the loss of an entry until the list shows it and its replacement. */
+/** Time from the loss of an entry until the list shows its replacement. */
 export const listLagMs = 3000;
-/** From the end of a process until its peers find connections refused. */
+/** Time from the end of a process until its peers see it refuse connections. */
 export const connectionRefusedAfterMs = 20;
-/** Each entry reads the list within this time. */
+/** Maximum time until an entry reads a changed list. */
 export const listReadMs = 500;
-/** From being listed until the balancer sends callers to a new entry. */
+/** Time from the listing of a new entry until it receives callers. */
 export const warmUpMs = 1000;
-/** An executor closes the connections of a lost entry after this. */
+/** Time until an executor closes the connections of a lost entry. */
 export const deadConnectionMs = 30_000;
 
 const executorCounts = [6, 7, 8, 9, 7];
@@ -54,7 +54,7 @@
 	},
 );
 
-/** A waiting request is given up when the median time no longer fits. */
+/** Returns the time after which the median service time misses the deadline. */
 export const getGiveUpMs = (pool: PoolSettings, deadlineMs: number): number =>
 	deadlineMs - pool.medianMs;
 
--- a/packages/bench/src/benches/limits/simple-strategies.ts
+++ b/packages/bench/src/benches/limits/simple-strategies.ts
@@ -1,4 +1,4 @@
-/** The lower bound and the ways without grants. */
+/** The lower bounds and the strategies without credits. */
 import * as core from '@gullstand/core';
 import type {EntryQueue} from './queues.js';
 import * as queues from './queues.js';
@@ -6,10 +6,10 @@
 import type {Request, Simulation} from './simulation.js';
 import * as simulations from './simulation.js';
 
-/** One way in one run. */
+/** A strategy in one run. */
 export type Strategy = {
 	readonly arrive: (request: Request) => void;
-	/** An entry has read a new list, or found that processes have ended. */
+	/** Called when an entry has read a new list or found ended processes. */
 	readonly applyMembership: (
 		entry: string,
 		listed: readonly string[],
@@ -24,9 +24,9 @@
 );
 
 /**
- * One queue for each pool, of all requests and all slots. A slot is free again
- * when the answer has crossed its link; with `knowsExecutors` already when the
- * executor is done, which no sender can know.
+ * Creates one queue per pool for all requests and slots. A slot is free again
+ * when the answer arrives or, with `knowsExecutors`, as soon as the executor is
+ * done, which no real sender can know.
  */
 const createOneQueue = (
 	simulation: Simulation,
@@ -34,7 +34,7 @@
 ): Strategy => {
 	const waiting: Request[][] = settings.pools.map(() => []);
 	const assigned = new Map<string, number>();
-	const pump = (pool: number) => {
+	const dispatchPool = (pool: number) => {
 		for (;;) {
 			const request = waiting[pool]![0];
 			let executor: string | undefined;
@@ -57,7 +57,7 @@
 			simulations.addWaiting(simulation, pool, -1);
 			const onFree = () => {
 				assigned.set(picked, assigned.get(picked)! - 1);
-				pump(pool);
+				dispatchPool(pool);
 			};
 
 			simulations.dispatch(
@@ -89,7 +89,7 @@
 					simulations.giveUp(simulation, request);
 				}
 			});
-			pump(pool);
+			dispatchPool(pool);
 		},
 		applyMembership: () => undefined,
 		removeEntry(entry) {
@@ -102,15 +102,15 @@
 	};
 };
 
-/** The bound for all that see a slot free when its answer has come. */
+/** Lower bound for strategies that learn of free slots from answers. */
 export const createOmniscient = (simulation: Simulation) =>
 	createOneQueue(simulation, false);
 
-/** The bound with knowledge of the executors besides. */
+/** Lower bound with immediate knowledge of the executors. */
 export const createClairvoyant = (simulation: Simulation) =>
 	createOneQueue(simulation, true);
 
-/** What one entry knows; counts are of one pool's executors. */
+/** State of one entry; counts are by executor. */
 type EntryState = {
 	readonly entry: string;
 	readonly queues: EntryQueue[];
@@ -127,7 +127,7 @@
 	simulation: Simulation,
 ) => string | undefined;
 
-const createLocalWay =
+const createLocalStrategy =
 	(pick: Pick, exchangeMs?: number) =>
 	(simulation: Simulation): Strategy => {
 		const states = new Map<string, EntryState>();
@@ -219,8 +219,8 @@
 		};
 	};
 
-/** Each entry uses its own share of each executor, and no more. */
-export const createStatic = createLocalWay((state, pool) => {
+/** Each entry uses only its static share of each executor. */
+export const createStatic = createLocalStrategy((state, pool) => {
 	let picked: string | undefined;
 	let least = Number.POSITIVE_INFINITY;
 	for (const [executor, share] of state.shares[pool]!) {
@@ -250,14 +250,19 @@
 	);
 
 /** Power of two choices by the entry's own requests in flight. */
-export const createPowerOfTwoLocal = createLocalWay((state, pool, simulation) =>
-	pickOfTwo(simulation, pool, (executor) => state.inFlight.get(executor) ?? 0),
+export const createPowerOfTwoLocal = createLocalStrategy(
+	(state, pool, simulation) =>
+		pickOfTwo(
+			simulation,
+			pool,
+			(executor) => state.inFlight.get(executor) ?? 0,
+		),
 );
 
 const exchangeMs = 20;
 
-/** The same with what peers said of theirs, exchanged every 20 ms. */
-export const createPowerOfTwoPeers = createLocalWay(
+/** Power of two choices with the counts of peers, exchanged every 20 ms. */
+export const createPowerOfTwoPeers = createLocalStrategy(
 	(state, pool, simulation) =>
 		pickOfTwo(
 			simulation,
--- a/packages/bench/src/benches/limits/simulation.ts
+++ b/packages/bench/src/benches/limits/simulation.ts
@@ -1,18 +1,17 @@
 /**
- * Fake clock, event list and counts: executors that serve up to their slots
- * and queue the rest, links with a delay, and what the figures are made of.
- * It decides nothing.
+ * Event simulation of executors with slots and queues and of links with delays.
+ * Strategies decide; the simulation counts the figures.
  */
 import * as random from '../../frame/random.js';
 import type {Arrival} from './load.js';
 import * as settings from './settings.js';
 
-/** A request on its way. */
+/** A request in the simulation. */
 export type Request = {
 	readonly arrival: Arrival;
 	readonly entry: string;
 	readonly deadlineMs: number;
-	/** While it waits until then, it is given up. */
+	/** Time at which it is given up if it still waits. */
 	readonly giveUpAtMs: number;
 	done: boolean;
 };
@@ -54,11 +53,11 @@
 	seq: number;
 	readonly executors: Map<string, Executor>;
 	readonly alive: Set<string>;
-	/** What ends each request of an entry on its executor. */
+	/** Callbacks that end the requests of each entry on its executors. */
 	readonly open: Map<string, Set<() => void>>;
 	/** Entries that the balancer sends callers to. */
 	serving: string[];
-	/** Waiting requests by pool, for the count of idle slots. */
+	/** Number of waiting requests by pool. */
 	readonly waiting: number[];
 	readonly busy: number[];
 	readonly changedAtMs: number[];
@@ -175,7 +174,7 @@
 	return first;
 };
 
-/** Runs events in order of time until a time. */
+/** Runs events in order until a time. */
 export const runUntil = (simulation: Simulation, untilMs: number) => {
 	while (simulation.events[0] && simulation.events[0].atMs <= untilMs) {
 		const event = takeFirst(simulation.events)!;
@@ -188,7 +187,7 @@
 	settings.linkMinMs +
 	simulation.draw() * (settings.linkMaxMs - settings.linkMinMs);
 
-/** Sends a message from entry to entry; lost if either is dead. */
+/** Sends a message to an entry; it is lost if the entry is not alive. */
 export const send = (simulation: Simulation, to: string, run: () => void) => {
 	simulation.counts.messages++;
 	schedule(simulation, simulation.nowMs + drawLink(simulation), () => {
@@ -198,7 +197,7 @@
 	});
 };
 
-const account = (simulation: Simulation, pool: number) => {
+const addIdleTime = (simulation: Simulation, pool: number) => {
 	const elapsed = simulation.nowMs - simulation.changedAtMs[pool]!;
 	const slots =
 		settings.pools[pool]!.executors.length * settings.slotsPerExecutor;
@@ -214,13 +213,13 @@
 	pool: number,
 	change: number,
 ) => {
-	account(simulation, pool);
+	addIdleTime(simulation, pool);
 	simulation.waiting[pool]! += change;
 };
 
 const load = (executor: Executor) => executor.running + executor.queue.length;
 
-const accountOvershoot = (simulation: Simulation, executor: Executor) => {
+const addOvershootTime = (simulation: Simulation, executor: Executor) => {
 	if (load(executor) > settings.slotsPerExecutor) {
 		simulation.counts.overshootMs += simulation.nowMs - executor.changedAtMs;
 	}
@@ -247,18 +246,18 @@
 	}
 };
 
-/** A waiting request whose deadline has passed is answered and late. */
+/** Ends a waiting request without an answer and counts it as late. */
 export const giveUp = (simulation: Simulation, request: Request) => {
 	finish(simulation, request, false);
 };
 
-const leave = (
+const leaveExecutor = (
 	simulation: Simulation,
 	executor: Executor,
 	start: () => void,
 ) => {
-	account(simulation, executor.pool);
-	accountOvershoot(simulation, executor);
+	addIdleTime(simulation, executor.pool);
+	addOvershootTime(simulation, executor);
 	const index = executor.queue.indexOf(start);
 	if (index !== -1) {
 		executor.queue.splice(index, 1);
@@ -274,13 +273,13 @@
 	}
 };
 
-const enter = (
+const enterExecutor = (
 	simulation: Simulation,
 	executor: Executor,
 	start: () => void,
 ) => {
-	account(simulation, executor.pool);
-	accountOvershoot(simulation, executor);
+	addIdleTime(simulation, executor.pool);
+	addOvershootTime(simulation, executor);
 	const over = load(executor) + 1 - settings.slotsPerExecutor;
 	simulation.counts.overshootMax = Math.max(
 		simulation.counts.overshootMax,
@@ -296,10 +295,10 @@
 };
 
 /**
- * Sends a request to an executor; at its deadline the attempt is cut and the
- * executor sees the connection close a link later. `onFree` runs when the
- * executor is done; `onEnd` at the entry, if that still lives or
- * `endsWhenLost`.
+ * Sends a request to an executor. At its deadline the attempt is cancelled, and
+ * the executor sees the connection close after the link delay. `onFree` runs
+ * when the executor is done, `onEnd` when the entry learns of the end; a lost
+ * entry learns of it only if `endsWhenLost`.
  */
 export const dispatch = (
 	simulation: Simulation,
@@ -313,17 +312,17 @@
 ) => {
 	const executor = simulation.executors.get(name)!;
 	let state: 'sent' | 'there' | 'gone' = 'sent';
-	let told = false;
-	const tellEntry = () => {
-		if (!told) {
-			told = true;
+	let isNotified = false;
+	const notifyEntry = () => {
+		if (!isNotified) {
+			isNotified = true;
 			onEnd?.();
 		}
 	};
 
 	const end = () => {
 		if (state === 'there') {
-			leave(simulation, executor, start);
+			leaveExecutor(simulation, executor, start);
 			onFree?.();
 		}
 
@@ -334,7 +333,11 @@
 	const close = () => {
 		end();
 		if (endsWhenLost) {
-			schedule(simulation, simulation.nowMs + drawLink(simulation), tellEntry);
+			schedule(
+				simulation,
+				simulation.nowMs + drawLink(simulation),
+				notifyEntry,
+			);
 		}
 	};
 
@@ -347,10 +350,10 @@
 			end();
 			schedule(simulation, simulation.nowMs + drawLink(simulation), () => {
 				if (endsWhenLost && !simulation.alive.has(request.entry)) {
-					tellEntry();
+					notifyEntry();
 				} else if (simulation.alive.has(request.entry) && !request.done) {
 					finish(simulation, request, true);
-					tellEntry();
+					notifyEntry();
 				}
 			});
 		});
@@ -361,7 +364,7 @@
 	schedule(simulation, simulation.nowMs + drawLink(simulation), () => {
 		if (state === 'sent') {
 			state = 'there';
-			enter(simulation, executor, start);
+			enterExecutor(simulation, executor, start);
 		}
 	});
 	schedule(simulation, request.deadlineMs, () => {
@@ -374,19 +377,19 @@
 		schedule(
 			simulation,
 			simulation.nowMs + settings.slotReuseDelayMs,
-			tellEntry,
+			notifyEntry,
 		);
 	});
 };
 
-/** The host of a process that has ended closes its connections. */
+/** Closes the connections of an entry whose process has ended. */
 export const closeAll = (simulation: Simulation, entry: string) => {
 	for (const close of simulation.open.get(entry) ?? []) {
 		schedule(simulation, simulation.nowMs + drawLink(simulation), close);
 	}
 };
 
-/** Sets the connections that an entry has open to an executor. */
+/** Sets the number of open connections of an entry to an executor. */
 export const setConnections = (
 	simulation: Simulation,
 	entry: string,
--- a/packages/bench/src/benches/outage.ts
+++ b/packages/bench/src/benches/outage.ts
@@ -1,4 +1,4 @@
-/** An outage of the table service for ten minutes: issue 4, item 3. */
+/** `bench outage`: an outage of the table service for ten minutes. */
 import * as platform from '@gullstand/ports';
 import {check} from '../frame/check.js';
 import type {Bench, BenchOptions, Check, Figures} from '../frame/types.js';
@@ -26,9 +26,9 @@
 ): FleetOptions => {
 	const healthyMs = short ? minuteMs / 2 : 2 * minuteMs;
 	const downFrom = healthyMs;
-	// Without a guard a run costs much; its load a second is steady.
-	const isCut = short && client === 'unguarded';
-	const downTo = downFrom + (isCut ? 0.25 : 10) * minuteMs;
+	// An unguarded run is expensive, and its load per second is constant.
+	const isShortened = short && client === 'unguarded';
+	const downTo = downFrom + (isShortened ? 0.25 : 10) * minuteMs;
 	const until = downTo + healthyMs;
 	return {seed, client, entries, claimsPerSecond, downFrom, downTo, until};
 };
--- a/packages/bench/src/benches/outage/daemons.ts
+++ b/packages/bench/src/benches/outage/daemons.ts
@@ -1,6 +1,6 @@
 /**
- * Real daemons on a platform over HTTP whose table service is down: what
- * callers see, and how long an entry takes that starts in the outage.
+ * Real daemons on a platform over HTTP whose table service is down. Measures
+ * the answers of callers and the start time of an entry during the outage.
  */
 import {performance} from 'node:perf_hooks';
 import {PassThrough} from 'node:stream';
@@ -12,21 +12,21 @@
 import {createRandom} from '../../frame/random.js';
 import {getQuantile} from '../agreement/quantile.js';
 
-/** What callers saw in one phase. */
+/** Answers that callers received in one phase. */
 export type PhaseReport = {
 	readonly answers: number;
-	/** Answers that were not a success that ran. */
+	/** Calls without a successful answer with outcome `ran`. */
 	readonly notRan: number;
 	readonly p50Ms: number;
 	readonly p99Ms: number;
 };
 
-/** What a run showed; times in milliseconds. */
+/** Result of one run; times in milliseconds. */
 export type DaemonsReport = {
 	readonly before: PhaseReport;
 	readonly during: PhaseReport;
 	readonly after: PhaseReport;
-	/** With the instance list down too, by how the entries stand. */
+	/** Answers with the instance list down too, by status of the entries. */
 	readonly listDown: {
 		readonly registered: PhaseReport;
 		readonly sponsored: PhaseReport;
@@ -37,7 +37,7 @@
 	readonly mostCallsInSecondOnReturn: number;
 };
 
-/** Length of the phases, in milliseconds. */
+/** Options of one run; lengths of the phases in milliseconds. */
 export type DaemonsOptions = {
 	readonly seed: number;
 	readonly healthyMs: number;
@@ -48,7 +48,7 @@
 	readonly id: string;
 	readonly daemon: daemon.Daemon;
 	readonly agent: Agent;
-	/** Closes its connections to the platform. */
+	/** Closes the connections to the platform. */
 	readonly close: () => Promise<void>;
 };
 
@@ -130,7 +130,7 @@
 
 type TestEnvironment = Awaited<ReturnType<typeof startTestEnvironment>>;
 
-/** Starts an entry; resolves when it has answered a caller. */
+/** Starts an entry; resolves once it answers callers. */
 const startEntry = async (environment: TestEnvironment, id: string) => {
 	const startedAt = now();
 	const base = daemon.createEmbeddedSettings(0, 0, 'error');
@@ -178,7 +178,7 @@
 	await entry.close();
 };
 
-/** Callers on some entries, until the time is over. */
+/** Runs callers on some entries for a given time. */
 const runPhase = async (
 	entries: readonly Entry[],
 	lengthMs: number,
@@ -188,9 +188,9 @@
 	let notRan = 0;
 	const runCaller = async (entry: Entry) => {
 		while (now() < until) {
-			const askedAt = now();
+			const sentAt = now();
 			const hasRun = await call(entry);
-			times.push(now() - askedAt);
+			times.push(now() - sentAt);
 			notRan += hasRun ? 0 : 1;
 			await wait(pauseMs);
 		}
@@ -223,7 +223,7 @@
 	throw new Error('no snapshot was written');
 };
 
-const getMostInSecond = (arrivals: readonly number[], from: number) => {
+const getPeakPerSecond = (arrivals: readonly number[], from: number) => {
 	const late = arrivals.filter((at) => at >= from);
 	return Math.max(
 		0,
@@ -234,8 +234,8 @@
 };
 
 /**
- * Restarts an entry, then takes the list away as well: only their peers now
- * tell the entries that they still count.
+ * Restarts an entry, then takes the instance list down too, so that only their
+ * peers can confirm the liveness of the entries.
  */
 const runWithoutList = async (
 	environment: TestEnvironment,
@@ -255,7 +255,7 @@
 	return {registered, sponsored};
 };
 
-/** Runs entries through an outage, with restarts in it. */
+/** Runs entries through an outage and restarts some during it. */
 export const runDaemons = async (
 	options: DaemonsOptions,
 ): Promise<DaemonsReport> => {
@@ -279,7 +279,7 @@
 	environment.faults.set({isDown: false});
 	const returnedAt = now();
 	const after = await runPhase(entries, options.healthyMs);
-	const mostCallsInSecondOnReturn = getMostInSecond(
+	const mostCallsInSecondOnReturn = getPeakPerSecond(
 		environment.arrivals,
 		returnedAt,
 	);
--- a/packages/bench/src/benches/outage/fleet.ts
+++ b/packages/bench/src/benches/outage/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * The store's clients of a whole fleet on a fake clock: each entry polls the
- * view, renews its row, records claims and now and then commits a change,
- * through the same guard and read-back that the daemon uses.
+ * Store clients of a whole fleet on a simulated clock. Entries poll the view,
+ * renew their rows, record claims and commit changes through the guard and the
+ * read-back of the daemon.
  */
 import * as core from '@gullstand/core';
 import * as daemon from '@gullstand/daemon';
@@ -14,36 +14,36 @@
 import {createClock, type Clock} from '../agreement/clock.js';
 import {createLoadMeter, type LoadMeter} from './load-meter.js';
 
-/** How the entries call the store. */
+/** Kind of the store clients of the entries. */
 export type ClientKind = 'guarded' | 'unguarded';
 
-/** One run. */
+/** Options of one run; times in milliseconds. */
 export type FleetOptions = {
 	readonly seed: number;
 	readonly client: ClientKind;
 	readonly entries: number;
-	/** Over the fleet. */
+	/** Rate of the whole fleet. */
 	readonly claimsPerSecond: number;
 	readonly downFrom: number;
 	readonly downTo: number;
 	readonly until: number;
 };
 
-/** What a run showed. */
+/** Result of one run. */
 export type FleetReport = {
 	readonly meter: LoadMeter;
 	readonly claims: Readonly<Record<ClaimOutcome, number>>;
 	readonly changes: number;
 	readonly changesRefused: number;
-	/** Accepted changes that an entry does not hold at the end. */
+	/** Accepted changes that are missing from the log at the end. */
 	readonly changesLost: number;
-	/** Times at which an entry's revision went down. */
+	/** Number of times that an entry's revision decreased. */
 	readonly regressions: number;
-	/** From the store's return until every entry has polled, ms. */
+	/** Time from the store's return until every entry has polled. */
 	readonly caughtUpMs: number;
 };
 
-/** How a claim ended: recorded, refused as not run, or unknown. */
+/** Outcome of a claim; a refused one is known not to be recorded. */
 export type ClaimOutcome = 'recorded' | 'refused' | 'unknown';
 
 const pollMs = 500;
@@ -103,13 +103,13 @@
 			: fleet.meter.tables;
 	const follower = daemon.createViewFollower(tables, pollMs, {env});
 	if (options.client === 'guarded') {
-		void shareForEver(fleet, {guard, tables, id: `e${index}`, env});
+		void shareForever(fleet, {guard, tables, id: `e${index}`, env});
 	}
 
 	return {index, env, tables, follower, claims: 0};
 };
 
-const shareForEver = async (
+const shareForever = async (
 	{options}: Fleet,
 	client: Pick<
 		platform.client.RateSharerOptions,
@@ -129,7 +129,7 @@
 	}
 };
 
-/** Waits until the next run of a periodic task; unguarded ones retry soon. */
+/** Waits for the next run of a periodic task; unguarded ones retry soon. */
 const waitForNext = async (
 	{options}: Fleet,
 	{env}: Entry,
@@ -142,7 +142,7 @@
 			: daemon.getJitteredMs(periodMs, env.random()),
 	);
 
-const pollForEver = async (fleet: Fleet, entry: Entry) => {
+const pollForever = async (fleet: Fleet, entry: Entry) => {
 	let revision = 0;
 	for (;;) {
 		await entry.follower.poll();
@@ -151,8 +151,8 @@
 		fleet.regressions += next < revision ? 1 : 0;
 		revision = next;
 		const now = fleet.clock.now();
-		const isBack = now >= fleet.options.downTo && !hasFailed;
-		if (isBack && !fleet.caughtUp.has(entry.index)) {
+		const isFollowing = now >= fleet.options.downTo && !hasFailed;
+		if (isFollowing && !fleet.caughtUp.has(entry.index)) {
 			fleet.caughtUp.set(entry.index, now);
 		}
 
@@ -160,7 +160,7 @@
 	}
 };
 
-const renewForEver = async (fleet: Fleet, entry: Entry) => {
+const renewForever = async (fleet: Fleet, entry: Entry) => {
 	for (;;) {
 		const result = await entry.tables.commit(
 			[
@@ -178,7 +178,7 @@
 	}
 };
 
-const claimEnds: Readonly<
+const claimOutcomes: Readonly<
 	Record<platform.client.CommitOutcome['kind'], ClaimOutcome>
 > = {
 	committed: 'recorded',
@@ -200,10 +200,10 @@
 		},
 		{env: entry.env, deadline: fleet.clock.now() + claimDeadlineMs},
 	);
-	fleet.claims[claimEnds[outcome.kind]] += 1;
+	fleet.claims[claimOutcomes[outcome.kind]] += 1;
 };
 
-const claimForEver = async (fleet: Fleet, entry: Entry) => {
+const claimForever = async (fleet: Fleet, entry: Entry) => {
 	const {claimsPerSecond, entries} = fleet.options;
 	for (;;) {
 		const meanMs = (1000 * entries) / claimsPerSecond;
@@ -212,7 +212,7 @@
 	}
 };
 
-const changeForEver = async (fleet: Fleet, entries: readonly Entry[]) => {
+const changeForever = async (fleet: Fleet, entries: readonly Entry[]) => {
 	for (let number = 1; ; number += 1) {
 		await fleet.clock.sleep(drawExponential(fleet.random, changeEveryMs));
 		const entry = entries[Math.floor(fleet.random() * entries.length)]!;
@@ -234,20 +234,20 @@
 	}
 };
 
-/** Accepted changes that the log of the store does not hold. */
+/** Counts the accepted changes that are missing from the log. */
 const countLost = async (fleet: Fleet, inner: platform.TableService) => {
-	const held = new Set<string>();
+	const logged = new Set<string>();
 	let after = 0;
 	for (;;) {
 		const read = await daemon.readChanges(inner, after);
 		const deltas = read.ok ? read.value : [];
 		for (const {id, revision} of deltas) {
-			held.add(id);
+			logged.add(id);
 			after = revision;
 		}
 
 		if (deltas.length === 0) {
-			return fleet.accepted.filter((id) => !held.has(id)).length;
+			return fleet.accepted.filter((id) => !logged.has(id)).length;
 		}
 	}
 };
@@ -279,12 +279,12 @@
 		createEntry(fleet, index),
 	);
 	for (const entry of entries) {
-		void pollForEver(fleet, entry);
-		void renewForEver(fleet, entry);
-		void claimForEver(fleet, entry);
+		void pollForever(fleet, entry);
+		void renewForever(fleet, entry);
+		void claimForever(fleet, entry);
 	}
 
-	void changeForEver(fleet, entries);
+	void changeForever(fleet, entries);
 	await clock.run(options.downFrom);
 	faults.set({isDown: true});
 	await clock.run(options.downTo);
--- a/packages/bench/src/benches/outage/load-meter.ts
+++ b/packages/bench/src/benches/outage/load-meter.ts
@@ -1,17 +1,17 @@
-/** Counts calls that reach the store, by time of arrival. */
+/** Records the times of calls that reach the store. */
 import type {TableService} from '@gullstand/ports';
 
-/** Arrivals of one kind of call, in milliseconds and in order. */
+/** Arrival times of one kind of call, in milliseconds and in order. */
 export type Arrivals = number[];
 
-/** Calls that reached the store. */
+/** A metered table service and the arrivals of its calls. */
 export type LoadMeter = {
 	readonly reads: Arrivals;
 	readonly writes: Arrivals;
 	readonly tables: TableService;
 };
 
-/** Meters calls to a table service. */
+/** Wraps a table service with a meter of its calls. */
 export const createLoadMeter = (
 	inner: TableService,
 	now: () => number,
@@ -40,7 +40,7 @@
 
 const secondMs = 1000;
 
-/** Most arrivals in any second that begins in [from, to). */
+/** Returns the most arrivals in any second that begins in [from, to). */
 export const getPeakPerSecond = (
 	arrivals: Arrivals,
 	from: number,
@@ -65,7 +65,7 @@
 	return most;
 };
 
-/** Arrivals a second, on average over [from, to). */
+/** Returns the mean arrivals per second over [from, to). */
 export const getMeanPerSecond = (
 	arrivals: Arrivals,
 	from: number,
--- a/packages/bench/src/benches/overhead.ts
+++ b/packages/bench/src/benches/overhead.ts
@@ -1,7 +1,7 @@
 /**
- * What the caller path costs: throughput and added p99 against a plain hono
- * and undici pass-through, alternating in the same run, each in a thread of
- * its own. `GULLSTAND_PROFILE=FILE` writes a CPU profile of the daemon.
+ * `bench overhead`: throughput and p99 of the caller path against a plain hono
+ * and undici pass-through, in alternating rounds and separate threads.
+ * `GULLSTAND_PROFILE=FILE` writes a CPU profile of the daemon.
  */
 import {once} from 'node:events';
 import process from 'node:process';
@@ -61,7 +61,7 @@
 	);
 };
 
-const askUsage = async (gateway: Gateway): Promise<Usage> => {
+const requestUsage = async (gateway: Gateway): Promise<Usage> => {
 	gateway.worker.postMessage('usage');
 	const [usage] = (await once(gateway.worker, 'message')) as [Usage];
 	return usage;
@@ -95,7 +95,7 @@
 	const upstream = await startThread('upstream-worker', {executors});
 	const plain = await startGateway('plain', upstream.ports);
 	const gullstand = await startGateway('gullstand', upstream.ports);
-	// The first round warms both up and is not counted.
+	// A warm-up round, which is not counted.
 	for (const gateway of [plain, gullstand]) {
 		await sendLoad({
 			port: gateway.port,
@@ -112,8 +112,8 @@
 		log(`round ${round + 1} of ${rounds}`);
 	}
 
-	const baseline = summarize(plain, await askUsage(plain));
-	const own = summarize(gullstand, await askUsage(gullstand));
+	const baseline = summarize(plain, await requestUsage(plain));
+	const own = summarize(gullstand, await requestUsage(gullstand));
 	await stopThread(plain.worker);
 	await stopThread(gullstand.worker);
 	await upstream.worker.terminate();
@@ -133,7 +133,7 @@
 	};
 };
 
-/** `npm run bench -- overhead`. */
+/** The overhead bench. */
 export const bench: Bench = {
 	name: 'overhead',
 	summary: 'throughput and p99 against a plain hono and undici pass-through',
--- a/packages/bench/src/benches/overhead/gateway-worker.ts
+++ b/packages/bench/src/benches/overhead/gateway-worker.ts
@@ -1,4 +1,4 @@
-/** Thread with one gateway; reports its own processor time and heap. */
+/** Worker thread with one gateway; reports its processor time and heap. */
 import {writeFile} from 'node:fs/promises';
 import {Session} from 'node:inspector/promises';
 import {performance} from 'node:perf_hooks';
@@ -32,8 +32,8 @@
 const {port} = await start(upstreamPorts);
 const session = profileFile === undefined ? undefined : await startProfile();
 
-parentPort?.on('message', async (question: GatewayCommand) => {
-	if (question === 'usage') {
+parentPort?.on('message', async (command: GatewayCommand) => {
+	if (command === 'usage') {
 		parentPort?.postMessage(getUsage());
 		return;
 	}
--- a/packages/bench/src/benches/overhead/gullstand-gateway.ts
+++ b/packages/bench/src/benches/overhead/gullstand-gateway.ts
@@ -1,4 +1,4 @@
-/** A daemon with one service on the bench's executors. */
+/** A daemon with one service on the executors of the bench. */
 import {performance} from 'node:perf_hooks';
 import {PassThrough} from 'node:stream';
 import type {Contract, Instance, Service} from '@gullstand/core';
@@ -18,7 +18,7 @@
 	type JsonValue,
 } from '@gullstand/ports';
 
-/** Token of the bench's caller. */
+/** Token of the callers. */
 export const benchToken = 'bench-token';
 
 const service: Service = {
@@ -59,7 +59,7 @@
 	state: 'serving',
 });
 
-/** Starts the daemon. */
+/** Starts a daemon whose store has the given executors. */
 export const startGullstandGateway = async (
 	upstreamPorts: readonly number[],
 	limits: Partial<Settings['caller']> = {},
--- a/packages/bench/src/benches/overhead/messages.ts
+++ b/packages/bench/src/benches/overhead/messages.ts
@@ -1,24 +1,24 @@
-/** What the threads of `bench overhead` are told and say. */
+/** Messages of the threads of `bench overhead`. */
 
-/** A gateway under test. */
+/** Kind of a gateway under test. */
 export type GatewayKind = 'plain' | 'gullstand';
 
-/** What a gateway thread is started with. */
+/** Worker data of a gateway thread. */
 export type GatewayData = {
 	readonly kind: GatewayKind;
 	readonly upstreamPorts: readonly number[];
-	/** File to write a CPU profile to, if one is wanted. */
+	/** File for a CPU profile; no profile if undefined. */
 	readonly profileFile: string | undefined;
 };
 
-/** A gateway says that it serves. */
+/** Sent by a thread once its servers listen. */
 export type Ready = {readonly ports: readonly number[]};
 
-/** A gateway's own cost since it was last asked. */
+/** Active time of the event loop since the start, and the current heap. */
 export type Usage = {
 	readonly cpuMs: number;
 	readonly heapBytes: number;
 };
 
-/** Questions to a gateway thread. */
+/** Commands to a gateway thread. */
 export type GatewayCommand = 'usage' | 'stop';
--- a/packages/bench/src/benches/overhead/plain-gateway.ts
+++ b/packages/bench/src/benches/overhead/plain-gateway.ts
@@ -1,4 +1,4 @@
-/** The baseline: hono and undici passing requests through, no policy. */
+/** The baseline: a pass-through with hono and undici. */
 import {once} from 'node:events';
 import type {Server} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -8,7 +8,7 @@
 
 const connectionsPerExecutor = 8;
 
-/** Starts the baseline. */
+/** Starts the baseline gateway on a free port of 127.0.0.1. */
 export const startPlainGateway = async (
 	upstreamPorts: readonly number[],
 ): Promise<{port: number}> => {
--- a/packages/bench/src/benches/overhead/send-load.ts
+++ b/packages/bench/src/benches/overhead/send-load.ts
@@ -3,17 +3,17 @@
 import * as hdr from 'hdr-histogram-js';
 import {Pool} from 'undici';
 
-/** What one round of load is. */
+/** Options of one round of load. */
 export type LoadOptions = {
 	readonly port: number;
 	readonly token: string;
 	readonly callers: number;
 	readonly durationMs: number;
-	/** Time between an answer and the caller's next request; 0 for none. */
+	/** Time between an answer and the caller's next request. */
 	readonly pauseMs: number;
 };
 
-/** What one round of load found. */
+/** Figures of one round of load. */
 export type LoadFigures = {
 	readonly answers: number;
 	readonly errors: number;
@@ -29,7 +29,7 @@
 		setTimeout(resolve, ms);
 	});
 
-/** Sends load for a time and counts. */
+/** Sends load for a time and returns its figures. */
 export const sendLoad = async (options: LoadOptions): Promise<LoadFigures> => {
 	const {port, token, callers, durationMs, pauseMs} = options;
 	const pool = new Pool(`http://127.0.0.1:${port}`, {
--- a/packages/bench/src/benches/overhead/upstream-worker.ts
+++ b/packages/bench/src/benches/overhead/upstream-worker.ts
@@ -1,4 +1,4 @@
-/** Thread with small executors. */
+/** Worker thread with executors that answer at once. */
 import {parentPort, workerData} from 'node:worker_threads';
 import type {Ready} from './messages.js';
 import {startUpstreams} from './upstreams.js';
--- a/packages/bench/src/benches/overhead/upstreams.ts
+++ b/packages/bench/src/benches/overhead/upstreams.ts
@@ -1,4 +1,4 @@
-/** Small executors that answer at once. */
+/** Executors that answer at once. */
 import {once} from 'node:events';
 import {createServer, type Server} from 'node:http';
 import type {AddressInfo} from 'node:net';
--- a/packages/bench/src/benches/overload.ts
+++ b/packages/bench/src/benches/overload.ts
@@ -9,7 +9,7 @@
 import {measureSockets} from './overload/sockets.js';
 import {customerWeights, firms} from './overload/sizes.js';
 
-/** Worst value over all services of both firms. */
+/** Worst values over all services of both firms. */
 type Summary = {
 	goodput: number;
 	slowestNotRunMs: number;
@@ -27,7 +27,7 @@
 const getSum = (tally: Tally, key: 'sent' | 'late' | 'notRun'): number =>
 	tally.customers.reduce((sum, each) => sum + each[key], 0);
 
-/** Requests not answered in time, refused ones with them, in percent. */
+/** Percentage of requests not answered in time, including refused ones. */
 const getLatePoints = (tally: Tally, customer: number): number => {
 	const {sent, onTime} = tally.customers[customer]!;
 	return (100 * (sent - onTime)) / sent;
--- a/packages/bench/src/benches/overload/arrivals.ts
+++ b/packages/bench/src/benches/overload/arrivals.ts
@@ -1,4 +1,4 @@
-/** Fixed lists of arrivals, spread over entries as a balancer would. */
+/** Lists of arrivals, spread over entries as by a load balancer. */
 import type {RequestClass} from '@gullstand/core';
 import {
 	createRandom,
@@ -9,7 +9,7 @@
 } from '../../frame/random.js';
 import {classMix, serviceSigma, type ServiceSize} from './sizes.js';
 
-/** One request; its service time is drawn with it. */
+/** One request with its service time. */
 export type Arrival = {
 	readonly at: number;
 	readonly customer: number;
@@ -29,15 +29,15 @@
 	return classMix[0]!;
 };
 
-/** What one customer sends. */
+/** Load of one customer. */
 export type Sender = {
 	readonly customer: number;
 	readonly requestsPerSecond: number;
 };
 
 /**
- * Draws a customer's requests, as lists by entry. The same seed, customer and
- * rate give the same requests, whoever else sends.
+ * Draws a customer's requests, as lists by entry. The requests depend only on
+ * the seed, the customer and the rate.
  */
 export const drawArrivals = (
 	size: ServiceSize,
@@ -64,7 +64,7 @@
 	return lists;
 };
 
-/** Merges senders' lists of each entry by time. */
+/** Merges the lists of all senders for each entry by time. */
 export const mergeArrivals = (
 	all: ReadonlyArray<ReadonlyArray<readonly Arrival[]>>,
 	entries: number,
--- a/packages/bench/src/benches/overload/cancel-wave.ts
+++ b/packages/bench/src/benches/overload/cancel-wave.ts
@@ -1,20 +1,20 @@
-/** A wave of cancellations over a full queue. */
+/** Cancels all requests of a full queue at once. */
 import * as core from '@gullstand/core';
 import {createRandom, drawBelow} from '../../frame/random.js';
 
 const waveSize = 5000;
 const slots = 7;
 
-/** What is left after a wave. */
+/** State after the cancellations. */
 export type CancelWave = {
 	readonly cancelled: number;
-	/** Slots and places in the queue that are still held. */
+	/** Slots and queue places that are still in use. */
 	readonly slotsHeld: number;
 	readonly queuePlacesHeld: number;
 	readonly wheelPlacesHeld: number;
-	/** Cancelled requests that got a slot afterwards. */
+	/** Cancelled requests that received a slot afterwards. */
 	readonly dispatchedAfterCancel: number;
-	/** New requests that got a slot at once after the wave. */
+	/** New requests that received a slot at once afterwards. */
 	readonly dispatchedAtOnce: number;
 	readonly nsPerCancel: number;
 };
@@ -28,7 +28,7 @@
 		const request = {id: `${index}`, customer, class: 'standard'} as const;
 		const decision = core.admission.offer(state, request, index / 100);
 		if (decision.kind === 'refused') {
-			throw new Error('the wave must find its requests admitted');
+			throw new Error('a request of the wave was not admitted');
 		}
 
 		tickets.push(decision.ticket);
@@ -45,7 +45,7 @@
 	}
 };
 
-/** Queues 5,000 requests and cancels all of them, in any order, at once. */
+/** Queues 5,000 requests and cancels all of them in random order. */
 export const runCancelWave = (seed: number): CancelWave => {
 	const settings = {
 		...core.admission.defaultSettings,
--- a/packages/bench/src/benches/overload/decision-cost.ts
+++ b/packages/bench/src/benches/overload/decision-cost.ts
@@ -1,4 +1,4 @@
-/** Time that one decision takes, by the number of queued requests. */
+/** Measures the time per decision by the number of queued requests. */
 import * as core from '@gullstand/core';
 import type {Figures} from '../../frame/types.js';
 
@@ -32,7 +32,7 @@
 const getNs = (startedAt: number): number =>
 	Math.round(((performance.now() - startedAt) * 1e6) / rounds);
 
-/** Offers one and takes one out, so that the queue keeps its length. */
+/** Offers a request and removes one, so that the queue keeps its length. */
 const measure = (queued: number): {offer: number; next: number} => {
 	const state = createFull(queued);
 	const requests = Array.from({length: rounds}, (_, index) => ({
@@ -51,17 +51,17 @@
 	}
 
 	const offer = getNs(startedAt);
-	const more = createFull(queued + rounds);
-	more.slots = rounds + 8;
+	const longerQueue = createFull(queued + rounds);
+	longerQueue.slots = rounds + 8;
 	startedAt = performance.now();
 	for (let round = 0; round < rounds; round++) {
-		core.admission.next(more, 1);
+		core.admission.next(longerQueue, 1);
 	}
 
 	return {offer, next: getNs(startedAt)};
 };
 
-/** Measures at three lengths of the queue, the first run thrown away. */
+/** Measures at three queue lengths after a warm-up run. */
 export const measureDecisions = (): Figures => {
 	measure(1000);
 	const figures: Record<string, number> = {};
--- a/packages/bench/src/benches/overload/policies.ts
+++ b/packages/bench/src/benches/overload/policies.ts
@@ -1,4 +1,4 @@
-/** Admission as the daemon calls it, and the two baselines. */
+/** The admission policy of the daemon and the two baselines. */
 import * as core from '@gullstand/core';
 import type {Arrival} from './arrivals.js';
 import type {Policy} from './run-entry.js';
@@ -9,7 +9,7 @@
 	type ServiceSize,
 } from './sizes.js';
 
-/** What a policy is made for. */
+/** Input of a policy. */
 export type PolicyInput = {
 	readonly firm: FirmSize;
 	readonly size: ServiceSize;
@@ -17,10 +17,10 @@
 	readonly slots: number;
 };
 
-/** Makes a policy for one entry. */
+/** Creates a policy for one entry. */
 export type PolicyFactory = (input: PolicyInput) => Policy;
 
-/** Creates admission for one entry with all customers' contracts. */
+/** Creates the admission of one entry with all contracts. */
 export const createEntryAdmission = (
 	firm: FirmSize,
 	size: ServiceSize,
@@ -44,7 +44,7 @@
 	return state;
 };
 
-/** The project's admission; it starts with its default prior. */
+/** Creates the admission policy with its default prior. */
 export const createAdmissionPolicy: PolicyFactory = (input) => {
 	const {firm, size, arrivals, slots} = input;
 	const state = createEntryAdmission(firm, size, slots);
@@ -125,8 +125,8 @@
 		};
 	};
 
-/** First in, first out, whatever the deadline. */
+/** FIFO policy that ignores deadlines. */
 export const createFifoPolicy = createFifo(false);
 
-/** First in, first out; what is past its deadline is dropped at its turn. */
+/** FIFO policy that drops a request whose deadline has passed at its turn. */
 export const createFifoDropPolicy = createFifo(true);
--- a/packages/bench/src/benches/overload/run-entry.ts
+++ b/packages/bench/src/benches/overload/run-entry.ts
@@ -1,13 +1,13 @@
 /**
- * Feeds one entry's arrivals to a policy by a fake clock and counts what the
- * callers see.
+ * Feeds one entry's arrivals to a policy on a simulated clock and counts the
+ * answers of the callers.
  */
 import type {Arrival} from './arrivals.js';
 
-/** How often queued requests are looked over for hopeless ones. */
+/** Period of expiring queued requests that can no longer be in time. */
 const expireEveryMs = 4;
 
-/** A way to decide; a request is named by its index in the arrivals. */
+/** An admission policy; a request is its index in the arrivals. */
 export type Policy = {
 	readonly offer: (
 		index: number,
@@ -29,20 +29,20 @@
 	notRun: number;
 };
 
-/** What came out of one entry. */
+/** Results of one entry. */
 export type Tally = {
 	readonly customers: Count[];
-	/** Slot time of answers in time, within the run's length. */
+	/** Slot time of answers on time, within the length of the run. */
 	onTimeWorkMs: number;
 	slotMs: number;
-	/** Slot time of answers that came too late. */
+	/** Slot time of late answers. */
 	lateWorkMs: number;
 	dropped: number;
-	/** Time from sending until the caller was told `not-run`, longest. */
+	/** Longest time from sending until a `not-run` answer. */
 	slowestNotRunMs: number;
 };
 
-/** One entry's run. */
+/** Input of one entry's run. */
 export type EntryRun = {
 	readonly arrivals: readonly Arrival[];
 	readonly slots: number;
@@ -51,7 +51,6 @@
 	readonly oneWayMs: number;
 };
 
-/** Creates an empty tally. */
 export const createTally = (customers: number): Tally => ({
 	customers: Array.from({length: customers}, () => ({
 		sent: 0,
@@ -74,8 +73,8 @@
 ): void => {
 	const {at, customer} = run.arrivals[index]!;
 	tally.customers[customer]!.notRun++;
-	const toldMs = now - at + 2 * run.oneWayMs;
-	tally.slowestNotRunMs = Math.max(tally.slowestNotRunMs, toldMs);
+	const answeredMs = now - at + 2 * run.oneWayMs;
+	tally.slowestNotRunMs = Math.max(tally.slowestNotRunMs, answeredMs);
 };
 
 type InFlight = {
@@ -92,17 +91,19 @@
 	const {at, customer} = run.arrivals[index]!;
 	const count = tally.customers[customer]!;
 	const tookMs = endsAt - at + 2 * run.oneWayMs;
-	const counted = Math.max(0, Math.min(endsAt, run.lengthMs) - startedAt);
+	const workMs = Math.max(0, Math.min(endsAt, run.lengthMs) - startedAt);
 	if (tookMs <= run.answerWithinMs) {
 		count.onTime++;
-		tally.onTimeWorkMs += counted;
+		tally.onTimeWorkMs += workMs;
 	} else {
 		count.late++;
-		tally.lateWorkMs += counted;
+		tally.lateWorkMs += workMs;
 	}
 };
 
-const getFirst = (inFlight: readonly InFlight[]): InFlight | undefined => {
+const findFirstToEnd = (
+	inFlight: readonly InFlight[],
+): InFlight | undefined => {
 	let first = inFlight[0];
 	for (const each of inFlight) {
 		if (first && each.endsAt < first.endsAt) {
@@ -113,7 +114,7 @@
 	return first;
 };
 
-/** Runs an entry until its last request has its answer. */
+/** Runs an entry until its last request is answered. */
 export const runEntry = (run: EntryRun, policy: Policy, tally: Tally): void => {
 	const {arrivals} = run;
 	const inFlight: InFlight[] = [];
@@ -144,7 +145,7 @@
 		}
 	};
 
-	const takeIn = (now: number) => {
+	const receive = (now: number) => {
 		const index = arrived++;
 		tally.customers[arrivals[index]!.customer]!.sent++;
 		const decision = policy.offer(index, now);
@@ -181,7 +182,7 @@
 		}
 
 		const arrivalAt = arrivals[arrived]?.at ?? Number.POSITIVE_INFINITY;
-		const first = getFirst(inFlight);
+		const first = findFirstToEnd(inFlight);
 		const endsAt = first?.endsAt ?? Number.POSITIVE_INFINITY;
 		const dueAt = waiting > 0 ? expireAt : Number.POSITIVE_INFINITY;
 		if (dueAt <= arrivalAt && dueAt <= endsAt) {
@@ -189,7 +190,7 @@
 		} else if (first && endsAt <= arrivalAt) {
 			end(first);
 		} else {
-			takeIn(arrivalAt);
+			receive(arrivalAt);
 			expireAt = Math.max(expireAt, arrivalAt);
 		}
 	}
--- a/packages/bench/src/benches/overload/scenarios.ts
+++ b/packages/bench/src/benches/overload/scenarios.ts
@@ -1,4 +1,4 @@
-/** The runs: every customer at once, one alone, one sending ten times. */
+/** Scenarios: overload by all, one customer alone, one greedy customer. */
 import type {Arrival} from './arrivals.js';
 import * as arrivalLists from './arrivals.js';
 import type {PolicyFactory} from './policies.js';
@@ -12,20 +12,20 @@
 	type ServiceSize,
 } from './sizes.js';
 
-/** Load at which the quiet customers keep inside their contracts. */
-const insideShare = 0.9;
+/** Load of the customers that stay within their contracts. */
+const withinContractShare = 0.9;
 /** Load of the customer that sends too much. */
 const greedyFactor = 10;
 /** The customer that sends too much. */
 export const greedyCustomer = 2;
-/** Load of the overload run against capacity. */
+/** Load of the overload run relative to capacity. */
 const overloadFactor = 2;
-/** Load of the run with slow executors, against capacity. */
-const usualFactor = 0.8;
-/** How much slower executors are in its middle third. */
+/** Load of the run with slow executors relative to capacity. */
+const slowRunFactor = 0.8;
+/** Factor by which executors are slower in its middle third. */
 const slowFactor = 3;
 
-/** One service under one policy. */
+/** Setup of one service under one policy. */
 export type Setup = {
 	readonly firm: FirmSize;
 	readonly size: ServiceSize;
@@ -54,12 +54,12 @@
 	return tally;
 };
 
-const keep = (arrival: Arrival): Arrival => arrival;
+const identity = (arrival: Arrival): Arrival => arrival;
 
 const runSenders = (
 	setup: Setup,
 	senders: readonly arrivalLists.Sender[],
-	change = keep,
+	change = identity,
 ): Tally => {
 	const {firm, size} = setup;
 	const all = senders.map((sender) =>
@@ -81,7 +81,7 @@
 	requestsPerSecond: getContractRate(setup.size, customer) * factor,
 });
 
-/** All customers send twice the capacity, each by its weight. */
+/** Runs all customers at twice the capacity, each by its weight. */
 export const runOverload = (setup: Setup): Tally =>
 	runSenders(
 		setup,
@@ -90,16 +90,16 @@
 		),
 	);
 
-/** One customer inside its contract with nobody else. */
+/** Runs one customer within its contract without other customers. */
 export const runAlone = (setup: Setup, customer: number): Tally =>
-	runSenders(setup, [getSender(setup, customer, insideShare)]);
+	runSenders(setup, [getSender(setup, customer, withinContractShare)]);
 
-/** All send below capacity; in the middle third executors are slow. */
+/** Runs all customers below capacity, with slow executors for a third. */
 export const runSlow = (setup: Setup): Tally =>
 	runSenders(
 		setup,
 		customerWeights.map((_, customer) =>
-			getSender(setup, customer, usualFactor / soldShare),
+			getSender(setup, customer, slowRunFactor / soldShare),
 		),
 		(arrival) => {
 			const third = Math.floor((3 * arrival.at) / setup.lengthMs);
@@ -108,7 +108,7 @@
 		},
 	);
 
-/** One sends ten times its contract, the others keep inside theirs. */
+/** Runs one customer above and the others within their contracts. */
 export const runGreedy = (setup: Setup): Tally =>
 	runSenders(
 		setup,
@@ -116,7 +116,7 @@
 			getSender(
 				setup,
 				customer,
-				customer === greedyCustomer ? greedyFactor : insideShare,
+				customer === greedyCustomer ? greedyFactor : withinContractShare,
 			),
 		),
 	);
--- a/packages/bench/src/benches/overload/sizes.ts
+++ b/packages/bench/src/benches/overload/sizes.ts
@@ -1,7 +1,7 @@
-/** Sizes of the two firms, as the brief gives them, with assumed times. */
+/** Sizes of the two firms, with assumed service times. */
 import type {RequestClass} from '@gullstand/core';
 
-/** One service: executors of the brief's range, times assumed. */
+/** Size of one service. */
 export type ServiceSize = {
 	readonly name: string;
 	readonly executors: number;
@@ -10,11 +10,11 @@
 	readonly answerWithinMs: number;
 };
 
-/** One firm. */
+/** Size of one firm. */
 export type FirmSize = {
 	readonly name: string;
 	readonly entries: number;
-	/** Way from a caller to an entry. */
+	/** One-way delay from a caller to an entry. */
 	readonly oneWayMs: number;
 	readonly services: readonly ServiceSize[];
 };
@@ -23,7 +23,7 @@
 /** Sigma of the log-normal service times. */
 export const serviceSigma = 0.5;
 
-/** Share of each class in the load, and its service time as a factor. */
+/** Share of each class in the load and its factor on the service time. */
 export const classMix: ReadonlyArray<{
 	readonly class: RequestClass;
 	readonly share: number;
@@ -34,9 +34,9 @@
 	{class: 'batch', share: 0.2, factor: 2},
 ];
 
-/** Weights of the customers; contracted rates are in proportion. */
+/** Weights of the customers; contracted rates are proportional. */
 export const customerWeights = [1, 1, 2, 2, 4];
-/** Part of the capacity that contracts promise: one zone of three may be away. */
+/** Share of the capacity that is sold; one of three zones may be away. */
 export const soldShare = 2 / 3;
 
 const service = (
@@ -83,11 +83,11 @@
 	return meanMs * Math.exp(serviceSigma ** 2 / 2);
 };
 
-/** Requests a second that all executors of a service answer. */
+/** Capacity of all executors of a service, in requests per second. */
 export const getCapacity = (size: ServiceSize): number =>
 	(size.executors * slotsPerExecutor * 1000) / getMeanServiceMs(size);
 
-/** Contracted rate of a customer, in requests a second. */
+/** Contracted rate of a customer, in requests per second. */
 export const getContractRate = (
 	size: ServiceSize,
 	customer: number,
--- a/packages/bench/src/benches/overload/sockets.ts
+++ b/packages/bench/src/benches/overload/sockets.ts
@@ -1,6 +1,6 @@
 /**
- * The same admission behind real sockets on loopback: how long refused
- * callers wait, at twice the capacity of executors that a timer stands for.
+ * Measures how long refused callers wait over loopback sockets, at twice the
+ * capacity of executors that timers simulate.
  */
 import {once} from 'node:events';
 import type {Server} from 'node:http';
@@ -17,7 +17,7 @@
 const slots = 16;
 const serviceMs = 100;
 const answerWithinMs = 500;
-/** Twice what the slots answer. */
+/** Twice the rate that the slots can serve. */
 const requestsPerSecond = (2 * slots * 1000) / serviceMs;
 const token = 'bench';
 
@@ -100,7 +100,7 @@
 
 type Counts = {answered: number; late: number; refused: number; other: number};
 
-/** Sends at a steady rate and measures what callers see. */
+/** Sends at a constant rate and measures the answers. */
 export const measureSockets = async (seconds: number): Promise<Figures> => {
 	const server = await startServer();
 	const {port} = server.address() as AddressInfo;
--- a/packages/bench/src/benches/placement.ts
+++ b/packages/bench/src/benches/placement.ts
@@ -1,7 +1,6 @@
 /**
- * Placement by learned use against first fit on declared sizes and against
- * best fit with the sizes known in advance, on the two deployments of the
- * brief and on a slice of the planned size.
+ * `bench placement`: placement by learned usage, compared with first fit on
+ * declared sizes and with best fit on sizes known in advance.
  */
 import * as core from '@gullstand/core';
 import {check} from '../frame/check.js';
@@ -49,11 +48,11 @@
 		]),
 	);
 
-const judge = (
+const createChecks = (
 	name: string,
 	own: PlacementFigures,
 	bound: PlacementFigures,
-	restless: PlacementFigures,
+	noHysteresis: PlacementFigures,
 ): Check[] => [
 	check(
 		`${name}: buffer against sizes known in advance`,
@@ -76,7 +75,7 @@
 	),
 	check(
 		`${name}: moves against none of the hysteresis`,
-		own.moves / Math.max(1, restless.moves),
+		own.moves / Math.max(1, noHysteresis.moves),
 		'<=',
 		1,
 	),
@@ -110,7 +109,7 @@
 
 		figures = {...figures, ...prefix(name, own)};
 		checks.push(
-			...judge(
+			...createChecks(
 				name,
 				own,
 				found.get(policies.bestFitKnown.name)!,
@@ -122,7 +121,7 @@
 	return {figures, baselines, checks};
 };
 
-/** `npm run bench -- placement`. */
+/** The placement bench. */
 export const bench: Bench = {
 	name: 'placement',
 	summary: 'buffer, moves and urgent starts against first fit and best fit',
--- a/packages/bench/src/benches/placement/placing.ts
+++ b/packages/bench/src/benches/placement/placing.ts
@@ -1,4 +1,4 @@
-/** Starts, ends and moves of jobs, as the placement decisions have it. */
+/** Starts, ends and moves jobs by the placement decisions. */
 import * as core from '@gullstand/core';
 import type {TraceJob} from './trace.js';
 import {estimate, stop, type Simulation} from './simulation.js';
@@ -15,20 +15,20 @@
 
 const hourMs = 3_600_000;
 
-/** Jobs that do not fit and are passed over, so that none blocks all. */
+/** Maximum number of jobs passed over because they do not fit. */
 const maxPassedOver = 8;
 
-const learnFromEnd = (
+const updateUsageModel = (
 	simulation: Simulation,
 	{id, customer, declared}: TraceJob,
 ) => {
 	const history = simulation.histories.get(id);
-	const habit =
+	const usageModel =
 		simulation.usageModels.get(customer) ?? placement.emptyCustomerUsageModel;
 	if (history) {
 		simulation.usageModels.set(
 			customer,
-			placement.addEndedJob(habit, declared, history),
+			placement.addEndedJob(usageModel, declared, history),
 		);
 	}
 
@@ -42,7 +42,7 @@
 
 	const task = stop(simulation, id);
 	if (task) {
-		learnFromEnd(simulation, task.job);
+		updateUsageModel(simulation, task.job);
 	}
 
 	simulation.counts.finished += 1;
@@ -93,7 +93,7 @@
 	}
 };
 
-/** Makes room; the time until it is there, in milliseconds. */
+/** Applies preemptions; returns the time until the room is free, in ms. */
 const preempt = (
 	simulation: Simulation,
 	preemptions: readonly core.placement.Preemption[],
@@ -162,7 +162,7 @@
 	return true;
 };
 
-/** Places what waits, as far as there is room. */
+/** Places pending jobs that fit. */
 export const placePending = (simulation: Simulation, now: number) => {
 	const {cluster, pending, quotas} = simulation;
 	let passedOver = 0;
@@ -183,7 +183,7 @@
 	}
 };
 
-/** A job is submitted. */
+/** Places a submitted job or queues it. */
 export const submit = (simulation: Simulation, job: TraceJob, now: number) => {
 	simulation.counts.urgentJobs += job.urgent ? 1 : 0;
 	if (!tryPlace(simulation, job, now)) {
@@ -191,7 +191,7 @@
 	}
 };
 
-/** Moves running jobs, if the run's way does. */
+/** Moves running jobs if the policy has relocations. */
 export const relocate = (simulation: Simulation, now: number) => {
 	const {cluster, policy, running, counts} = simulation;
 	const cfg = policy.relocation;
--- a/packages/bench/src/benches/placement/policies.ts
+++ b/packages/bench/src/benches/placement/policies.ts
@@ -1,18 +1,18 @@
-/** Ways to place jobs: ours and its baselines. */
+/** Placement policies: the one under test and its baselines. */
 import * as core from '@gullstand/core';
 import type {Resources} from '@gullstand/core';
 import type {TraceJob} from './trace.js';
 
-/** What a way reserves for a job and where it places it. */
+/** A placement policy with its estimates of jobs. */
 export type Policy = {
 	readonly name: string;
 	readonly estimate: (
 		job: TraceJob,
 		history: core.placement.UsageHistory | undefined,
-		habit: core.placement.CustomerUsageModel | undefined,
+		usageModel: core.placement.CustomerUsageModel | undefined,
 	) => core.placement.UsageEstimate;
 	readonly cfg: core.placement.PlacementConfig;
-	/** First worker with room, in the order of their names. */
+	/** True to place on the first worker with room. */
 	readonly firstFit: boolean;
 	readonly relocation: core.placement.RelocationConfig | undefined;
 };
@@ -24,17 +24,17 @@
 
 const base = core.placement.defaultPlacementConfig;
 
-/** Use with a margin, as learned; hysteresis on moves. */
+/** Policy under test: learned usage with a margin, hysteresis on moves. */
 export const learned: Policy = {
 	name: 'learned',
-	estimate: (job, history, habit) =>
-		core.placement.estimateUsage(job, history, habit),
+	estimate: (job, history, usageModel) =>
+		core.placement.estimateUsage(job, history, usageModel),
 	cfg: base,
 	firstFit: false,
 	relocation: core.placement.defaultRelocationConfig,
 };
 
-/** The same with moves as soon as a worker is over or nearly empty. */
+/** The same without hysteresis on moves. */
 export const withoutHysteresis: Policy = {
 	...learned,
 	name: 'without hysteresis',
@@ -46,7 +46,7 @@
 	},
 };
 
-/** What an operator does without gullstand. */
+/** First fit on declared sizes. */
 export const firstFitDeclared: Policy = {
 	...learned,
 	name: 'first fit, declared',
@@ -55,7 +55,7 @@
 	relocation: undefined,
 };
 
-/** The lower bound: nobody knows true sizes in advance. */
+/** Lower bound: best fit with the true sizes known in advance. */
 export const bestFitKnown: Policy = {
 	...learned,
 	name: 'best fit, known',
@@ -64,7 +64,7 @@
 	relocation: undefined,
 };
 
-/** What ours is held against. */
+/** Policies that the policy under test is compared with. */
 export const baselines: readonly Policy[] = [
 	withoutHysteresis,
 	firstFitDeclared,
--- a/packages/bench/src/benches/placement/reports.ts
+++ b/packages/bench/src/benches/placement/reports.ts
@@ -1,4 +1,4 @@
-/** What happens and is counted each minute. */
+/** Periodic reports: updates estimates, moves jobs and counts figures. */
 import * as core from '@gullstand/core';
 import {placePending, relocate} from './placing.js';
 import {estimate, getUse, stop, type Simulation} from './simulation.js';
@@ -16,8 +16,8 @@
 
 const minTasksForSpread = 6;
 
-/** A worker over its memory evicts its youngest jobs. */
-const evictOverfull = (simulation: Simulation, now: number) => {
+/** Evicts the youngest jobs of workers that exceed their memory. */
+const evictOverMemory = (simulation: Simulation, now: number) => {
 	for (const load of simulation.cluster.loads.values()) {
 		const tasks = [...load.tasks.keys()]
 			.map((id) => simulation.running.get(id))
@@ -40,7 +40,7 @@
 	}
 };
 
-const account = ({cluster, running, counts}: Simulation, now: number) => {
+const countUsage = ({cluster, running, counts}: Simulation, now: number) => {
 	const hours = reportEveryMs / hourMs;
 	for (const load of cluster.loads.values()) {
 		if (load.tasks.size === 0) {
@@ -61,7 +61,7 @@
 	}
 };
 
-const learn = (simulation: Simulation, now: number) => {
+const updateEstimates = (simulation: Simulation, now: number) => {
 	const {running, histories, throttled, cluster} = simulation;
 	for (const task of running.values()) {
 		const measuredAt = now - reportLagMs;
@@ -82,8 +82,8 @@
 	}
 };
 
-/** A customer starves if it waits an hour in which nothing of it starts. */
-const noteWaiting = (simulation: Simulation, now: number) => {
+/** Records customers without a start for an hour while a job waits. */
+const recordStarved = (simulation: Simulation, now: number) => {
 	const {pending, cluster, quota, lastStarts, starved} = simulation;
 	for (const job of pending.values()) {
 		const used = placement.getCustomerUsage(cluster, job.customer);
@@ -95,7 +95,7 @@
 	}
 };
 
-const noteSpread = ({cluster, counts}: Simulation) => {
+const recordSpread = ({cluster, counts}: Simulation) => {
 	for (const [key, count] of cluster.taskCounts) {
 		const [customer = '', kind] = key.split(' ');
 		const tasks = cluster.taskCounts.get(`${customer} all`) ?? 0;
@@ -105,13 +105,13 @@
 	}
 };
 
-/** One report of all workers. */
+/** Processes one report of all workers. */
 export const report = (simulation: Simulation, now: number) => {
-	account(simulation, now);
-	evictOverfull(simulation, now);
-	learn(simulation, now);
+	countUsage(simulation, now);
+	evictOverMemory(simulation, now);
+	updateEstimates(simulation, now);
 	relocate(simulation, now);
 	placePending(simulation, now);
-	noteWaiting(simulation, now);
-	noteSpread(simulation);
+	recordStarved(simulation, now);
+	recordSpread(simulation);
 };
--- a/packages/bench/src/benches/placement/run-trace.ts
+++ b/packages/bench/src/benches/placement/run-trace.ts
@@ -1,7 +1,6 @@
 /**
- * Feeds a trace to the placement decisions and counts. No network, no host:
- * a job uses what the trace says, reports lag, and a worker over its memory
- * evicts its youngest job.
+ * Simulates a trace of jobs under a placement policy. Usage comes from the
+ * trace, and reports of it are delayed.
  */
 import {submit} from './placing.js';
 import type {Policy} from './policies.js';
@@ -11,13 +10,13 @@
 
 const hourMs = 3_600_000;
 
-/** What one run counted. */
+/** Figures of one run. */
 export type PlacementFigures = Readonly<Counts> & {
-	/** Customers that waited an hour, under their quota, for any start. */
+	/** Customers under their quota that waited an hour without a start. */
 	readonly starved: number;
 };
 
-/** Runs a trace under one way to place. */
+/** Runs a trace under one policy. */
 export const runTrace = (
 	deployment: Deployment,
 	trace: readonly TraceJob[],
@@ -41,7 +40,7 @@
 	const {counts} = simulation;
 	return {
 		...counts,
-		// The share of the urgent jobs in place of their number.
+		// Share of the urgent jobs instead of their number.
 		urgentInTime:
 			counts.urgentJobs > 0 ? counts.urgentInTime / counts.urgentJobs : 1,
 		starved: simulation.starved.size,
--- a/packages/bench/src/benches/placement/simulation.ts
+++ b/packages/bench/src/benches/placement/simulation.ts
@@ -1,4 +1,4 @@
-/** The state of one run: what runs where, what waits, what was counted. */
+/** State of one run: running and pending jobs, and counts. */
 import * as core from '@gullstand/core';
 import type {Resources} from '@gullstand/core';
 import {createEventQueue, type EventQueue} from '../wave/event-queue.js';
@@ -12,21 +12,21 @@
 
 const {placement} = core;
 
-/** A job that runs. */
+/** A running job. */
 export type Running = {
 	readonly job: TraceJob;
 	readonly startedAt: number;
-	/** Tells an end of this run from the end of an earlier one. */
+	/** Number of this run; identifies the end events of earlier runs. */
 	readonly run: number;
 	worker: string;
 };
 
-/** What a run counts. */
+/** Counts of one run. */
 export type Counts = {
-	/** Core-hours on workers with tasks that no task used. */
+	/** Unused core-hours on workers with tasks. */
 	bufferCoreHours: number;
 	usedCoreHours: number;
-	/** Core-hours of the work that tasks wanted and did not get. */
+	/** Core-hours that tasks demanded beyond the capacity. */
 	overcommittedCoreHours: number;
 	moves: number;
 	evictions: number;
@@ -39,7 +39,7 @@
 	maxRackShare: number;
 };
 
-/** One run under way. */
+/** State of one run. */
 export type Simulation = {
 	readonly deployment: Deployment;
 	readonly policy: Policy;
@@ -50,7 +50,7 @@
 	readonly pending: Map<string, TraceJob>;
 	readonly histories: Map<string, core.placement.UsageHistory>;
 	readonly usageModels: Map<string, core.placement.CustomerUsageModel>;
-	/** When a job of each customer last started. */
+	/** Time of the last start of a job, by customer. */
 	readonly lastStarts: Map<string, number>;
 	readonly starved: Set<string>;
 	readonly quota: Resources;
@@ -60,7 +60,7 @@
 	runs: number;
 };
 
-/** A customer may use three times its even share. */
+/** Quota of a customer relative to an equal share. */
 const quotaFactor = 3;
 
 const getQuota = ({workers, capacity, customers}: Deployment): Resources => ({
@@ -69,7 +69,7 @@
 	accelerators: 0,
 });
 
-/** A simulation in which nothing runs yet. */
+/** Creates a simulation without jobs. */
 export const createSimulation = (
 	deployment: Deployment,
 	policy: Policy,
@@ -111,7 +111,7 @@
 	};
 };
 
-/** What a job uses at a time; it warms up. */
+/** Returns the usage of a job, which grows during its warm-up. */
 export const getUse = ({job, startedAt}: Running, now: number): Resources => {
 	const share = Math.min(1, 0.2 + (0.8 * (now - startedAt)) / warmUpMs);
 	return {
@@ -121,7 +121,7 @@
 	};
 };
 
-/** No declaration, however wild, is taken for more than a worker. */
+/** Limits an estimate to the capacity of a worker. */
 const limitToWorker = (
 	{mean, deviation}: core.placement.UsageEstimate,
 	{capacity}: Deployment,
@@ -142,7 +142,7 @@
 	};
 };
 
-/** What the run's way expects of a job now. */
+/** Estimates the usage of a job by the policy. */
 export const estimate = (simulation: Simulation, job: TraceJob) =>
 	limitToWorker(
 		simulation.policy.estimate(
@@ -153,7 +153,7 @@
 		simulation.deployment,
 	);
 
-/** Takes a job off its worker. */
+/** Removes a job from its worker. */
 export const stop = (
 	simulation: Simulation,
 	id: string,
--- a/packages/bench/src/benches/placement/trace.ts
+++ b/packages/bench/src/benches/placement/trace.ts
@@ -1,4 +1,4 @@
-/** Traces of jobs whose declared sizes and run times are far off. */
+/** Traces of jobs whose declared sizes are inaccurate. */
 import type {Job, placement, Resources, Worker} from '@gullstand/core';
 import {
 	createRandom,
@@ -7,26 +7,26 @@
 	type Random,
 } from '../../frame/random.js';
 
-/** A job and what only the trace knows of it. */
+/** A job with its true usage and run time. */
 export type TraceJob = Job & {
-	/** What it will use once it has warmed up. */
+	/** Usage after the warm-up. */
 	readonly used: Resources;
 	readonly runMs: number;
 };
 
-/** One deployment. */
+/** Size and load of one deployment. */
 export type Deployment = {
 	readonly name: string;
 	readonly workers: number;
 	readonly capacity: Resources;
 	readonly customers: number;
-	/** Share of cores that the jobs' true use takes on average. */
+	/** Mean share of the cores that the jobs use. */
 	readonly load: number;
 	readonly hours: number;
 	readonly relocation: placement.RelocationConfig;
 };
 
-/** Time until a job uses what it will use, in milliseconds. */
+/** Warm-up time of a job, in milliseconds. */
 export const warmUpMs = 300_000;
 
 const hourMs = 3_600_000;
@@ -43,7 +43,7 @@
 
 const availabilityZones = 3;
 
-/** Workers of a deployment, four to a rack, in three availability zones. */
+/** Creates the workers of a deployment, four per rack in three zones. */
 export const createWorkers = ({workers, capacity}: Deployment): Worker[] =>
 	Array.from({length: workers}, (_, index) => {
 		const rack = Math.floor(index / workersPerRack);
@@ -58,7 +58,7 @@
 		};
 	});
 
-/** Draws from 1 / bound to bound, evenly in the logarithm. */
+/** Draws from 1 / bound to bound, uniformly in the logarithm. */
 const drawFactor = (random: Random, bound: number): number =>
 	bound ** (2 * random() - 1);
 
@@ -69,7 +69,7 @@
 	submittedAt: number,
 ): TraceJob => {
 	const cores = sizes[drawBelow(random, sizes.length)] ?? 1;
-	// Memory is the lesser need, so that cores are what runs short.
+	// Jobs need little memory, so that cores are the scarce resource.
 	const memoryPerCore =
 		(deployment.capacity.memoryMb / deployment.capacity.cores) *
 		(0.3 + 0.4 * random());
@@ -104,7 +104,7 @@
 const meanCoresPerJob =
 	sizes.reduce((sum, each) => sum + each, 0) / sizes.length;
 
-/** Draws the jobs of a deployment, in the order of their submission. */
+/** Draws the jobs of a deployment in order of submission. */
 export const createTrace = (
 	deployment: Deployment,
 	seed: number,
--- a/packages/bench/src/benches/rollout.ts
+++ b/packages/bench/src/benches/rollout.ts
@@ -1,4 +1,4 @@
-/** Changes of contracts in force on every entry: issue 4, item 1. */
+/** `bench rollout`: contract changes until they are in force everywhere. */
 import {check} from '../frame/check.js';
 import type {Bench, Figures} from '../frame/types.js';
 import {getQuantile} from './agreement/quantile.js';
@@ -45,7 +45,7 @@
 	reverted: result.reverted,
 });
 
-/** What the whole fleet uses, a second. */
+/** Resources that the whole fleet uses per second. */
 type Usage = {
 	readonly reads: number;
 	readonly writes: number;
@@ -61,7 +61,7 @@
 	};
 };
 
-/** Least squares through points, read at `at`. */
+/** Fits a line by least squares and evaluates it at `at`. */
 const extrapolate = (
 	points: ReadonlyArray<readonly [number, number]>,
 	at: number,
@@ -78,7 +78,7 @@
 	return meanY + (above / below) * (at - meanX);
 };
 
-/** Sizes at which the periods already grow with the fleet. */
+/** Fleet sizes at which the periods grow with the number of entries. */
 const measuredSizes = [108, 135, 162, 189];
 
 const runPlanned = async (
--- a/packages/bench/src/benches/rollout/entry.ts
+++ b/packages/bench/src/benches/rollout/entry.ts
@@ -1,4 +1,4 @@
-/** One entry: polls, takes offers, acknowledges. */
+/** Simulated entry: polls, applies deltas and acknowledges them. */
 import * as core from '@gullstand/core';
 import type {followedView, viewChange} from '@gullstand/core';
 import {getHeartbeatBytes} from '../agreement/heartbeat-bytes.js';
@@ -10,7 +10,7 @@
 	type Simulation,
 } from './simulation.js';
 
-/** Tells those who wait for it what is in force. */
+/** Sends the acknowledgement to the entries that wait for it. */
 export const sendAcknowledgements = (simulation: Simulation, entry: Entry) => {
 	const {view} = entry.followed;
 	entry.sequence += 1;
@@ -35,7 +35,7 @@
 	}
 };
 
-const countReverted = (
+const countReversions = (
 	before: followedView.FollowedView,
 	after: followedView.FollowedView,
 ): number => {
@@ -48,7 +48,7 @@
 	return count;
 };
 
-/** Puts deltas in force. */
+/** Applies deltas and acknowledges them. */
 export const applyDeltas = (
 	simulation: Simulation,
 	entry: Entry,
@@ -60,7 +60,7 @@
 		deltas,
 	);
 	entry.followed = followed;
-	entry.reverted += countReverted(before, followed);
+	entry.reverted += countReversions(before, followed);
 	if (applied.length > 0) {
 		sendAcknowledgements(simulation, entry);
 	}
@@ -126,12 +126,12 @@
 		counts.storeBytes += heartbeatBytes;
 	});
 	void repeat(periods.watchMs, async () => {
-		const neighbours = Math.min(
+		const monitored = Math.min(
 			core.monitoredPeers.monitoredPeerCount,
 			simulation.entries - 1,
 		);
-		// The membership row is read with them.
-		counts.reads += neighbours + 1;
-		counts.storeBytes += neighbours * heartbeatBytes + counterBytes;
+		// The membership row is read with the rows of the monitored peers.
+		counts.reads += monitored + 1;
+		counts.storeBytes += monitored * heartbeatBytes + counterBytes;
 	});
 };
--- a/packages/bench/src/benches/rollout/operator.ts
+++ b/packages/bench/src/benches/rollout/operator.ts
@@ -1,4 +1,4 @@
-/** Racing operators, and what waits until a change is in force. */
+/** Concurrent operators, and the wait until a change is in force. */
 import * as core from '@gullstand/core';
 import type {Contract, registration, viewChange} from '@gullstand/core';
 import {drawBelow, drawExponential} from '../../frame/random.js';
@@ -13,7 +13,7 @@
 /** Customers whose contracts are changed. */
 export const customers = ['north', 'south', 'east', 'west', 'centre'];
 
-/** The row of a registered entry that has acknowledged nothing. */
+/** Creates the row of an entry that has acknowledged nothing. */
 export const createRegistration = ({
 	incarnation,
 }: Entry): registration.Registration => ({
@@ -36,7 +36,7 @@
 		{revision},
 	).length === 0;
 
-/** Offers a change to every peer again until all have acknowledged. */
+/** Resends a change to the peers until all have acknowledged it. */
 const announce = async (
 	simulation: Simulation,
 	index: number,
@@ -45,13 +45,13 @@
 	const {clock, nodes} = simulation;
 	const entry = nodes[index]!;
 	const acceptedAt = clock.now();
-	let offeredAt = Number.NEGATIVE_INFINITY;
+	let sentAt = Number.NEGATIVE_INFINITY;
 	applyDeltas(simulation, entry, [delta]);
 	while (!isInForce(simulation, entry, delta.revision)) {
-		if (clock.now() - offeredAt >= offerAgainMs) {
-			offeredAt = clock.now();
+		if (clock.now() - sentAt >= resendMs) {
+			sentAt = clock.now();
 			const bytes = JSON.stringify(delta).length;
-			for (const peer of listWaitedFor(simulation, entry, delta.revision)) {
+			for (const peer of listPendingPeers(simulation, entry, delta.revision)) {
 				void send(simulation, peer, bytes, () => {
 					peer.awaitedBy.add(index);
 					applyDeltas(simulation, peer, [delta]);
@@ -60,7 +60,7 @@
 			}
 		}
 
-		// The longer it has taken, the coarser the measurement may be.
+		// Checks with a resolution of 2 % of the elapsed time, at least 1 ms.
 		await clock.sleep(Math.max(1, (clock.now() - acceptedAt) / 50));
 	}
 
@@ -70,9 +70,13 @@
 	}
 };
 
-const offerAgainMs = 500;
+const resendMs = 500;
 
-const listWaitedFor = ({nodes}: Simulation, entry: Entry, revision: number) =>
+const listPendingPeers = (
+	{nodes}: Simulation,
+	entry: Entry,
+	revision: number,
+) =>
 	nodes.filter(
 		(peer) =>
 			peer !== entry &&
@@ -82,7 +86,7 @@
 
 type Attempt = 'accepted' | 'refused' | 'unknown';
 
-/** One attempt of one change; a race for the counter alone is tried again. */
+/** Attempts one change; a conflict on the contract row refuses it. */
 const commit = async (
 	simulation: Simulation,
 	id: string,
@@ -99,7 +103,7 @@
 	const when = {kind: 'version', version: read.value.version} as const;
 	counts.writes += 1;
 	const reply = await link(() => {
-		// The counter and the log move with the row, in one transaction.
+		// The log is updated with the row, in one transaction.
 		const isCommitted = data.commit([
 			{kind: 'put', table: 'contract', key: customer, value: contract, when},
 		]);
@@ -138,7 +142,7 @@
 	}
 };
 
-/** Changes contracts until enough are accepted. */
+/** Changes contracts until enough changes are accepted. */
 export const runOperator = async (simulation: Simulation, name: number) => {
 	const {clock, random, acceptedIds, counts, log} = simulation;
 	for (let index = 0; acceptedIds.size < simulation.changes; index += 1) {
--- a/packages/bench/src/benches/rollout/run-rollout.ts
+++ b/packages/bench/src/benches/rollout/run-rollout.ts
@@ -1,4 +1,4 @@
-/** Racing operators change contracts; entries follow and acknowledge. */
+/** Runs a rollout: operators change contracts, entries acknowledge them. */
 import * as core from '@gullstand/core';
 import {createRandom, drawBelow} from '../../frame/random.js';
 import {createClock} from '../agreement/clock.js';
@@ -99,7 +99,7 @@
 			inForceMs.length >= acceptedIds.size,
 	);
 	const simulatedMs = clock.now();
-	const used = {...counts};
+	const countsAtEnd = {...counts};
 	await clock.run(simulatedMs + 2 * pauseMs);
 	simulation.isDone = true;
 	return {
@@ -109,10 +109,12 @@
 		lost: countLost(simulation),
 		reverted: nodes.reduce((sum, {reverted}) => sum + reverted, 0),
 		simulatedMs,
-		storeReads: used.reads,
-		storeWrites: used.writes,
-		// Each call to the store has a frame of its own.
-		storeBytes: used.storeBytes + frameBytes * (used.reads + used.writes),
-		peerBytes: used.peerBytes,
+		storeReads: countsAtEnd.reads,
+		storeWrites: countsAtEnd.writes,
+		// Each call to the store is sent in its own frame.
+		storeBytes:
+			countsAtEnd.storeBytes +
+			frameBytes * (countsAtEnd.reads + countsAtEnd.writes),
+		peerBytes: countsAtEnd.peerBytes,
 	};
 };
--- a/packages/bench/src/benches/rollout/simulation.ts
+++ b/packages/bench/src/benches/rollout/simulation.ts
@@ -1,4 +1,4 @@
-/** What entries and operators of the rollout bench share. */
+/** Shared state of the entries and operators of the rollout bench. */
 import type {
 	acknowledgement,
 	Contract,
@@ -10,7 +10,7 @@
 import type {Clock} from '../agreement/clock.js';
 import type {Link, LinkFaults, Store} from '../agreement/store.js';
 
-/** One run. */
+/** Options of one run. */
 export type RolloutOptions = {
 	readonly seed: number;
 	readonly entries: number;
@@ -18,22 +18,22 @@
 	/** Mean time between two changes of one operator. */
 	readonly meanGapMs: number;
 	readonly store: LinkFaults;
-	/** Part of the messages between peers that are lost. */
+	/** Share of the messages between peers that is lost. */
 	readonly lostMessages: number;
 	/** True pauses one entry after another for 30 s. */
 	readonly hasPauses: boolean;
 };
 
-/** What a run showed. */
+/** Result of one run. */
 export type RolloutResult = {
 	readonly accepted: number;
-	/** Changes that lost the race and were told so. */
+	/** Changes that were refused because of a conflict. */
 	readonly refused: number;
-	/** From accepted to in force on every entry. */
+	/** Times from acceptance until in force on every entry. */
 	readonly inForceMs: readonly number[];
-	/** Accepted changes that an entry never had in force. */
+	/** Accepted changes missing from the log, plus entries behind at the end. */
 	readonly lost: number;
-	/** Times that an entry's revision or a contract went back. */
+	/** Number of times that an entry's revision or a contract reverted. */
 	readonly reverted: number;
 	readonly simulatedMs: number;
 	readonly storeReads: number;
@@ -42,7 +42,6 @@
 	readonly peerBytes: number;
 };
 
-/** One entry. */
 export type Entry = {
 	readonly incarnation: acknowledgement.EntryIncarnation;
 	followed: followedView.FollowedView;
@@ -57,7 +56,7 @@
 	isPolling: boolean;
 };
 
-/** Everything that a run shares. */
+/** State that the entries and operators share. */
 export type Simulation = RolloutOptions & {
 	readonly random: Random;
 	readonly clock: Clock;
@@ -81,10 +80,10 @@
 /** HTTP head, signature and JSON-RPC frame of a message, in bytes. */
 export const frameBytes = 420;
 
-/** The counter row, in bytes. */
+/** Size of the counter row, in bytes. */
 export const counterBytes = 120;
 
-/** A contract whose weight counts its changes. */
+/** Creates a contract whose weight counts its changes. */
 export const createContract = (customer: string, weight: number): Contract => ({
 	customer,
 	weight,
@@ -100,7 +99,7 @@
 	}
 };
 
-/** Brings a message to a peer, which handles it when it is awake. */
+/** Delivers a message to a peer, which handles it once it is not paused. */
 export const send = async (
 	simulation: Simulation,
 	to: Entry,
