--- a/packages/bench/src/benches/at-most-once/world.ts
+++ b/packages/bench/src/benches/at-most-once/simulation.ts
@@ -1,4 +1,4 @@
-/** Entries, callers and an executor over one store, on a virtual clock. */
+/** Simulation of entries, callers and an executor on a virtual clock. */
 import {Buffer} from 'node:buffer';
 import * as core from '@gullstand/core';
 import * as daemon from '@gullstand/daemon';
@@ -6,23 +6,23 @@
 import * as standIn from '@gullstand/stand-in';
 import type {Random} from '../../frame/random.js';
 import {type ExecutorKind, type Run, dispatchJob} from './executor.js';
-import type {Told} from './judge.js';
-import type {Life, Plan, StepContext} from './steps.js';
+import type {SendResult} from './log-checker.js';
+import type {EntryProcess, Plan, StepContext} from './steps.js';
 import * as steps from './steps.js';
 import type {Variant} from './variants.js';
 
-/** Time from a kill to the entry's next life, in milliseconds. */
+/** Time from a kill to the entry's next incarnation, in milliseconds. */
 const restartMs = 200;
-/** Wait of a caller beyond its deadline, in milliseconds. */
+/** Time a caller waits beyond its deadline, in milliseconds. */
 const graceMs = 500;
 const maxAttempts = 10_000;
-/** Clocks of entries differ by up to twice this, in milliseconds. */
+/** Maximum skew of an entry's clock in either direction, in milliseconds. */
 const maxSkewMs = 4000;
-/** Unix time at the start; entries' clocks never go below 0. */
+/** Unix time at the start, in milliseconds; keeps skewed clocks above 0. */
 const startDate = 1_000_000_000;
 
-/** What a run is made of. */
-export type WorldOptions = {
+/** Options of a simulation. */
+export type SimulationOptions = {
 	readonly entries: number;
 	readonly plan: Plan;
 	readonly random: Random;
@@ -41,33 +41,33 @@
 	readonly executor: ExecutorKind;
 };
 
-/** A run of entries and callers. */
-export type World = {
+/** A simulation of entries and callers. */
+export type Simulation = {
 	readonly clock: standIn.VirtualClock;
 	readonly counts: steps.StepCounts;
 	readonly log: readonly Run[];
-	readonly told: readonly Told[];
+	readonly results: readonly SendResult[];
 	/** Times from the arrival of a request to its dispatch. */
 	readonly dispatchDelaysMs: readonly number[];
-	/** Plans a sending; the promise ends with what the caller was told. */
-	readonly send: (sending: Sending) => Promise<Told>;
-	/** Attempts that are open on entries that live. */
+	/** Schedules a sending; resolves with the caller's result. */
+	readonly send: (sending: Sending) => Promise<SendResult>;
+	/** Number of attempts that are open on live entries. */
 	readonly getOpenCount: () => number;
-	/** Transactions sent by all lives. */
+	/** Number of transactions sent by all incarnations. */
 	readonly getCommitCount: () => number;
 };
 
-/** A reply, and when the entry gave it. */
-type Given = {
+/** A reply and the time at which the entry gave it. */
+type TimedReply = {
 	readonly reply: core.idempotency.Reply;
 	readonly decidedAt: number;
 };
 
-type Entry = {life: Life; keeper: daemon.idempotency.RequestDeduplicator};
+type Entry = {entryProcess: EntryProcess; keeper: daemon.idempotency.RequestDeduplicator};
 
-const readTold = (
+const readReply = (
 	reply: core.idempotency.Reply | undefined,
-): Pick<Told, 'outcome' | 'error' | 'answer'> => {
+): Pick<SendResult, 'outcome' | 'error' | 'answer'> => {
 	if (reply === undefined) {
 		return {outcome: 'none', error: undefined, answer: undefined};
 	}
@@ -81,15 +81,15 @@
 	return {outcome: 'ran', error: undefined, answer};
 };
 
-/** Makes a world at time 0. */
-export const createWorld = (options: WorldOptions): World => {
+/** Creates a simulation at time 0. */
+export const createSimulation = (options: SimulationOptions): Simulation => {
 	const {plan, random, variant} = options;
 	const clock = standIn.createVirtualClock();
 	const tables = platform.createMemoryTableService();
 	const objects = platform.createMemoryObjectStore();
 	const counts: steps.StepCounts = {steps: 0, calls: 0};
 	const log: Run[] = [];
-	const told: Told[] = [];
+	const results: SendResult[] = [];
 	const dispatchDelaysMs: number[] = [];
 	const entries: Entry[] = [];
 	const keepers: daemon.idempotency.RequestDeduplicator[] = [];
@@ -99,9 +99,9 @@
 		clock,
 		plan,
 		counts,
-		onKill(life) {
+		onKill(entryProcess) {
 			clock.callAt(clock.getNow() + restartMs, () => {
-				entries[life.entry] = startEntry(life.entry);
+				entries[entryProcess.entry] = startEntry(entryProcess.entry);
 			});
 		},
 	};
@@ -112,11 +112,19 @@
 	);
 
 	const startEntry = (entry: number): Entry => {
-		const life: Life = {entry, incarnation: `life-${++ids}`, isAlive: true};
-		const lifeTables = steps.createLifeTables(context, life, tables);
+		const entryProcess: EntryProcess = {
+			entry,
+			incarnation: `life-${++ids}`,
+			isAlive: true,
+		};
+		const faultyTables = steps.createFaultyTables(
+			context,
+			entryProcess,
+			tables,
+		);
 		const keeper = daemon.idempotency.createRequestDeduplicator({
-			tables: variant.wrapTables(lifeTables),
-			objects: steps.createLifeObjects(context, life, objects),
+			tables: variant.wrapTables(faultyTables),
+			objects: steps.createFaultyObjects(context, entryProcess, objects),
 			clock: {
 				getTime: () => ({
 					now: clock.getNow(),
@@ -124,7 +132,7 @@
 				}),
 				callAt: (at, callback) =>
 					clock.callAt(at, () => {
-						if (life.isAlive) {
+						if (entryProcess.isAlive) {
 							callback();
 						}
 					}),
@@ -135,19 +143,22 @@
 				options.groupSettings ?? daemon.idempotency.defaultGroupSettings,
 			maxAttempts,
 			entry: `entry-${entry}`,
-			incarnation: life.incarnation,
+			incarnation: entryProcess.incarnation,
 		});
 		keepers.push(keeper);
-		return {life, keeper};
+		return {entryProcess, keeper};
 	};
 
-	const ask = async (sending: Sending, id: number): Promise<Given> => {
+	const handleSending = async (
+		sending: Sending,
+		id: number,
+	): Promise<TimedReply> => {
 		const entry = entries[sending.entry];
-		if (!entry?.life.isAlive) {
-			return steps.never();
+		if (!entry?.entryProcess.isAlive) {
+			return steps.waitForever();
 		}
 
-		const {life, keeper} = entry;
+		const {entryProcess, keeper} = entry;
 		const arrivedAt = clock.getNow();
 		const reply = await keeper.handle({
 			customer: 'broker',
@@ -161,15 +172,17 @@
 				dispatchDelaysMs.push(clock.getNow() - arrivedAt);
 				const {key, executor: kind} = sending;
 				const job = {key, sending: id, kind, dispatchBy};
-				return variant.wrapResult(await dispatchJob(context, life, log, job));
+				return variant.wrapResult(
+					await dispatchJob(context, entryProcess, log, job),
+				);
 			},
 		});
 		const decidedAt = clock.getNow();
-		await steps.passStep(context, life);
+		await steps.passStep(context, entryProcess);
 		return {reply, decidedAt};
 	};
 
-	const send = async (sending: Sending): Promise<Told> => {
+	const send = async (sending: Sending): Promise<SendResult> => {
 		const id = ++ids;
 		const {key, body} = sending;
 		await clock.wait(sending.at - clock.getNow());
@@ -178,9 +191,12 @@
 			return undefined;
 		};
 
-		const given = await Promise.race([ask(sending, id), noReply()]);
+		const timedReply = await Promise.race([
+			handleSending(sending, id),
+			noReply(),
+		]);
 		const at = clock.getNow();
-		const decidedAt = given?.decidedAt ?? at;
+		const decidedAt = timedReply?.decidedAt ?? at;
 		const tookMs = at - sending.at;
 		const result = {
 			sending: id,
@@ -189,9 +205,9 @@
 			decidedAt,
 			at,
 			tookMs,
-			...readTold(given?.reply),
+			...readReply(timedReply?.reply),
 		};
-		told.push(result);
+		results.push(result);
 		return result;
 	};
 
@@ -203,12 +219,12 @@
 		clock,
 		counts,
 		log,
-		told,
+		results,
 		dispatchDelaysMs,
 		send,
 		getOpenCount: () =>
 			entries
-				.filter(({life}) => life.isAlive)
+				.filter(({entryProcess}) => entryProcess.isAlive)
 				.reduce((sum, {keeper}) => sum + keeper.getOpenCount(), 0),
 		getCommitCount: () =>
 			keepers.reduce((sum, keeper) => sum + keeper.getCommitCount(), 0),
--- a/packages/bench/src/benches/limits/credit-way.ts
+++ b/packages/bench/src/benches/limits/credit-strategy.ts
@@ -1,12 +1,12 @@
-/** Credits granted by the home of each pool, as the daemon runs them. */
+/** Credits granted by the credit coordinator of each pool, as in the daemon. */
 import * as core from '@gullstand/core';
 import type {CreditEnvelope, CreditMessage, PoolLimits} from '@gullstand/core';
 import type {EntryQueue} from './queues.js';
 import * as queues from './queues.js';
 import * as settings from './settings.js';
-import type {Way} from './simple-ways.js';
-import type {Request, World} from './world.js';
-import * as worlds from './world.js';
+import type {Strategy} from './simple-strategies.js';
+import type {Request, Simulation} from './simulation.js';
+import * as simulations from './simulation.js';
 
 type Entry = {
 	readonly name: string;
@@ -20,16 +20,16 @@
 	silent: ReadonlySet<string>;
 };
 
-/** Time between two reports of one pool, at least. */
+/** Minimum time between two reports of one pool. */
 const reportGapMs = 0;
 
 const getDeadlines = (waiting: readonly Request[]) =>
 	waiting.map((request) => request.deadlineMs);
 
-/** Way with the given settings. */
-export const createCredits =
+/** Creates the credit strategy with the given settings. */
+export const createCreditStrategy =
 	(creditSettings: core.CreditSettings) =>
-	(world: World): Way => {
+	(simulation: Simulation): Strategy => {
 		const entries = new Map<string, Entry>();
 
 		const deliver = (
@@ -37,22 +37,22 @@
 			to: string,
 			envelopes: ReadonlyArray<{pool: number; message: CreditMessage}>,
 		) => {
-			worlds.send(world, to, () => {
+			simulations.send(simulation, to, () => {
 				const entry = entries.get(to);
 				if (!entry) {
 					return;
 				}
 
-				entry.heardAt.set(from.name, world.nowMs);
+				entry.heardAt.set(from.name, simulation.nowMs);
 				for (const {pool, message} of envelopes) {
 					const limits = entry.limits[pool]!;
 					const answers = core.poolLimits.receiveMessage(
 						limits,
 						message,
-						world.nowMs,
+						simulation.nowMs,
 					);
 					sendAll(entry, pool, answers);
-					queues.pump(entry.queues[pool]!);
+					queues.dispatchWaiting(entry.queues[pool]!);
 				}
 			});
 		};
@@ -77,12 +77,12 @@
 					core.creditBorrower.getHeld(borrower, executor),
 				);
 				const inFlight = borrower.inFlight.get(executor) ?? 0;
-				const before = entry.connections.get(executor) ?? 0;
-				// A kept connection is only closed when the limit asks for it.
-				const open = Math.max(inFlight, Math.min(before, limit));
-				if (open !== before) {
+				const openBefore = entry.connections.get(executor) ?? 0;
+				// An idle connection is closed only if the limit requires it.
+				const open = Math.max(inFlight, Math.min(openBefore, limit));
+				if (open !== openBefore) {
 					entry.connections.set(executor, open);
-					worlds.setConnections(world, entry.name, executor, open);
+					simulations.setConnections(simulation, entry.name, executor, open);
 				}
 			}
 		};
@@ -90,13 +90,13 @@
 		const flush = (entry: Entry, pool: number) => {
 			const limits = entry.limits[pool]!;
 			const queue = entry.queues[pool]!;
-			const isOwn = limits.borrower.coordinator === entry.name;
+			const isCoordinator = limits.borrower.coordinator === entry.name;
 			const dueMs = limits.borrower.lastReportMs + reportGapMs;
-			if (!isOwn && world.nowMs < dueMs) {
+			if (!isCoordinator && simulation.nowMs < dueMs) {
 				if (entry.flushAtMs[pool]! < dueMs) {
 					entry.flushAtMs[pool] = dueMs;
-					worlds.schedule(world, dueMs, () => {
-						if (limits.borrower.dirty && world.alive.has(entry.name)) {
+					simulations.schedule(simulation, dueMs, () => {
+						if (limits.borrower.dirty && simulation.alive.has(entry.name)) {
 							flush(entry, pool);
 						}
 					});
@@ -108,11 +108,11 @@
 			const envelopes = core.poolLimits.flushReport(
 				limits,
 				getDeadlines(queue.waiting),
-				world.nowMs,
+				simulation.nowMs,
 			);
 			sendAll(entry, pool, envelopes);
-			if (isOwn) {
-				queues.pump(queue);
+			if (isCoordinator) {
+				queues.dispatchWaiting(queue);
 			}
 		};
 
@@ -125,9 +125,9 @@
 						name,
 						{
 							...creditSettings,
-							longestAttemptMs: pool.answerWithinMs + settings.cutSettleMs,
+							longestAttemptMs: pool.answerWithinMs + settings.slotReuseDelayMs,
 						},
-						world.nowMs,
+						simulation.nowMs,
 					),
 				),
 				queues: [],
@@ -141,22 +141,22 @@
 			for (const pool of settings.pools.keys()) {
 				const {borrower} = entry.limits[pool]!;
 				let reported = 0;
-				const queue = queues.createQueue(world, pool, {
+				const queue = queues.createQueue(simulation, pool, {
 					acquire: (request) =>
 						core.creditSlots.acquireSlot(
 							borrower,
-							world.nowMs,
+							simulation.nowMs,
 							request.deadlineMs,
 							() => 1,
 						),
 					finish(executor) {
 						core.creditSlots.finishSlot(borrower, executor);
 					},
-					settle(waiting) {
+					onQueueChange(waiting) {
 						core.creditSlots.releaseSpares(
 							borrower,
 							waiting.length,
-							world.nowMs,
+							simulation.nowMs,
 						);
 						updateConnections(entry, pool);
 						if (waiting.length > reported) {
@@ -173,7 +173,7 @@
 			}
 
 			entries.set(name, entry);
-			worlds.schedule(world, world.nowMs, () => {
+			simulations.schedule(simulation, simulation.nowMs, () => {
 				tick(entry);
 			});
 			return entry;
@@ -196,21 +196,21 @@
 						ended: entry.ended,
 						slots,
 					},
-					world.nowMs,
+					simulation.nowMs,
 				);
-				queues.pump(entry.queues[pool]!);
+				queues.dispatchWaiting(entry.queues[pool]!);
 			}
 		};
 
 		const tick = (entry: Entry) => {
-			if (!world.alive.has(entry.name)) {
+			if (!simulation.alive.has(entry.name)) {
 				return;
 			}
 
 			const silent = core.unresponsiveMembers.getUnresponsiveMembers(
 				entry.heardAt,
 				entry.listed.filter((each) => each !== entry.name),
-				world.nowMs,
+				simulation.nowMs,
 				core.unresponsiveMembers.defaultUnresponsiveAfterMs,
 			);
 			if ([...silent].join(' ') !== [...entry.silent].join(' ')) {
@@ -228,41 +228,45 @@
 			);
 			for (const [pool, limits] of entry.limits.entries()) {
 				const envelopes = [
-					...core.poolLimits.tickPool(limits, world.nowMs),
+					...core.poolLimits.tickPool(limits, simulation.nowMs),
 					...core.poolLimits.flushReport(
 						limits,
 						getDeadlines(entry.queues[pool]!.waiting),
-						world.nowMs,
+						simulation.nowMs,
 					),
 				];
 				for (const {to, message} of envelopes) {
 					batches.get(to)?.push({pool, message});
 				}
 
-				queues.pump(entry.queues[pool]!);
+				queues.dispatchWaiting(entry.queues[pool]!);
 			}
 
 			for (const [to, batch] of batches) {
 				deliver(entry, to, batch);
 			}
 
-			worlds.schedule(world, world.nowMs + creditSettings.heartbeatMs, () => {
-				tick(entry);
-			});
+			simulations.schedule(
+				simulation,
+				simulation.nowMs + creditSettings.heartbeatMs,
+				() => {
+					tick(entry);
+				},
+			);
 		};
 
 		return {
 			arrive(request) {
 				const entry = entries.get(request.entry)!;
-				queues.arrive(entry.queues[request.arrival.pool]!, request);
+				queues.enqueue(entry.queues[request.arrival.pool]!, request);
 			},
-			learn(name, listed, ended) {
+			applyMembership(name, listed, ended) {
 				const entry = entries.get(name) ?? createEntry(name);
 				entry.listed = listed;
 				entry.ended = ended;
 				updateMembers(entry);
 			},
-			lose(name) {
+			removeEntry(name) {
 				for (const queue of entries.get(name)?.queues ?? []) {
 					queues.drop(queue);
 				}
--- a/packages/bench/src/benches/limits/queues.ts
+++ b/packages/bench/src/benches/limits/queues.ts
@@ -1,34 +1,34 @@
-/** Waiting requests of every entry and pool, first in, first out. */
-import type {Request, World} from './world.js';
-import * as worlds from './world.js';
+/** FIFO queues of waiting requests by entry and pool. */
+import type {Request, Simulation} from './simulation.js';
+import * as simulations from './simulation.js';
 
-/** What a way decides for one entry and pool. */
+/** Decisions of a strategy for one entry and pool. */
 export type Decisions = {
-	/** An executor that the request may go to now; counts it in flight. */
+	/** Picks an executor for the request, if any, and counts it in flight. */
 	readonly acquire: (request: Request) => string | undefined;
-	/** The request on this executor has ended. */
+	/** Called when a request on the executor has ended. */
 	readonly finish: (executor: string) => void;
-	/** Called after every change, once nothing more can be dispatched. */
-	readonly settle?: (waiting: readonly Request[]) => void;
+	/** Called after every change, when nothing more can be dispatched. */
+	readonly onQueueChange?: (waiting: readonly Request[]) => void;
 };
 
 /** The queue of one entry and pool. */
 export type EntryQueue = {
-	readonly world: World;
+	readonly simulation: Simulation;
 	readonly pool: number;
 	readonly decisions: Decisions;
 	readonly waiting: Request[];
 };
 
 export const createQueue = (
-	world: World,
+	simulation: Simulation,
 	pool: number,
 	decisions: Decisions,
-): EntryQueue => ({world, pool, decisions, waiting: []});
+): EntryQueue => ({simulation, pool, decisions, waiting: []});
 
-/** Dispatches all that can be, then lets the way settle. */
-export const pump = (queue: EntryQueue) => {
-	const {world, pool, decisions, waiting} = queue;
+/** Dispatches all requests that can be, then reports the queue change. */
+export const dispatchWaiting = (queue: EntryQueue) => {
+	const {simulation, pool, decisions, waiting} = queue;
 	for (let request = waiting[0]; request; request = waiting[0]) {
 		const executor = decisions.acquire(request);
 		if (executor === undefined) {
@@ -36,36 +36,36 @@
 		}
 
 		waiting.shift();
-		worlds.addWaiting(world, pool, -1);
-		worlds.dispatch(world, request, executor, {
+		simulations.addWaiting(simulation, pool, -1);
+		simulations.dispatch(simulation, request, executor, {
 			onEnd() {
 				decisions.finish(executor);
-				pump(queue);
+				dispatchWaiting(queue);
 			},
 		});
 	}
 
-	decisions.settle?.(waiting);
+	decisions.onQueueChange?.(waiting);
 };
 
-/** Takes in a request; it is given up at its deadline if still waiting. */
-export const arrive = (queue: EntryQueue, request: Request) => {
-	const {world, pool, waiting} = queue;
+/** Queues a request; it is given up if it still waits at its limit. */
+export const enqueue = (queue: EntryQueue, request: Request) => {
+	const {simulation, pool, waiting} = queue;
 	waiting.push(request);
-	worlds.addWaiting(world, pool, 1);
-	worlds.schedule(world, request.giveUpAtMs, () => {
+	simulations.addWaiting(simulation, pool, 1);
+	simulations.schedule(simulation, request.giveUpAtMs, () => {
 		const index = waiting.indexOf(request);
 		if (index !== -1) {
 			waiting.splice(index, 1);
-			worlds.addWaiting(world, pool, -1);
-			worlds.giveUp(world, request);
+			simulations.addWaiting(simulation, pool, -1);
+			simulations.giveUp(simulation, request);
 		}
 	});
-	pump(queue);
+	dispatchWaiting(queue);
 };
 
-/** The entry is lost with all that waits in it. */
+/** Drops the waiting requests of a lost entry. */
 export const drop = (queue: EntryQueue) => {
-	worlds.addWaiting(queue.world, queue.pool, -queue.waiting.length);
+	simulations.addWaiting(queue.simulation, queue.pool, -queue.waiting.length);
 	queue.waiting.length = 0;
 };
--- a/packages/bench/src/benches/limits/simple-ways.ts
+++ b/packages/bench/src/benches/limits/simple-strategies.ts
@@ -1,21 +1,21 @@
-/** The lower bound and the ways without grants. */
+/** The lower bounds and the strategies without credits. */
 import * as core from '@gullstand/core';
 import type {EntryQueue} from './queues.js';
 import * as queues from './queues.js';
 import * as settings from './settings.js';
-import type {Request, World} from './world.js';
-import * as worlds from './world.js';
+import type {Request, Simulation} from './simulation.js';
+import * as simulations from './simulation.js';
 
-/** One way in one run. */
-export type Way = {
+/** A strategy in one run. */
+export type Strategy = {
 	readonly arrive: (request: Request) => void;
-	/** An entry has read a new list, or found that processes have ended. */
-	readonly learn: (
+	/** Called when an entry has read a new list or found ended processes. */
+	readonly applyMembership: (
 		entry: string,
 		listed: readonly string[],
 		ended: ReadonlySet<string>,
 	) => void;
-	readonly lose: (entry: string) => void;
+	readonly removeEntry: (entry: string) => void;
 };
 
 const poolSlots = settings.pools.map(
@@ -24,14 +24,17 @@
 );
 
 /**
- * One queue for each pool, of all requests and all slots. A slot is free again
- * when the answer has crossed its link; with `knowsExecutors` already when the
- * executor is done, which no sender can know.
+ * Creates one queue per pool for all requests and slots. A slot is free again
+ * when the answer arrives or, with `knowsExecutors`, as soon as the executor is
+ * done, which no real sender can know.
  */
-const createOneQueue = (world: World, knowsExecutors: boolean): Way => {
+const createOneQueue = (
+	simulation: Simulation,
+	knowsExecutors: boolean,
+): Strategy => {
 	const waiting: Request[][] = settings.pools.map(() => []);
 	const assigned = new Map<string, number>();
-	const pump = (pool: number) => {
+	const dispatchPool = (pool: number) => {
 		for (;;) {
 			const request = waiting[pool]![0];
 			let executor: string | undefined;
@@ -51,14 +54,14 @@
 			const picked = executor;
 			assigned.set(picked, least + 1);
 			waiting[pool]!.shift();
-			worlds.addWaiting(world, pool, -1);
+			simulations.addWaiting(simulation, pool, -1);
 			const onFree = () => {
 				assigned.set(picked, assigned.get(picked)! - 1);
-				pump(pool);
+				dispatchPool(pool);
 			};
 
-			worlds.dispatch(
-				world,
+			simulations.dispatch(
+				simulation,
 				request,
 				picked,
 				knowsExecutors ? {onFree} : {onEnd: onFree, endsWhenLost: true},
@@ -70,7 +73,7 @@
 		const index = waiting[pool]!.indexOf(request);
 		if (index !== -1) {
 			waiting[pool]!.splice(index, 1);
-			worlds.addWaiting(world, pool, -1);
+			simulations.addWaiting(simulation, pool, -1);
 		}
 
 		return index !== -1;
@@ -80,16 +83,16 @@
 		arrive(request) {
 			const {pool} = request.arrival;
 			waiting[pool]!.push(request);
-			worlds.addWaiting(world, pool, 1);
-			worlds.schedule(world, request.giveUpAtMs, () => {
+			simulations.addWaiting(simulation, pool, 1);
+			simulations.schedule(simulation, request.giveUpAtMs, () => {
 				if (remove(pool, request)) {
-					worlds.giveUp(world, request);
+					simulations.giveUp(simulation, request);
 				}
 			});
-			pump(pool);
+			dispatchPool(pool);
 		},
-		learn: () => undefined,
-		lose(entry) {
+		applyMembership: () => undefined,
+		removeEntry(entry) {
 			for (const [pool, requests] of waiting.entries()) {
 				for (const request of requests.filter((each) => each.entry === entry)) {
 					remove(pool, request);
@@ -99,13 +102,15 @@
 	};
 };
 
-/** The bound for all that see a slot free when its answer has come. */
-export const createOmniscient = (world: World) => createOneQueue(world, false);
+/** Lower bound for strategies that learn of free slots from answers. */
+export const createOmniscient = (simulation: Simulation) =>
+	createOneQueue(simulation, false);
 
-/** The bound with knowledge of the executors besides. */
-export const createClairvoyant = (world: World) => createOneQueue(world, true);
+/** Lower bound with immediate knowledge of the executors. */
+export const createClairvoyant = (simulation: Simulation) =>
+	createOneQueue(simulation, true);
 
-/** What one entry knows; counts are of one pool's executors. */
+/** State of one entry; counts are by executor. */
 type EntryState = {
 	readonly entry: string;
 	readonly queues: EntryQueue[];
@@ -119,12 +124,12 @@
 type Pick = (
 	state: EntryState,
 	pool: number,
-	world: World,
+	simulation: Simulation,
 ) => string | undefined;
 
-const createLocalWay =
+const createLocalStrategy =
 	(pick: Pick, exchangeMs?: number) =>
-	(world: World): Way => {
+	(simulation: Simulation): Strategy => {
 		const states = new Map<string, EntryState>();
 		const createState = (entry: string): EntryState => {
 			const state: EntryState = {
@@ -137,9 +142,9 @@
 				shares: [],
 			};
 			for (const pool of settings.pools.keys()) {
-				const queue = queues.createQueue(world, pool, {
+				const queue = queues.createQueue(simulation, pool, {
 					acquire() {
-						const executor = pick(state, pool, world);
+						const executor = pick(state, pool, simulation);
 						if (executor !== undefined) {
 							core.creditMessages.addCount(state.inFlight, executor, 1);
 						}
@@ -162,7 +167,7 @@
 		};
 
 		const exchange = (state: EntryState, everyMs: number) => {
-			if (!world.alive.has(state.entry)) {
+			if (!simulation.alive.has(state.entry)) {
 				return;
 			}
 
@@ -170,17 +175,17 @@
 			for (const to of state.listed) {
 				const peer = states.get(to);
 				if (peer && peer !== state) {
-					worlds.send(world, to, () => {
+					simulations.send(simulation, to, () => {
 						peer.peers.set(state.entry, counts);
 						peer.peerSums = core.powerOfTwo.sumPeerCounts(peer.peers.values());
 						for (const queue of peer.queues) {
-							queues.pump(queue);
+							queues.dispatchWaiting(queue);
 						}
 					});
 				}
 			}
 
-			worlds.schedule(world, world.nowMs + everyMs, () => {
+			simulations.schedule(simulation, simulation.nowMs + everyMs, () => {
 				exchange(state, everyMs);
 			});
 		};
@@ -188,9 +193,9 @@
 		return {
 			arrive(request) {
 				const state = states.get(request.entry)!;
-				queues.arrive(state.queues[request.arrival.pool]!, request);
+				queues.enqueue(state.queues[request.arrival.pool]!, request);
 			},
-			learn(entry, listed) {
+			applyMembership(entry, listed) {
 				const state = states.get(entry) ?? createState(entry);
 				state.listed = listed;
 				state.shares = poolSlots.map((slots) =>
@@ -203,10 +208,10 @@
 				}
 
 				for (const queue of state.queues) {
-					queues.pump(queue);
+					queues.dispatchWaiting(queue);
 				}
 			},
-			lose(entry) {
+			removeEntry(entry) {
 				for (const queue of states.get(entry)?.queues ?? []) {
 					queues.drop(queue);
 				}
@@ -214,8 +219,8 @@
 		};
 	};
 
-/** Each entry uses its own share of each executor, and no more. */
-export const createStatic = createLocalWay((state, pool) => {
+/** Each entry uses only its static share of each executor. */
+export const createStatic = createLocalStrategy((state, pool) => {
 	let picked: string | undefined;
 	let least = Number.POSITIVE_INFINITY;
 	for (const [executor, share] of state.shares[pool]!) {
@@ -230,7 +235,7 @@
 });
 
 const pickOfTwo = (
-	{draw}: World,
+	{draw}: Simulation,
 	pool: number,
 	getInFlight: (executor: string) => number,
 ) =>
@@ -245,17 +250,22 @@
 	);
 
 /** Power of two choices by the entry's own requests in flight. */
-export const createTwoLocal = createLocalWay((state, pool, world) =>
-	pickOfTwo(world, pool, (executor) => state.inFlight.get(executor) ?? 0),
+export const createPowerOfTwoLocal = createLocalStrategy(
+	(state, pool, simulation) =>
+		pickOfTwo(
+			simulation,
+			pool,
+			(executor) => state.inFlight.get(executor) ?? 0,
+		),
 );
 
 const exchangeMs = 20;
 
-/** The same with what peers said of theirs, exchanged every 20 ms. */
-export const createTwoPeers = createLocalWay(
-	(state, pool, world) =>
+/** Power of two choices with the counts of peers, exchanged every 20 ms. */
+export const createPowerOfTwoPeers = createLocalStrategy(
+	(state, pool, simulation) =>
 		pickOfTwo(
-			world,
+			simulation,
 			pool,
 			(executor) =>
 				(state.inFlight.get(executor) ?? 0) +
--- a/packages/bench/src/benches/outage.ts
+++ b/packages/bench/src/benches/outage.ts
@@ -1,4 +1,4 @@
-/** An outage of the table service for ten minutes: issue 4, item 3. */
+/** `bench outage`: an outage of the table service for ten minutes. */
 import * as platform from '@gullstand/ports';
 import {check} from '../frame/check.js';
 import type {Bench, BenchOptions, Check, Figures} from '../frame/types.js';
@@ -9,7 +9,7 @@
 	type FleetOptions,
 	type FleetReport,
 } from './outage/fleet.js';
-import {getMeanPerSecond, getMostInSecond} from './outage/load-meter.js';
+import {getMeanPerSecond, getPeakPerSecond} from './outage/load-meter.js';
 
 const minuteMs = 60_000;
 
@@ -26,9 +26,9 @@
 ): FleetOptions => {
 	const healthyMs = short ? minuteMs / 2 : 2 * minuteMs;
 	const downFrom = healthyMs;
-	// Without a guard a run costs much; its load a second is steady.
-	const isCut = short && client === 'unguarded';
-	const downTo = downFrom + (isCut ? 0.25 : 10) * minuteMs;
+	// An unguarded run is expensive, and its load per second is constant.
+	const isShortened = short && client === 'unguarded';
+	const downTo = downFrom + (isShortened ? 0.25 : 10) * minuteMs;
 	const until = downTo + healthyMs;
 	return {seed, client, entries, claimsPerSecond, downFrom, downTo, until};
 };
@@ -45,8 +45,8 @@
 		writesPerSecondBefore: round(getMeanPerSecond(writes, 0, downFrom)),
 		readsPerSecondDown: round(getMeanPerSecond(reads, downFrom, downTo)),
 		writesPerSecondDown: round(getMeanPerSecond(writes, downFrom, downTo)),
-		mostReadsInSecondOnReturn: getMostInSecond(reads, downTo, until),
-		mostWritesInSecondOnReturn: getMostInSecond(writes, downTo, until),
+		mostReadsInSecondOnReturn: getPeakPerSecond(reads, downTo, until),
+		mostWritesInSecondOnReturn: getPeakPerSecond(writes, downTo, until),
 		allEntriesFollowAfterMs: Math.round(report.caughtUpMs),
 		claimsRecorded: report.claims.recorded,
 		claimsRefused: report.claims.refused,
--- a/packages/bench/src/benches/placement/placing.ts
+++ b/packages/bench/src/benches/placement/placing.ts
@@ -1,7 +1,7 @@
-/** Starts, ends and moves of jobs, as the placement decisions have it. */
+/** Starts, ends and moves jobs by the placement decisions. */
 import * as core from '@gullstand/core';
 import type {TraceJob} from './trace.js';
-import {estimate, stop, type World} from './world.js';
+import {estimate, stop, type Simulation} from './simulation.js';
 
 const {placement} = core;
 
@@ -15,53 +15,65 @@
 
 const hourMs = 3_600_000;
 
-/** Jobs that do not fit and are passed over, so that none blocks all. */
+/** Maximum number of jobs passed over because they do not fit. */
 const maxPassedOver = 8;
 
-const learnFromEnd = (world: World, {id, customer, declared}: TraceJob) => {
-	const history = world.histories.get(id);
-	const habit = world.habits.get(customer) ?? placement.emptyCustomerUsageModel;
+const updateUsageModel = (
+	simulation: Simulation,
+	{id, customer, declared}: TraceJob,
+) => {
+	const history = simulation.histories.get(id);
+	const usageModel =
+		simulation.usageModels.get(customer) ?? placement.emptyCustomerUsageModel;
 	if (history) {
-		world.habits.set(customer, placement.addEndedJob(habit, declared, history));
+		simulation.usageModels.set(
+			customer,
+			placement.addEndedJob(usageModel, declared, history),
+		);
 	}
 
-	world.histories.delete(id);
+	simulation.histories.delete(id);
 };
 
-const end = (world: World, id: string, run: number, now: number) => {
-	if (world.running.get(id)?.run !== run) {
+const end = (simulation: Simulation, id: string, run: number, now: number) => {
+	if (simulation.running.get(id)?.run !== run) {
 		return;
 	}
 
-	const task = stop(world, id);
+	const task = stop(simulation, id);
 	if (task) {
-		learnFromEnd(world, task.job);
+		updateUsageModel(simulation, task.job);
 	}
 
-	world.counts.finished += 1;
-	placePending(world, now);
+	simulation.counts.finished += 1;
+	placePending(simulation, now);
 };
 
-const begin = (world: World, job: TraceJob, worker: string, now: number) => {
-	world.runs += 1;
-	const run = world.runs;
-	world.running.set(job.id, {job, worker, startedAt: now, run});
-	placement.addTask(world.cluster, {
+const begin = (
+	simulation: Simulation,
+	job: TraceJob,
+	worker: string,
+	now: number,
+) => {
+	simulation.runs += 1;
+	const run = simulation.runs;
+	simulation.running.set(job.id, {job, worker, startedAt: now, run});
+	placement.addTask(simulation.cluster, {
 		job: job.id,
 		customer: job.customer,
 		worker,
-		estimate: estimate(world, job),
+		estimate: estimate(simulation, job),
 		urgent: job.urgent,
 		canThrottle: job.canThrottle,
 		canCheckpoint: job.canCheckpoint,
 		startedAt: now,
 	});
-	world.queue.add(now + job.runMs, (at) => {
-		end(world, job.id, run, at);
+	simulation.queue.add(now + job.runMs, (at) => {
+		end(simulation, job.id, run, at);
 	});
 };
 
-const throttle = ({cluster, throttled, policy}: World, job: string) => {
+const throttle = ({cluster, throttled, policy}: Simulation, job: string) => {
 	throttled.add(job);
 	const known = cluster.tasks.get(job)?.estimate;
 	if (known) {
@@ -73,26 +85,26 @@
 	}
 };
 
-const checkpoint = (world: World, job: string) => {
-	const task = stop(world, job);
+const checkpoint = (simulation: Simulation, job: string) => {
+	const task = stop(simulation, job);
 	if (task) {
-		world.pending.set(job, task.job);
-		world.counts.moves += 1;
+		simulation.pending.set(job, task.job);
+		simulation.counts.moves += 1;
 	}
 };
 
-/** Makes room; the time until it is there, in milliseconds. */
+/** Applies preemptions; returns the time until the room is free, in ms. */
 const preempt = (
-	world: World,
+	simulation: Simulation,
 	preemptions: readonly core.placement.Preemption[],
 ): number => {
 	let delayMs = 0;
 	for (const {job, kind} of preemptions) {
 		if (kind === 'throttle') {
-			throttle(world, job);
+			throttle(simulation, job);
 			delayMs = Math.max(delayMs, throttleMs);
 		} else {
-			checkpoint(world, job);
+			checkpoint(simulation, job);
 			delayMs = Math.max(delayMs, checkpointMs);
 		}
 	}
@@ -113,9 +125,9 @@
 	return {kind: 'wait', reason: 'capacity'};
 };
 
-const decide = (world: World, job: TraceJob, now: number) => {
-	const {cluster, policy, quota} = world;
-	const expected = estimate(world, job);
+const decide = (simulation: Simulation, job: TraceJob, now: number) => {
+	const {cluster, policy, quota} = simulation;
+	const expected = estimate(simulation, job);
 	return policy.firstFit
 		? firstFit(cluster, expected)
 		: placement.placeJob(
@@ -126,18 +138,22 @@
 			);
 };
 
-const tryPlace = (world: World, job: TraceJob, now: number): boolean => {
-	const decision = decide(world, job, now);
+const tryPlace = (
+	simulation: Simulation,
+	job: TraceJob,
+	now: number,
+): boolean => {
+	const decision = decide(simulation, job, now);
 	if (decision.kind !== 'place') {
 		return false;
 	}
 
-	const {counts} = world;
-	const delayMs = preempt(world, decision.preempt) + startMs;
+	const {counts} = simulation;
+	const delayMs = preempt(simulation, decision.preempt) + startMs;
 	const waitMs = now - job.submittedAt + delayMs;
-	begin(world, job, decision.worker, now);
+	begin(simulation, job, decision.worker, now);
 	counts.started += 1;
-	world.lastStarts.set(job.customer, now);
+	simulation.lastStarts.set(job.customer, now);
 	counts.maxWaitHours = Math.max(counts.maxWaitHours, waitMs / hourMs);
 	if (job.urgent) {
 		counts.urgentInTime += waitMs <= urgentBoundMs ? 1 : 0;
@@ -146,9 +162,9 @@
 	return true;
 };
 
-/** Places what waits, as far as there is room. */
-export const placePending = (world: World, now: number) => {
-	const {cluster, pending, quotas} = world;
+/** Places pending jobs that fit. */
+export const placePending = (simulation: Simulation, now: number) => {
+	const {cluster, pending, quotas} = simulation;
 	let passedOver = 0;
 	for (const job of placement.sortPending(
 		cluster,
@@ -159,7 +175,7 @@
 			return;
 		}
 
-		if (tryPlace(world, job, now)) {
+		if (tryPlace(simulation, job, now)) {
 			pending.delete(job.id);
 		} else {
 			passedOver += 1;
@@ -167,24 +183,29 @@
 	}
 };
 
-/** A job is submitted. */
-export const submit = (world: World, job: TraceJob, now: number) => {
-	world.counts.urgentJobs += job.urgent ? 1 : 0;
-	if (!tryPlace(world, job, now)) {
-		world.pending.set(job.id, job);
+/** Places a submitted job or queues it. */
+export const submit = (simulation: Simulation, job: TraceJob, now: number) => {
+	simulation.counts.urgentJobs += job.urgent ? 1 : 0;
+	if (!tryPlace(simulation, job, now)) {
+		simulation.pending.set(job.id, job);
 	}
 };
 
-/** Moves running jobs, if the run's way does. */
-export const relocate = (world: World, now: number) => {
-	const {cluster, policy, running, counts} = world;
+/** Moves running jobs if the policy has relocations. */
+export const relocate = (simulation: Simulation, now: number) => {
+	const {cluster, policy, running, counts} = simulation;
 	const cfg = policy.relocation;
 	if (!cfg) {
 		return;
 	}
 
-	world.observed = placement.observeLoads(cluster, world.observed, now, cfg);
-	const {observed} = world;
+	simulation.observed = placement.observeLoads(
+		cluster,
+		simulation.observed,
+		now,
+		cfg,
+	);
+	const {observed} = simulation;
 	for (const {job, to} of placement.chooseRelocations(
 		cluster,
 		observed,
--- a/packages/bench/src/benches/placement/run-trace.ts
+++ b/packages/bench/src/benches/placement/run-trace.ts
@@ -1,49 +1,48 @@
 /**
- * Feeds a trace to the placement decisions and counts. No network, no host:
- * a job uses what the trace says, reports lag, and a worker over its memory
- * evicts its youngest job.
+ * Simulates a trace of jobs under a placement policy. Usage comes from the
+ * trace, and reports of it are delayed.
  */
 import {submit} from './placing.js';
 import type {Policy} from './policies.js';
 import {report, reportEveryMs} from './reports.js';
 import type {Deployment, TraceJob} from './trace.js';
-import {createWorld, type Counts} from './world.js';
+import {createSimulation, type Counts} from './simulation.js';
 
 const hourMs = 3_600_000;
 
-/** What one run counted. */
+/** Figures of one run. */
 export type PlacementFigures = Readonly<Counts> & {
-	/** Customers that waited an hour, under their quota, for any start. */
+	/** Customers under their quota that waited an hour without a start. */
 	readonly starved: number;
 };
 
-/** Runs a trace under one way to place. */
+/** Runs a trace under one policy. */
 export const runTrace = (
 	deployment: Deployment,
 	trace: readonly TraceJob[],
 	policy: Policy,
 ): PlacementFigures => {
-	const world = createWorld(deployment, policy);
+	const simulation = createSimulation(deployment, policy);
 	for (const job of trace) {
-		world.queue.add(job.submittedAt, (now) => {
-			submit(world, job, now);
+		simulation.queue.add(job.submittedAt, (now) => {
+			submit(simulation, job, now);
 		});
 	}
 
 	const endAt = deployment.hours * hourMs;
 	for (let at = reportEveryMs; at <= endAt; at += reportEveryMs) {
-		world.queue.add(at, (now) => {
-			report(world, now);
+		simulation.queue.add(at, (now) => {
+			report(simulation, now);
 		});
 	}
 
-	world.queue.advance(endAt);
-	const {counts} = world;
+	simulation.queue.advance(endAt);
+	const {counts} = simulation;
 	return {
 		...counts,
-		// The share of the urgent jobs in place of their number.
+		// Share of the urgent jobs instead of their number.
 		urgentInTime:
 			counts.urgentJobs > 0 ? counts.urgentInTime / counts.urgentJobs : 1,
-		starved: world.starved.size,
+		starved: simulation.starved.size,
 	};
 };
--- a/packages/bench/src/benches/rollout/run-rollout.ts
+++ b/packages/bench/src/benches/rollout/run-rollout.ts
@@ -1,4 +1,4 @@
-/** Racing operators change contracts; entries follow and acknowledge. */
+/** Runs a rollout: operators change contracts, entries acknowledge them. */
 import * as core from '@gullstand/core';
 import {createRandom, drawBelow} from '../../frame/random.js';
 import {createClock} from '../agreement/clock.js';
@@ -11,33 +11,34 @@
 	type Entry,
 	type RolloutOptions,
 	type RolloutResult,
-	type World,
-} from './world.js';
+	type Simulation,
+} from './simulation.js';
 
 const operators = 4;
 
 const pauseMs = 30_000;
 
-const runPauses = async (world: World) => {
-	while (!world.isDone) {
-		await world.clock.sleep(2 * pauseMs);
-		const entry = world.nodes[drawBelow(world.random, world.entries)]!;
-		entry.pausedUntil = world.clock.now() + pauseMs;
+const runPauses = async (simulation: Simulation) => {
+	while (!simulation.isDone) {
+		await simulation.clock.sleep(2 * pauseMs);
+		const entry =
+			simulation.nodes[drawBelow(simulation.random, simulation.entries)]!;
+		entry.pausedUntil = simulation.clock.now() + pauseMs;
 	}
 };
 
 const createEntry = (index: number): Entry => ({
-	life: {entry: `e${index}`, incarnation: 'a'},
+	incarnation: {entry: `e${index}`, incarnation: 'a'},
 	followed: core.followedView.emptyFollowedView,
 	sequence: 0,
 	pausedUntil: 0,
 	awaitedBy: new Set(),
-	heard: new Map(),
+	receivedAcknowledgements: new Map(),
 	reverted: 0,
 	isPolling: false,
 });
 
-const createWorld = (options: RolloutOptions): World => {
+const createSimulation = (options: RolloutOptions): Simulation => {
 	const random = createRandom(options.seed);
 	const clock = createClock();
 	const data = createStore();
@@ -64,7 +65,7 @@
 	};
 };
 
-const countLost = ({acceptedIds, log, nodes}: World): number => {
+const countLost = ({acceptedIds, log, nodes}: Simulation): number => {
 	const ids = new Set(log.map(({id}) => id));
 	const missing = [...acceptedIds].filter((id) => !ids.has(id)).length;
 	const behind = nodes.filter(
@@ -77,18 +78,18 @@
 export const runRollout = async (
 	options: RolloutOptions,
 ): Promise<RolloutResult> => {
-	const world = createWorld(options);
-	const {clock, counts, nodes, inForceMs, acceptedIds} = world;
+	const simulation = createSimulation(options);
+	const {clock, counts, nodes, inForceMs, acceptedIds} = simulation;
 	for (const entry of nodes) {
-		startEntry(world, entry);
+		startEntry(simulation, entry);
 	}
 
 	if (options.hasPauses) {
-		void runPauses(world);
+		void runPauses(simulation);
 	}
 
 	for (let name = 0; name < operators; name += 1) {
-		void runOperator(world, name);
+		void runOperator(simulation, name);
 	}
 
 	await clock.run(
@@ -98,20 +99,22 @@
 			inForceMs.length >= acceptedIds.size,
 	);
 	const simulatedMs = clock.now();
-	const used = {...counts};
+	const countsAtEnd = {...counts};
 	await clock.run(simulatedMs + 2 * pauseMs);
-	world.isDone = true;
+	simulation.isDone = true;
 	return {
 		accepted: acceptedIds.size,
 		refused: counts.refused,
 		inForceMs,
-		lost: countLost(world),
+		lost: countLost(simulation),
 		reverted: nodes.reduce((sum, {reverted}) => sum + reverted, 0),
 		simulatedMs,
-		storeReads: used.reads,
-		storeWrites: used.writes,
-		// Each call to the store has a frame of its own.
-		storeBytes: used.storeBytes + frameBytes * (used.reads + used.writes),
-		peerBytes: used.peerBytes,
+		storeReads: countsAtEnd.reads,
+		storeWrites: countsAtEnd.writes,
+		// Each call to the store is sent in its own frame.
+		storeBytes:
+			countsAtEnd.storeBytes +
+			frameBytes * (countsAtEnd.reads + countsAtEnd.writes),
+		peerBytes: countsAtEnd.peerBytes,
 	};
 };
--- a/packages/bench/src/benches/rollout/world.ts
+++ b/packages/bench/src/benches/rollout/simulation.ts
@@ -1,4 +1,4 @@
-/** What entries and operators of the rollout bench share. */
+/** Shared state of the entries and operators of the rollout bench. */
 import type {
 	acknowledgement,
 	Contract,
@@ -10,7 +10,7 @@
 import type {Clock} from '../agreement/clock.js';
 import type {Link, LinkFaults, Store} from '../agreement/store.js';
 
-/** One run. */
+/** Options of one run. */
 export type RolloutOptions = {
 	readonly seed: number;
 	readonly entries: number;
@@ -18,22 +18,22 @@
 	/** Mean time between two changes of one operator. */
 	readonly meanGapMs: number;
 	readonly store: LinkFaults;
-	/** Part of the messages between peers that are lost. */
+	/** Share of the messages between peers that is lost. */
 	readonly lostMessages: number;
 	/** True pauses one entry after another for 30 s. */
 	readonly hasPauses: boolean;
 };
 
-/** What a run showed. */
+/** Result of one run. */
 export type RolloutResult = {
 	readonly accepted: number;
-	/** Changes that lost the race and were told so. */
+	/** Changes that were refused because of a conflict. */
 	readonly refused: number;
-	/** From accepted to in force on every entry. */
+	/** Times from acceptance until in force on every entry. */
 	readonly inForceMs: readonly number[];
-	/** Accepted changes that an entry never had in force. */
+	/** Accepted changes missing from the log, plus entries behind at the end. */
 	readonly lost: number;
-	/** Times that an entry's revision or a contract went back. */
+	/** Number of times that an entry's revision or a contract reverted. */
 	readonly reverted: number;
 	readonly simulatedMs: number;
 	readonly storeReads: number;
@@ -42,20 +42,22 @@
 	readonly peerBytes: number;
 };
 
-/** One entry. */
 export type Entry = {
-	readonly life: acknowledgement.EntryIncarnation;
+	readonly incarnation: acknowledgement.EntryIncarnation;
 	followed: followedView.FollowedView;
 	sequence: number;
 	pausedUntil: number;
 	readonly awaitedBy: Set<number>;
-	readonly heard: Map<string, acknowledgement.Acknowledgement>;
+	readonly receivedAcknowledgements: Map<
+		string,
+		acknowledgement.Acknowledgement
+	>;
 	reverted: number;
 	isPolling: boolean;
 };
 
-/** Everything that a run shares. */
-export type World = RolloutOptions & {
+/** State that the entries and operators share. */
+export type Simulation = RolloutOptions & {
 	readonly random: Random;
 	readonly clock: Clock;
 	readonly data: Store;
@@ -78,10 +80,10 @@
 /** HTTP head, signature and JSON-RPC frame of a message, in bytes. */
 export const frameBytes = 420;
 
-/** The counter row, in bytes. */
+/** Size of the counter row, in bytes. */
 export const counterBytes = 120;
 
-/** A contract whose weight counts its changes. */
+/** Creates a contract whose weight counts its changes. */
 export const createContract = (customer: string, weight: number): Contract => ({
 	customer,
 	weight,
@@ -91,23 +93,23 @@
 });
 
 /** Waits while the entry is paused. */
-export const stayAwake = async ({clock}: World, entry: Entry) => {
+export const waitWhilePaused = async ({clock}: Simulation, entry: Entry) => {
 	while (entry.pausedUntil > clock.now()) {
 		await clock.sleep(entry.pausedUntil - clock.now());
 	}
 };
 
-/** Brings a message to a peer, which handles it when it is awake. */
+/** Delivers a message to a peer, which handles it once it is not paused. */
 export const send = async (
-	world: World,
+	simulation: Simulation,
 	to: Entry,
 	bytes: number,
 	handle: () => void,
 ) => {
-	world.counts.peerBytes += frameBytes + bytes;
-	await world.clock.sleep(1 + 2 * world.random());
-	if (world.random() >= world.lostMessages) {
-		await stayAwake(world, to);
+	simulation.counts.peerBytes += frameBytes + bytes;
+	await simulation.clock.sleep(1 + 2 * simulation.random());
+	if (simulation.random() >= simulation.lostMessages) {
+		await waitWhilePaused(simulation, to);
 		handle();
 	}
 };
