--- a/packages/bench/src/benches/at-most-once/simulation.ts
+++ b/packages/bench/src/benches/at-most-once/simulation.ts
@@ -63,7 +63,10 @@
 	readonly decidedAt: number;
 };
 
-type Entry = {entryProcess: EntryProcess; keeper: daemon.idempotency.RequestDeduplicator};
+type Entry = {
+	entryProcess: EntryProcess;
+	keeper: daemon.idempotency.RequestDeduplicator;
+};
 
 const readReply = (
 	reply: core.idempotency.Reply | undefined,
