--- a/packages/bench/src/benches/ownership/control.ts
+++ b/packages/bench/src/benches/ownership/control.ts
@@ -143,7 +143,7 @@
 			version,
 			unchangedMs: getSilentMs(control, entry, version),
 			unlistedMs: since === undefined ? 0 : now - since,
-			unheardBy: core.forgetEntry.countEntriesWithoutContact(
+			entriesWithoutContact: core.forgetEntry.countEntriesWithoutContact(
 				value,
 				observed,
 				settings,
--- a/packages/cli/src/commands/answer.ts
+++ b/packages/cli/src/commands/answer.ts
@@ -31,7 +31,7 @@
 		stringify(value).trimEnd(),
 	].join('\n');
 
-const formatLaggingEntry = (entry: Fields): string =>
+const formatPendingEntry = (entry: Fields): string =>
 	`  ${formatValue(entry.entry)}: ${formatValue(entry.reason)}, at revision ${formatValue(entry.inForce)}`;
 
 const formatFault = (fault: unknown): string => `  ${JSON.stringify(fault)}`;
@@ -50,7 +50,7 @@
 	const reason =
 		fields.isUnknown === true
 			? ['  the entries could not be read']
-			: lagging.map((each) => formatLaggingEntry(each));
+			: lagging.map((each) => formatPendingEntry(each));
 	return ['not in force everywhere yet:', ...reason];
 };
 
--- a/packages/core/src/job-legs/job-phases.test.ts
+++ b/packages/core/src/job-phases/job-phases.test.ts
@@ -3,7 +3,7 @@
  * write them.
  */
 import * as tap from 'tap';
-import * as jobLegs from './index.js';
+import * as jobLegs from '../job-phases/index.js';
 
 const id = '0a17ce1d69eaa20e';
 const shard = 'service/s';
--- a/packages/core/src/membership/forget-entry.ts
+++ b/packages/core/src/membership/forget-entry.ts
@@ -26,7 +26,7 @@
 	 * Number of registered entries without contact to it; see
 	 * `countEntriesWithoutContact`.
 	 */
-	readonly unheardBy: number;
+	readonly entriesWithoutContact: number;
 	/** Size of the quorum that the entry's row names. */
 	readonly quorum: number;
 };
@@ -76,7 +76,7 @@
 		return fail('listed');
 	}
 
-	if (evidence.unheardBy * 2 <= evidence.quorum) {
+	if (evidence.entriesWithoutContact * 2 <= evidence.quorum) {
 		return fail('heard');
 	}
 
--- a/packages/core/src/membership/membership.test.ts
+++ b/packages/core/src/membership/membership.test.ts
@@ -212,7 +212,7 @@
 	version: 3,
 	unchangedMs: membershipDefaults.forgetAfterMs,
 	unlistedMs: membershipDefaults.forgetAfterMs,
-	unheardBy: 5,
+	entriesWithoutContact: 5,
 	quorum: 9,
 };
 
@@ -222,9 +222,9 @@
 	[{}, undefined],
 	[{unchangedMs: 35_999}, 'renewed'],
 	[{unlistedMs: 35_999}, 'listed'],
-	[{unheardBy: 4}, 'heard'],
-	[{unheardBy: 1, quorum: 2}, 'heard'],
-	[{unheardBy: 0, quorum: 1}, 'heard'],
+	[{entriesWithoutContact: 4}, 'heard'],
+	[{entriesWithoutContact: 1, quorum: 2}, 'heard'],
+	[{entriesWithoutContact: 0, quorum: 1}, 'heard'],
 ];
 
 for (const [change, refusal] of forgetCases) {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -205,7 +205,7 @@
 			async onCommitted(delta) {
 				member.announce(delta);
 			},
-			getHeard: member.getReceivedAcknowledgements,
+			getReceivedAcknowledgements: member.getReceivedAcknowledgements,
 			env: createEnvironment(),
 			...(deps.jobs ? {jobs: deps.jobs} : {}),
 			now,
@@ -223,7 +223,7 @@
 		},
 		poll,
 		getInFlight: inFlight.count,
-		getHeard: member.getReceivedAcknowledgements,
+		getReceivedAcknowledgements: member.getReceivedAcknowledgements,
 		readOutageStart: agreement.readOutageStart,
 		isHolder: () => leases.getHeld(fleetShard) !== undefined,
 		getGuards() {
--- a/packages/daemon/src/jobs/job-daemon.ts
+++ b/packages/daemon/src/jobs/job-daemon.ts
@@ -52,7 +52,7 @@
 import {createLeaseCache} from './shards/lease-cache.js';
 import {createMembers} from './shards/members.js';
 import type {HeldShard} from './shards/held-shard.js';
-import {createShardKeeper} from './shards/shard-keeper.js';
+import {createShardLeaseManager} from './shards/shard-lease-manager.js';
 import {createEntryRole} from './shards/entry-role.js';
 
 /** The parts of the platform that the jobs side uses. */
@@ -133,7 +133,7 @@
 		logger,
 		rowFaults,
 		onChange(shard, lease) {
-			keeper.applyLease(shard, lease);
+			leaseManager.applyLease(shard, lease);
 		},
 	});
 
@@ -264,7 +264,7 @@
 				leases.applyRow(row);
 			}
 
-			keeper.handleFenced(shard);
+			leaseManager.handleFenced(shard);
 		},
 		reportFailure(err) {
 			reportFailure(err);
@@ -291,7 +291,7 @@
 				routes.get()?.services.find(({isStandby}) => isStandby)?.name,
 			onLost(reason) {
 				logger.warn('fleet shard lost', {reason});
-				keeper.handleFenced(fleetShard);
+				leaseManager.handleFenced(fleetShard);
 			},
 			reportFailure,
 		});
@@ -320,7 +320,7 @@
 		owned.drop(shard);
 	};
 
-	const keeper = createShardKeeper({
+	const leaseManager = createShardLeaseManager({
 		store,
 		self,
 		capacity: settings.capacity,
@@ -349,7 +349,7 @@
 		self: {entry: self.entry, capacity: settings.capacity},
 		members,
 		leases,
-		isHolding: () => keeper.isHolding(),
+		isHolding: () => leaseManager.isHolding(),
 		now,
 		logger,
 	});
@@ -472,7 +472,7 @@
 			submissions,
 			service,
 			routes,
-			keeper,
+			leaseManager,
 			members,
 			readLeases: leaseFollower.skipPause,
 			now,
@@ -510,7 +510,7 @@
 		state.isStarted = true;
 		await heartbeat.writeNow();
 		await heartbeat.start(report);
-		await keeper.start(report);
+		await leaseManager.start(report);
 		logger.info('daemon started', {
 			incarnation: self.incarnation,
 			address: getAddress(),
@@ -523,7 +523,7 @@
 			peerEntries.notifyLeaving();
 		}
 
-		await keeper.stop();
+		await leaseManager.stop();
 	};
 
 	const stop = async () => {
--- a/packages/daemon/src/jobs/peer-handlers.ts
+++ b/packages/daemon/src/jobs/peer-handlers.ts
@@ -7,7 +7,7 @@
 import type {OwnedServices} from './owner/owned-services.js';
 import {jobPeerSchemas} from './peer-methods.js';
 import type {Members} from './shards/members.js';
-import type {ShardKeeper} from './shards/shard-keeper.js';
+import type {ShardLeaseManager} from './shards/shard-lease-manager.js';
 
 export type PeerHandlersDeps = {
 	/** Incarnation of this daemon. */
@@ -16,7 +16,7 @@
 	readonly submissions: Submissions;
 	readonly service: Pick<JobService, 'cancelHere'>;
 	readonly routes: Pick<Routes, 'getByName'>;
-	readonly keeper: ShardKeeper;
+	readonly leaseManager: ShardLeaseManager;
 	readonly members: Pick<Members, 'noteLeaving'>;
 	/** Reads the leases without waiting for the next poll. */
 	readonly readLeases: () => void;
@@ -83,7 +83,7 @@
 
 const registerControlMethods = (
 	channel: Pick<PeerChannel, 'addMethod'>,
-	{owned, keeper, members, incarnation, readLeases}: PeerHandlersDeps,
+	{owned, leaseManager, members, incarnation, readLeases}: PeerHandlersDeps,
 ): void => {
 	channel.addMethod(
 		'evacuate',
@@ -104,16 +104,16 @@
 		},
 	);
 	channel.addMethod('depose', jobPeerSchemas.depose, ({shard, token}) => {
-		const held = keeper.listHeld().find((each) => each.shard === shard);
+		const held = leaseManager.listHeld().find((each) => each.shard === shard);
 		if (held && held.token < token) {
-			keeper.handleFenced(shard);
+			leaseManager.handleFenced(shard);
 		}
 
 		return {incarnation};
 	});
 	channel.addMethod('shardReleased', jobPeerSchemas.shardReleased, () => {
 		readLeases();
-		keeper.checkNow();
+		leaseManager.checkNow();
 		return {};
 	});
 	channel.addMethod(
--- a/packages/daemon/src/jobs/shards/shard-keeper.test.ts
+++ b/packages/daemon/src/jobs/shards/shard-lease-manager.test.ts
@@ -6,7 +6,7 @@
 import {noLogger, noRowFaults} from '../job-daemon.test.fixture.js';
 import {createLeaseCache} from './lease-cache.js';
 import {createMembers} from './members.js';
-import {createShardKeeper} from './shard-keeper.js';
+import {createShardLeaseManager} from './shard-lease-manager.js';
 
 type Capacity = shardAssignment.EntryCapacity;
 
@@ -18,7 +18,7 @@
 
 type Peers = Readonly<Record<string, Capacity | undefined>>;
 
-/** Creates a keeper `self` among daemons that only send heartbeats. */
+/** Creates a lease manager `self` among daemons that only send heartbeats. */
 const createWorld = (
 	capacity: Capacity | undefined,
 	shards: readonly string[],
@@ -39,10 +39,10 @@
 		logger: noLogger,
 		rowFaults: noRowFaults,
 		onChange(shard, lease) {
-			keeper.applyLease(shard, lease);
+			leaseManager.applyLease(shard, lease);
 		},
 	});
-	const keeper = createShardKeeper({
+	const leaseManager = createShardLeaseManager({
 		store,
 		self: {entry: 'self', incarnation: 'i'},
 		capacity,
@@ -94,7 +94,7 @@
 
 	/** Runs one check and waits for the claims and releases that it starts. */
 	const check = async () => {
-		keeper.checkNow();
+		leaseManager.checkNow();
 		for (let turn = 0; turn < 4; turn++) {
 			await setImmediate();
 		}
@@ -117,18 +117,18 @@
 		}
 	};
 
-	return {clock, keeper, store, members, released, beats, check, pass};
+	return {clock, leaseManager, store, members, released, beats, check, pass};
 };
 
 const names = (count: number) =>
 	Array.from({length: count}, (_, index) => `s${index}`);
 
 tap.t.test('one check does not claim all free shards', async (t) => {
-	const {keeper, pass} = createWorld(small, names(4));
+	const {leaseManager, pass} = createWorld(small, names(4));
 	await pass(checkIntervalMs, {});
-	t.equal(keeper.listHeld().length, 1);
+	t.equal(leaseManager.listHeld().length, 1);
 	await pass(900, {});
-	t.equal(keeper.listHeld().length, 4, 'all are claimed within a second');
+	t.equal(leaseManager.listHeld().length, 4, 'all are claimed within a second');
 });
 
 const claims: ReadonlyArray<
@@ -150,19 +150,19 @@
 
 for (const [name, capacity, peers, wanted, ms] of claims) {
 	tap.t.test(`claims of ${name}`, async (t) => {
-		const {keeper, pass} = createWorld(capacity, ['s']);
+		const {leaseManager, pass} = createWorld(capacity, ['s']);
 		await pass(ms, peers);
-		t.equal(keeper.listHeld().length, wanted);
+		t.equal(leaseManager.listHeld().length, wanted);
 	});
 }
 
 tap.t.test('a stopping daemon does not count as capable', async (t) => {
-	const {keeper, members, pass} = createWorld(small, ['s']);
+	const {leaseManager, members, pass} = createWorld(small, ['s']);
 	members.noteLeaving('a', 'i');
 	await pass(checkIntervalMs, {a: large});
-	t.ok(keeper.isHeld('s'));
+	t.ok(leaseManager.isHeld('s'));
 	await pass(9000, {a: large});
-	t.ok(keeper.isHeld('s'), 'no shard is returned for it');
+	t.ok(leaseManager.isHeld('s'), 'no shard is returned for it');
 });
 
 const returns: ReadonlyArray<
@@ -177,14 +177,14 @@
 
 for (const [name, capacity, peers, isReturned] of returns) {
 	tap.t.test(`returns or keeps a shard beside ${name}`, async (t) => {
-		const {keeper, released, pass} = createWorld(capacity, ['s']);
+		const {leaseManager, released, pass} = createWorld(capacity, ['s']);
 		await pass(4000, {});
-		t.ok(keeper.isHeld('s'));
+		t.ok(leaseManager.isHeld('s'));
 		await pass(2500, peers);
 		t.same(released, [], 'not at once');
 		await pass(700, peers);
 		t.same(released, isReturned ? ['s'] : []);
-		t.equal(keeper.isHeld('s'), !isReturned);
+		t.equal(leaseManager.isHeld('s'), !isReturned);
 	});
 }
 
@@ -202,11 +202,11 @@
 
 for (const fault of ['unavailable', 'lost-before', 'lost-after'] as const) {
 	tap.t.test(`a failed release is retried: ${fault}`, async (t) => {
-		const {clock, keeper, store, pass} = createWorld(small, ['s']);
+		const {clock, leaseManager, store, pass} = createWorld(small, ['s']);
 		await pass(4000, {});
 		store.setFault(() => (clock.at < 7300 ? fault : undefined));
 		await pass(3300, {a: large});
-		t.notOk(keeper.isHeld('s'));
+		t.notOk(leaseManager.isHeld('s'));
 		await pass(300, {a: large});
 		const [lease] = store.list(tables.lease);
 		t.match(JSON.parse(lease!.value), {shard: 's', holder: null});
@@ -214,17 +214,17 @@
 }
 
 tap.t.test('a stop during a return releases the shard once', async (t) => {
-	const {clock, keeper, released, pass} = createWorld(small, ['s']);
+	const {clock, leaseManager, released, pass} = createWorld(small, ['s']);
 	await pass(4000, {});
 	await pass(2900, {a: large});
 	while (released.length === 0 && clock.at < 9000) {
 		clock.at += checkIntervalMs;
-		keeper.checkNow();
-		await keeper.stop();
+		leaseManager.checkNow();
+		await leaseManager.stop();
 	}
 
 	t.same(released, ['s'], 'once');
-	t.notOk(keeper.isHeld('s'));
+	t.notOk(leaseManager.isHeld('s'));
 });
 
 /**
@@ -249,7 +249,9 @@
 
 for (const {name, isReadSince, incarnation, held} of evidence) {
 	tap.t.test(`evidence against ${name}`, async (t) => {
-		const {clock, keeper, members, store, check} = createWorld(small, ['s0']);
+		const {clock, leaseManager, members, store, check} = createWorld(small, [
+			's0',
+		]);
 		const lease = {
 			shard: 's0',
 			holder: {entry: 'a', incarnation: 'now'},
@@ -287,7 +289,7 @@
 			await check();
 		}
 
-		t.equal(keeper.listHeld().length, held);
+		t.equal(leaseManager.listHeld().length, held);
 	});
 }
 
@@ -304,15 +306,19 @@
 
 for (const [name, capacity, peers, wanted, ms] of observerClaims) {
 	tap.t.test(`an observer ${name}`, async (t) => {
-		const {beats, keeper, pass} = createWorld(capacity, ['s'], 'observer');
+		const {beats, leaseManager, pass} = createWorld(
+			capacity,
+			['s'],
+			'observer',
+		);
 		await pass(ms, peers);
-		t.equal(keeper.listHeld().length, wanted);
+		t.equal(leaseManager.listHeld().length, wanted);
 		t.equal(beats.length, wanted, 'a heartbeat is stored only before a claim');
 	});
 }
 
 tap.t.test('a holder without heartbeats becomes unresponsive', async (t) => {
-	const {keeper, store, pass} = createWorld(large, ['s'], 'observer');
+	const {leaseManager, store, pass} = createWorld(large, ['s'], 'observer');
 	const lease = {
 		shard: 's',
 		holder: {entry: 'gone', incarnation: 'i'},
@@ -328,7 +334,7 @@
 		100,
 	);
 	await pass(1800, {a: large});
-	t.equal(keeper.listHeld().length, 0, 'it may be alive');
+	t.equal(leaseManager.listHeld().length, 0, 'it may be alive');
 	await pass(800, {a: large});
-	t.equal(keeper.listHeld().length, 1);
+	t.equal(leaseManager.listHeld().length, 1);
 });
--- a/packages/daemon/src/jobs/shards/shard-keeper.ts
+++ b/packages/daemon/src/jobs/shards/shard-lease-manager.ts
@@ -19,7 +19,7 @@
 
 type ShardPlan = core.shardAssignment.ShardPlan;
 
-export type ShardKeeperDeps = {
+export type ShardLeaseManagerDeps = {
 	readonly store: RowStore;
 	readonly self: core.acknowledgement.EntryIncarnation;
 	/** Capacity of this machine; absent if not known. */
@@ -52,7 +52,7 @@
 };
 
 /** Claims and releases shards of this daemon. */
-export type ShardKeeper = {
+export type ShardLeaseManager = {
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
 	readonly stop: () => Promise<void>;
 	/** Releases a shard, so that the next holder can claim it at once. */
@@ -71,7 +71,9 @@
 	readonly checkNow: () => void;
 };
 
-export const createShardKeeper = (deps: ShardKeeperDeps): ShardKeeper => {
+export const createShardLeaseManager = (
+	deps: ShardLeaseManagerDeps,
+): ShardLeaseManager => {
 	const {store, self, members, leases, now, logger} = deps;
 	const held = new Map<string, HeldShard>();
 	const freeSince = new Map<string, number>();
--- a/packages/daemon/src/limits/credit-limits.ts
+++ b/packages/daemon/src/limits/credit-limits.ts
@@ -160,7 +160,7 @@
 
 		const peers = listPeers().filter((each) => !ended.has(each.member));
 		const names = peers.map((each) => each.member);
-		const silent = core.unresponsiveMembers.getUnresponsiveMembers(
+		const unresponsive = core.unresponsiveMembers.getUnresponsiveMembers(
 			lastContactAt,
 			names,
 			now(),
@@ -170,7 +170,7 @@
 		const listed = [self, ...names].toSorted();
 		const membersJson = JSON.stringify([
 			listed,
-			[...silent],
+			[...unresponsive],
 			[...leaving],
 			[...slots].map(([pool, counts]) => [pool, [...counts]]),
 		]);
@@ -182,7 +182,7 @@
 		for (const pool of new Set([...slots.keys(), ...gatesByPool.keys()])) {
 			getGate(pool).update({
 				listed,
-				unresponsive: silent,
+				unresponsive,
 				leaving: new Set(leaving),
 				ended,
 				slots: slots.get(pool) ?? new Map<string, number>(),
--- a/packages/daemon/src/membership/forget-runner.ts
+++ b/packages/daemon/src/membership/forget-runner.ts
@@ -97,7 +97,7 @@
 			version: unresponsive.version,
 			unchangedMs: getUnchangedMs(entry),
 			unlistedMs: since === undefined ? 0 : deps.now() - since,
-			unheardBy: core.forgetEntry.countEntriesWithoutContact(
+			entriesWithoutContact: core.forgetEntry.countEntriesWithoutContact(
 				unresponsive.value,
 				rows,
 				deps.settings,
--- a/packages/daemon/src/operator/entries/app.ts
+++ b/packages/daemon/src/operator/entries/app.ts
@@ -11,7 +11,7 @@
 	{version, registration}: RegistrationRow,
 	deps: OperatorDeps,
 ) => {
-	const received = deps.getHeard();
+	const received = deps.getReceivedAcknowledgements();
 	const newest = core.pendingAcknowledgements.getNewestAcknowledgement(
 		registration,
 		received,
--- a/packages/daemon/src/operator/instances/moves.ts
+++ b/packages/daemon/src/operator/instances/moves.ts
@@ -160,7 +160,7 @@
 			...value,
 			lagging: core.pendingAcknowledgements.listPendingAcknowledgements(
 				registrations,
-				deps.getHeard(),
+				deps.getReceivedAcknowledgements(),
 				{
 					revision: value.drainRevision,
 					instance: value.instance,
--- a/packages/daemon/src/operator/objects/in-force.ts
+++ b/packages/daemon/src/operator/objects/in-force.ts
@@ -13,7 +13,7 @@
 	readonly table: TableService;
 	readonly getView: () => core.View;
 	/** Acknowledgements received from peers. */
-	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
+	readonly getReceivedAcknowledgements: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	readonly env: client.Environment;
 };
 
@@ -48,7 +48,7 @@
 
 /** Checks once whether a revision is in force. */
 export const checkInForce = async (
-	{table, getView, getHeard}: InForceDeps,
+	{table, getView, getReceivedAcknowledgements}: InForceDeps,
 	revision: number,
 ): Promise<InForce> => {
 	const rows = await readRegistrations(table);
@@ -58,7 +58,7 @@
 
 	const lagging = core.pendingAcknowledgements.listPendingAcknowledgements(
 		rows.value.map((row) => row.registration),
-		getHeard(),
+		getReceivedAcknowledgements(),
 		{revision},
 	);
 	const isHere = getView().revision >= revision;
--- a/packages/daemon/src/operator/types.ts
+++ b/packages/daemon/src/operator/types.ts
@@ -31,7 +31,7 @@
 	/** Called with each change committed here, before the response. */
 	readonly onCommitted: (delta: viewChange.ViewDelta) => Promise<void>;
 	/** Acknowledgements received from peers. */
-	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
+	readonly getReceivedAcknowledgements: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	readonly env: client.Environment;
 	/** Reads the newest view from the store. */
 	readonly poll: () => Promise<void>;
--- a/packages/daemon/src/platform/open-platform.ts
+++ b/packages/daemon/src/platform/open-platform.ts
@@ -39,12 +39,12 @@
 /** Reports the number of entries after each successful read of the list. */
 export const reportEntryCount = (
 	list: platform.InstanceList,
-	setListed: (entries: number) => void,
+	setEntryCount: (entries: number) => void,
 ): platform.InstanceList => ({
 	async list() {
 		const read = await list.list();
 		if (read.ok) {
-			setListed(read.value.filter(({role}) => role === 'entry').length);
+			setEntryCount(read.value.filter(({role}) => role === 'entry').length);
 		}
 
 		return read;
@@ -74,7 +74,7 @@
 		// An exchange returns its failures as values.
 	});
 	return {
-		setListed: sharer.setListedEntryCount,
+		setEntryCount: sharer.setListedEntryCount,
 		async stop() {
 			await ticker.stop();
 			await sharer.leave();
@@ -108,7 +108,7 @@
 			),
 			list: reportEntryCount(
 				platform.createHttpInstanceList(connection),
-				sharing.setListed,
+				sharing.setEntryCount,
 			),
 			workers: platform.createHttpWorkers(connection),
 		},
--- a/packages/daemon/src/upstream/attempt.ts
+++ b/packages/daemon/src/upstream/attempt.ts
@@ -19,7 +19,7 @@
 	readonly releaseSlot: Slot['release'];
 	readonly startedAt: number;
 	/** Only connections that received bytes after this time are reused. */
-	readonly provedSince: number | undefined;
+	readonly suspectedAt: number | undefined;
 	/** True once no byte was received for longer than the threshold. */
 	isUnresponsive: boolean;
 	aborted: boolean;
@@ -28,7 +28,7 @@
 };
 
 /** Executor, slot and connection requirement of an attempt. */
-export type AttemptTarget = Target & Pick<Attempt, 'provedSince'>;
+export type AttemptTarget = Target & Pick<Attempt, 'suspectedAt'>;
 
 /** Callbacks of an attempt to the dispatcher. */
 export type AttemptEvents = {
@@ -101,7 +101,7 @@
 const connect = async (ctx: Context): Promise<void> => {
 	const {attempt, req, events} = ctx;
 	const {pool, probeState} = attempt.link;
-	const suspectedAt = getLatest(probeState.suspectedAt, attempt.provedSince);
+	const suspectedAt = getLatest(probeState.suspectedAt, attempt.suspectedAt);
 	const {repeatable} = req;
 	const connection = await pools.acquire(pool, {repeatable, suspectedAt});
 	if (typeof connection === 'string') {
@@ -133,14 +133,14 @@
 export const startAttempt = (
 	state: UpstreamState,
 	req: UpstreamRequest,
-	{link, slot, provedSince}: AttemptTarget,
+	{link, slot, suspectedAt}: AttemptTarget,
 	events: AttemptEvents,
 ): Attempt => {
 	const attempt: Attempt = {
 		link,
 		releaseSlot: countInFlight(state, slot),
 		startedAt: state.clock(),
-		provedSince,
+		suspectedAt,
 		isUnresponsive: false,
 		aborted: false,
 		exchange: undefined,
--- a/packages/daemon/src/upstream/dispatcher.ts
+++ b/packages/daemon/src/upstream/dispatcher.ts
@@ -73,8 +73,8 @@
 	active.attempts += 1;
 	state.stats.attempts += 1;
 	active.history.tried.add(target.link.id);
-	const {unresponsiveSince: provedSince} = active;
-	const to = {...target, provedSince};
+	const {unresponsiveSince: suspectedAt} = active;
+	const to = {...target, suspectedAt};
 	const attempt = attempts.startAttempt(state, req, to, {
 		onEnd(ended, end) {
 			handleEnd(active, ended, end);
--- a/packages/daemon/src/waves/drain-check.ts
+++ b/packages/daemon/src/waves/drain-check.ts
@@ -15,7 +15,7 @@
 	readonly getView: () => View;
 	/** Counts requests in flight from this entry to an instance. */
 	readonly getInFlight: (instance: string) => number;
-	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
+	readonly getReceivedAcknowledgements: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	/** Reads what is known of entries that start from the snapshot. */
 	readonly readOutageStart?: () => Promise<move.OutageStart>;
 };
@@ -53,7 +53,7 @@
 	const listPending = (instance: string, revision: number) =>
 		core.pendingAcknowledgements.listPendingAcknowledgements(
 			registrations,
-			deps.getHeard(),
+			deps.getReceivedAcknowledgements(),
 			{
 				revision,
 				instance,
--- a/packages/daemon/src/waves/wave-runner.ts
+++ b/packages/daemon/src/waves/wave-runner.ts
@@ -40,7 +40,7 @@
 	readonly poll: () => Promise<void>;
 	/** Counts requests in flight from this entry to an instance. */
 	readonly getInFlight: (instance: string) => number;
-	readonly getHeard: () => pendingAcknowledgements.ReceivedAcknowledgements;
+	readonly getReceivedAcknowledgements: () => pendingAcknowledgements.ReceivedAcknowledgements;
 	/** Absent if no entry of the fleet starts from the snapshot. */
 	readonly readOutageStart?: () => Promise<move.OutageStart>;
 	/** Wall clock in milliseconds, as stored in rows. */
--- a/packages/daemon/src/waves/wave-simulation.test.fixture.ts
+++ b/packages/daemon/src/waves/wave-simulation.test.fixture.ts
@@ -163,7 +163,7 @@
 			},
 			poll: follower.poll,
 			getInFlight: () => 0,
-			getHeard: () => new Map(),
+			getReceivedAcknowledgements: () => new Map(),
 			readOutageStart: async () => outageStart,
 			now: () => clock.now,
 			logger: noLogger,
