--- a/packages/cli/src/commands/answer.ts
+++ b/packages/cli/src/commands/answer.ts
@@ -46,11 +46,11 @@
 		return ['in force everywhere'];
 	}
 
-	const lagging = (fields.lagging ?? []) as readonly Fields[];
+	const pending = (fields.lagging ?? []) as readonly Fields[];
 	const reason =
 		fields.isUnknown === true
 			? ['  the entries could not be read']
-			: lagging.map((each) => formatPendingEntry(each));
+			: pending.map((each) => formatPendingEntry(each));
 	return ['not in force everywhere yet:', ...reason];
 };
 
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -135,10 +135,10 @@
 };
 
 const formatMove = (move: Fields): readonly string[] => {
-	const lagging = move.lagging as readonly Fields[];
+	const pending = move.lagging as readonly Fields[];
 	return [
 		`${formatValue(move.instance)}: ${formatValue(move.from)} to ${formatValue(move.to)}, by ${formatValue(move.author)}`,
-		...lagging.map(
+		...pending.map(
 			(entry) =>
 				`  waits for ${formatValue(entry.entry)}: ${formatValue(entry.reason)}`,
 		),
--- a/packages/core/src/fleet/pool-plan.ts
+++ b/packages/core/src/fleet/pool-plan.ts
@@ -2,7 +2,7 @@
  * Decides how many machines each pool gets and which machines move. A machine
  * in a service pool is billed whether it works or not; one in the standby pool
  * costs nothing; each move has a price and takes time. A pool therefore grows
- * as soon as its queue needs more capacity. It shrinks only after a lasting
+ * as soon as its queue needs more capacity. It shrinks only after a sustained
  * surplus, and only by machines that are idle or whose work ends by itself.
  * Source: docs/design/pools.md.
  */
--- a/packages/core/src/idempotency/expiry.ts
+++ b/packages/core/src/idempotency/expiry.ts
@@ -1,4 +1,4 @@
-/** Selects expired rows for removal and paces the scan of the table. */
+/** Selects expired rows for removal and throttles the scan of the table. */
 import {isExpired} from './lookup.js';
 import type {KeyRow, StoredRow} from './row.js';
 import {formatObjectName} from './completion.js';
--- a/packages/core/src/idempotency/update-attempt.ts
+++ b/packages/core/src/idempotency/update-attempt.ts
@@ -48,8 +48,8 @@
 	const {intent} = attempt;
 	const read = event.result.kind === 'row' ? event.result : undefined;
 	return match(intent)
-		.with({kind: 'look'}, (look) =>
-			claims.applyRowRead(attempt, look, read, time),
+		.with({kind: 'look'}, (readIntent) =>
+			claims.applyRowRead(attempt, readIntent, read, time),
 		)
 		.with({kind: 'start'}, (start) =>
 			claims.applyStartedRead(attempt, start, read, time),
@@ -123,7 +123,7 @@
 /** Starts the next call after a pause. */
 const resume = (attempt: Attempt): Step =>
 	match(attempt.intent)
-		.with({kind: 'look'}, (look) => claims.readRow(attempt, look))
+		.with({kind: 'look'}, (readIntent) => claims.readRow(attempt, readIntent))
 		.with({kind: 'start'}, (start) => claims.resumeStart(attempt, start))
 		.with({kind: 'keep'}, (keep) => completion.putAnswer(attempt, keep))
 		.with({kind: 'settle'}, (end) => completion.resumeCompletion(attempt, end))
--- a/packages/core/src/membership/forget-entry.ts
+++ b/packages/core/src/membership/forget-entry.ts
@@ -60,8 +60,8 @@
 export type ForgetRefusal = 'renewed' | 'listed' | 'heard';
 
 /**
- * Builds the writes that remove an entry if all signs of life have been missing
- * for long enough.
+ * Builds the writes that remove an entry if there has been no evidence of its
+ * liveness for long enough.
  */
 export const forgetEntry = (
 	evidence: ForgetEvidence,
--- a/packages/core/src/membership/membership-status.ts
+++ b/packages/core/src/membership/membership-status.ts
@@ -65,7 +65,7 @@
 	readonly stallMarginMs: number;
 	/** Maximum time from a dispatch to the end of the work on the executor. */
 	readonly longestRequestMs: number;
-	/** Time without signs of life after which others may remove an entry. */
+	/** Time without evidence of liveness after which others may remove an entry. */
 	readonly forgetAfterMs: number;
 };
 
@@ -91,10 +91,10 @@
 		settings.longestRequestMs;
 
 /**
- * Sources that can confirm an entry after a lapse. It may have been removed
- * meanwhile, and the other sources do not show that.
+ * Sources that can confirm an entry whose confirmation expired. The entry may
+ * have been removed meanwhile, which the other sources do not show.
  */
-const sourcesAfterLapse: ReadonlySet<ConfirmationSource> = new Set([
+const sourcesAfterExpiry: ReadonlySet<ConfirmationSource> = new Set([
 	'table',
 	'snapshot',
 ]);
@@ -111,10 +111,10 @@
 	{isolationMs}: MembershipSettings,
 ): MembershipStatus => {
 	const {mode, confirmedAt} = status;
-	const hasLapsed = askedAt - confirmedAt >= isolationMs;
+	const hasExpired = askedAt - confirmedAt >= isolationMs;
 	const counts =
 		sourcesByMode[mode].includes(source) &&
-		(!hasLapsed || sourcesAfterLapse.has(source));
+		(!hasExpired || sourcesAfterExpiry.has(source));
 	return counts && askedAt > confirmedAt
 		? {mode, confirmedAt: askedAt}
 		: status;
--- a/packages/core/src/membership/membership.test.ts
+++ b/packages/core/src/membership/membership.test.ts
@@ -194,14 +194,14 @@
 			confirmMembership(status, source, 1000, membershipDefaults),
 			status,
 		);
-		const afterLapse = confirmMembership(
+		const afterExpiry = confirmMembership(
 			initial,
 			source,
 			10_000,
 			membershipDefaults,
 		);
 		t.equal(
-			afterLapse !== initial,
+			afterExpiry !== initial,
 			isConfirmed && ['table', 'snapshot'].includes(source),
 		);
 	});
--- a/packages/core/src/scheduler/executor.ts
+++ b/packages/core/src/scheduler/executor.ts
@@ -27,7 +27,7 @@
 export type Executor = {
 	readonly id: string;
 	listed: ListedExecutor;
-	/** Whether the registry lists it, as far as this owner has read. */
+	/** Whether the registry listed it at this owner's latest read. */
 	isListed: boolean;
 	/** The registry listed it before and does so no longer. */
 	wasUnlisted: boolean;
--- a/packages/daemon/src/jobs/entry/submissions.ts
+++ b/packages/daemon/src/jobs/entry/submissions.ts
@@ -60,7 +60,7 @@
 /** Time for which such a job is read, in milliseconds; the caller then retries. */
 const maxReadBackMs = 500;
 
-/** Commits of a job, not counting those whose conflict settled another job. */
+/** Commits of a job, not counting those whose conflict resolved another job. */
 const maxTries = 4;
 
 /**
@@ -76,7 +76,7 @@
 	tries: number;
 	/** Whether an earlier commit of it had no answer. */
 	mayBeStored: boolean;
-	readonly settle: (outcome: SubmitOutcome) => void;
+	readonly resolve: (outcome: SubmitOutcome) => void;
 };
 
 type Queue = {
@@ -115,10 +115,10 @@
 		}
 	};
 
-	const settleByText = (waiting: Waiting, text: string) => {
+	const resolveByText = (waiting: Waiting, text: string) => {
 		const decoded = decodeRow(jobSchema, text);
 		const isSame = decoded.ok && isSameJob(decoded.value, waiting.job);
-		waiting.settle(
+		waiting.resolve(
 			isSame ? {kind: 'accepted', isRepeat: true} : {kind: 'conflict'},
 		);
 	};
@@ -129,8 +129,8 @@
 		key: job.id,
 	});
 
-	/** Applies the rows of a conflict; settles stored jobs, returns the others. */
-	const settleStored = (
+	/** Applies the rows of a conflict; resolves stored jobs, returns the others. */
+	const resolveStored = (
 		shard: string,
 		batch: readonly Waiting[],
 		rows: readonly StoredRow[],
@@ -149,14 +149,14 @@
 			if (row) {
 				deps.onStored(shard, [row]);
 				cacheText(shard, row.key, row.value);
-				settleByText(waiting, row.value);
+				resolveByText(waiting, row.value);
 			}
 
 			return !row;
 		});
 	};
 
-	/** Reads a job after a lost answer; settles it if it is stored. */
+	/** Reads a job after a lost answer; resolves it if it is stored. */
 	const readBack = async (
 		shard: string,
 		waiting: Waiting,
@@ -172,12 +172,12 @@
 		}
 
 		deps.onStored(shard, [row]);
-		waiting.settle({kind: 'accepted', isRepeat: true});
+		waiting.resolve({kind: 'accepted', isRepeat: true});
 		return true;
 	};
 
 	/** After a lost answer: the job may still be stored later, so `unknown`. */
-	const settleLost = async (shard: string, waiting: Waiting) => {
+	const resolveLost = async (shard: string, waiting: Waiting) => {
 		const until = Math.min(waiting.deadline, now() + maxReadBackMs);
 		while (now() + readBackPauseMs < until) {
 			if (await readBack(shard, waiting)) {
@@ -187,12 +187,12 @@
 			await delay(readBackPauseMs);
 		}
 
-		waiting.settle({kind: 'unknown'});
+		waiting.resolve({kind: 'unknown'});
 	};
 
-	/** Settles a job that will not be sent again. */
+	/** Resolves a job that will not be sent again. */
 	const refuse = (waiting: Waiting) => {
-		waiting.settle({
+		waiting.resolve({
 			kind: waiting.mayBeStored ? 'unknown' : 'not-stored',
 		});
 	};
@@ -221,16 +221,18 @@
 
 	/**
 	 * Returns the jobs of a batch to send again after a conflict. One repeated
-	 * job fails the whole transaction, so a conflict that settled a job does not
+	 * job fails the whole transaction, so a conflict that resolved a job does not
 	 * count as a try of the others.
 	 */
-	const listUnsettled = (
+	const listUnresolved = (
 		shard: string,
 		batch: readonly Waiting[],
 		rows: readonly StoredRow[],
 	): readonly Waiting[] => {
-		const unsettled = settleStored(shard, batch, rows);
-		return unsettled.length < batch.length ? unsettled : listRetries(unsettled);
+		const unresolved = resolveStored(shard, batch, rows);
+		return unresolved.length < batch.length
+			? unresolved
+			: listRetries(unresolved);
 	};
 
 	/** Sends a batch; returns the jobs to send again. */
@@ -273,9 +275,9 @@
 				shard,
 				puts.map((put) => ({...put, version})),
 			);
-			for (const {job, text, settle} of batch) {
+			for (const {job, text, resolve} of batch) {
 				cacheText(shard, job.id, text);
-				settle({kind: 'accepted', isRepeat: false});
+				resolve({kind: 'accepted', isRepeat: false});
 			}
 
 			return [];
@@ -287,13 +289,13 @@
 			reason: result.error.kind,
 		});
 		if (result.error.kind === 'conflict') {
-			return listUnsettled(shard, batch, result.error.rows);
+			return listUnresolved(shard, batch, result.error.rows);
 		}
 
 		for (const waiting of batch) {
 			if (result.error.kind === 'timeout') {
 				waiting.mayBeStored = true;
-				void settleLost(shard, waiting);
+				void resolveLost(shard, waiting);
 			} else {
 				refuse(waiting);
 			}
@@ -302,15 +304,15 @@
 		return [];
 	};
 
-	/** Settles a job without a transaction; returns false if it must be sent. */
-	const settleUnsent = (shard: string, waiting: Waiting): boolean => {
+	/** Resolves a job without a transaction; returns false if it must be sent. */
+	const resolveUnsent = (shard: string, waiting: Waiting): boolean => {
 		const text = recent.get(getRecentKey(shard, waiting.job.id));
 		if (text !== undefined) {
-			settleByText(waiting, text);
+			resolveByText(waiting, text);
 			return true;
 		}
 
-		// By its deadline, the calling entry has sent the job by another way.
+		// By its deadline, the calling entry has sent the job by another route.
 		const isLate = now() >= waiting.deadline;
 		if (isLate) {
 			refuse(waiting);
@@ -326,7 +328,7 @@
 		for (const waiting of queue.waiting) {
 			if (!batch.hasRoomFor(waiting)) {
 				later.push(waiting);
-			} else if (!settleUnsent(shard, waiting)) {
+			} else if (!resolveUnsent(shard, waiting)) {
 				batch.add(waiting);
 			}
 		}
@@ -335,17 +337,17 @@
 		return batch.list();
 	};
 
-	/** Sends a batch until all is settled; adds no jobs, which may be repeats. */
+	/** Sends a batch until all are resolved; adds no jobs, which may be repeats. */
 	const sendBatch = async (shard: string, batch: readonly Waiting[]) => {
-		let unsettled = batch;
-		while (unsettled.length > 0) {
+		let unresolved = batch;
+		while (unresolved.length > 0) {
 			if (deps.isStoreUnresponsive()) {
-				await refuseAll(unsettled);
+				await refuseAll(unresolved);
 				return;
 			}
 
-			const retries = await commit(shard, unsettled);
-			unsettled = retries.filter((waiting) => !settleUnsent(shard, waiting));
+			const retries = await commit(shard, unresolved);
+			unresolved = retries.filter((waiting) => !resolveUnsent(shard, waiting));
 		}
 	};
 
@@ -378,7 +380,7 @@
 					deadline,
 					tries: 0,
 					mayBeStored: false,
-					settle: resolve,
+					resolve,
 				});
 				if (!queue.isBusy) {
 					void run(shard, queue);
--- a/packages/daemon/src/jobs/fleet/command-log.test.ts
+++ b/packages/daemon/src/jobs/fleet/command-log.test.ts
@@ -6,7 +6,7 @@
 const turnoverMs = 3000;
 
 /** Creates a store and logs whose clocks the test advances. */
-const createWorld = async () => {
+const createTestEnvironment = async () => {
 	const clock = {at: 10_000};
 	const inner = ports.createMemoryRowStore();
 	const withClock = <Value extends {nowMs: number}, Failure>(
@@ -59,17 +59,17 @@
 tap.t.test(
 	'a machine of the previous holder gets no commands within the turnover time',
 	async (t) => {
-		const world = await createWorld();
-		const first = await world.open();
+		const env = await createTestEnvironment();
+		const first = await env.open();
 		t.ok(await first.log.record(['a']));
 		t.ok(first.log.mayCommand('a'), 'the same holder may continue');
-		world.clock.at += 1000;
-		const second = await world.open();
+		env.clock.at += 1000;
+		const second = await env.open();
 		t.notOk(second.log.mayCommand('a'));
 		t.ok(second.log.mayCommand('b'));
-		world.clock.at += turnoverMs - 1000;
+		env.clock.at += turnoverMs - 1000;
 		t.notOk(second.log.mayCommand('a'), 'the command may have been in transit');
-		world.clock.at += 500;
+		env.clock.at += 500;
 		t.ok(second.log.mayCommand('a'));
 	},
 );
@@ -77,9 +77,9 @@
 tap.t.test(
 	'a replaced holder records nothing and loses the shard',
 	async (t) => {
-		const world = await createWorld();
-		const first = await world.open();
-		await world.open();
+		const env = await createTestEnvironment();
+		const first = await env.open();
+		await env.open();
 		t.notOk(await first.log.record(['a']));
 		t.same(first.lost, ['lost']);
 	},
@@ -88,9 +88,9 @@
 tap.t.test(
 	'no command may be sent without an answer of the store',
 	async (t) => {
-		const world = await createWorld();
-		const {log} = await world.open();
-		world.inner.setFault(() => 'lost-after');
+		const env = await createTestEnvironment();
+		const {log} = await env.open();
+		env.inner.setFault(() => 'lost-after');
 		t.notOk(await log.record(['a']));
 		t.notOk(await log.load());
 	},
--- a/packages/daemon/src/jobs/fleet/machine-wave-runner.test.ts
+++ b/packages/daemon/src/jobs/fleet/machine-wave-runner.test.ts
@@ -21,7 +21,7 @@
 	executorId: `e-${id}`,
 });
 
-type World = {
+type TestEnvironment = {
 	readonly events: string[];
 	readonly answers: Map<string, ports.MachineAnswer>;
 	/** Executors on which something still runs. */
@@ -43,12 +43,12 @@
 	silent: {},
 };
 
-const createWorld = (
+const createTestEnvironment = (
 	count: number,
 	maxAway: number,
 	load: scheduler.ServiceLoad | 'silent' = noLoad,
 ) => {
-	const world: World = {
+	const env: TestEnvironment = {
 		events: [],
 		answers: new Map(),
 		busy: new Set(),
@@ -77,7 +77,7 @@
 		store: {
 			...inner,
 			async transact(...args) {
-				world.events.push('stored');
+				env.events.push('stored');
 				return inner.transact(...args);
 			},
 		},
@@ -85,25 +85,25 @@
 			list: async () => ({ok: true, value: machines}),
 			move: async () => 'invalid',
 			async maintain({machine}) {
-				world.events.push(machine);
-				return world.answers.get(machine) ?? 'done';
+				env.events.push(machine);
+				return env.answers.get(machine) ?? 'done';
 			},
 		},
 		owners: {
 			async evacuate(_shard: string, executorId: string) {
-				world.evacuated.add(executorId);
-				return world.busy.has(executorId) ? undefined : clear;
+				env.evacuated.add(executorId);
+				return env.busy.has(executorId) ? undefined : clear;
 			},
 		} as unknown as FleetContext['owners'],
 		clock: {now: () => 0, epochNow: () => 0},
 		logger: noLogger,
 		hasOwner: () => true,
-		mayCommand: () => world.state.mayCommand,
+		mayCommand: () => env.state.mayCommand,
 		commandLog: {
 			load: async () => true,
 			async record(recorded) {
-				world.events.push(`recorded ${recorded.length}`);
-				return world.state.isRecorded;
+				env.events.push(`recorded ${recorded.length}`);
+				return env.state.isRecorded;
 			},
 			mayCommand: () => true,
 		},
@@ -112,7 +112,7 @@
 	};
 	const runner = createMachineWaveRunner(context, {write: async () => true});
 	return {
-		...world,
+		...env,
 		async begin() {
 			await runner.acceptRequests([
 				{
@@ -122,7 +122,7 @@
 					maxAway,
 				},
 			]);
-			world.events.length = 0;
+			env.events.length = 0;
 		},
 		run: async () => runner.runRound(view),
 		isReserved: runner.isReserved,
@@ -208,26 +208,26 @@
 
 for (const each of cases) {
 	tap.t.test(each.name, async (t) => {
-		const world = createWorld(
+		const env = createTestEnvironment(
 			each.count,
 			each.maxAway,
 			each.isOwnerUnresponsive ? 'silent' : noLoad,
 		);
 		for (const executor of each.busy ?? []) {
-			world.busy.add(executor);
+			env.busy.add(executor);
 		}
 
 		for (const [machine, answer] of Object.entries(each.answers ?? {})) {
-			world.answers.set(machine, answer);
+			env.answers.set(machine, answer);
 		}
 
-		world.state.isRecorded = each.isRecorded ?? true;
-		world.state.mayCommand = each.mayCommand ?? true;
-		await world.begin();
+		env.state.isRecorded = each.isRecorded ?? true;
+		env.state.mayCommand = each.mayCommand ?? true;
+		await env.begin();
 		for (const expected of each.rounds) {
-			world.events.length = 0;
-			await world.run();
-			t.same(world.events, expected);
+			env.events.length = 0;
+			await env.run();
+			t.same(env.events, expected);
 		}
 	});
 }
@@ -237,16 +237,16 @@
 	async (t) => {
 		const ids = Array.from({length: 20}, (_, index) => `e-m${index}`);
 		const load = {runs: 1, lasting: 0, usedCpu: 1};
-		const world = createWorld(20, 20, {
+		const env = createTestEnvironment(20, 20, {
 			...noLoad,
 			executors: Object.fromEntries(ids.map((id) => [id, load])),
 		});
 		for (const id of ids) {
-			world.busy.add(id);
+			env.busy.add(id);
 		}
 
-		await world.begin();
-		await world.run();
-		t.equal(world.evacuated.size, 2, '20 machines at 4.5 s each in 60 s');
+		await env.begin();
+		await env.run();
+		t.equal(env.evacuated.size, 2, '20 machines at 4.5 s each in 60 s');
 	},
 );
--- a/packages/daemon/src/jobs/job-daemon.test.ts
+++ b/packages/daemon/src/jobs/job-daemon.test.ts
@@ -213,7 +213,7 @@
 		);
 		await submit(daemon!, second);
 		const polls = platform.executors.countPolls();
-		await waitUntil('looks', () => platform.executors.countPolls() > polls + 2);
+		await waitUntil('polls', () => platform.executors.countPolls() > polls + 2);
 		platform.executors.finish('x', `${first}.0.0.0`, 'done');
 		await waitUntil(
 			'the end',
--- a/packages/daemon/src/jobs/run-entry.ts
+++ b/packages/daemon/src/jobs/run-entry.ts
@@ -106,7 +106,7 @@
 	};
 
 	const reportFailure: ReportFailure = (err) => {
-		logger.error('giving up', {error: err.message, stack: err.stack});
+		logger.error('daemon failed', {error: err.message, stack: err.stack});
 		void stop(exitCodes.failed);
 	};
 
--- a/packages/daemon/src/jobs/shards/members.test.ts
+++ b/packages/daemon/src/jobs/shards/members.test.ts
@@ -5,7 +5,7 @@
 
 const gapMs = 1500;
 
-const createWorld = () => {
+const createTestEnvironment = () => {
 	const clock = {at: 0};
 	const reported: string[] = [];
 	const members = createMembers({
@@ -41,7 +41,7 @@
 tap.t.test(
 	'a daemon whose heartbeat stops while others change is unresponsive',
 	async (t) => {
-		const {clock, members, read} = createWorld();
+		const {clock, members, read} = createTestEnvironment();
 		read(0, {a: 1, b: 1});
 		read(500, {b: 2});
 		read(1000, {b: 3});
@@ -54,7 +54,7 @@
 );
 
 tap.t.test('a stopping daemon is known but not listed as live', async (t) => {
-	const {members, read} = createWorld();
+	const {members, read} = createTestEnvironment();
 	read(0, {a: 1, b: 1});
 	members.noteLeaving('a', 'i');
 	t.same(members.listLive(1000), ['b']);
@@ -66,7 +66,7 @@
 tap.t.test(
 	'the next incarnation of a stopped daemon is listed as live',
 	async (t) => {
-		const {members, read} = createWorld();
+		const {members, read} = createTestEnvironment();
 		read(0, {a: 1, b: 1});
 		members.noteLeaving('a', 'previous incarnation');
 		t.same(members.listLive(1000), ['a', 'b']);
@@ -74,7 +74,7 @@
 );
 
 tap.t.test('no daemon is unresponsive while reads fail', async (t) => {
-	const {clock, members, read} = createWorld();
+	const {clock, members, read} = createTestEnvironment();
 	read(0, {a: 1, b: 1});
 	clock.at = 9000;
 	t.equal(
@@ -87,7 +87,7 @@
 tap.t.test(
 	'after a gap in the reads the unresponsive time restarts',
 	async (t) => {
-		const {clock, members, read} = createWorld();
+		const {clock, members, read} = createTestEnvironment();
 		read(0, {a: 1, b: 1});
 		read(9000, {b: 2});
 		t.equal(members.getUnresponsiveMs('a'), 0);
@@ -99,7 +99,7 @@
 tap.t.test(
 	'a daemon is live since its incarnation was first seen',
 	async (t) => {
-		const {clock, members, read} = createWorld();
+		const {clock, members, read} = createTestEnvironment();
 		t.equal(members.getLiveForMs('a'), 0);
 		for (let beat = 0; beat < 5; beat++) {
 			read(beat * 500, {a: beat, b: beat});
@@ -112,7 +112,7 @@
 );
 
 tap.t.test('the live time restarts after an unresponsive period', async (t) => {
-	const {members, read} = createWorld();
+	const {members, read} = createTestEnvironment();
 	for (let beat = 0; beat < 5; beat++) {
 		read(beat * 500, beat === 0 || beat === 4 ? {a: beat, b: beat} : {b: beat});
 	}
@@ -124,7 +124,7 @@
 tap.t.test(
 	'the live time of all daemons restarts after a gap in the reads',
 	async (t) => {
-		const {members, read} = createWorld();
+		const {members, read} = createTestEnvironment();
 		read(0, {a: 1, b: 1});
 		read(9000, {b: 2});
 		t.equal(members.getLiveForMs('a'), 0);
@@ -160,7 +160,7 @@
 
 for (const [name, value] of unreadable) {
 	tap.t.test(`a heartbeat with ${name} replaces no incarnation`, async (t) => {
-		const {clock, members, read, reported} = createWorld();
+		const {clock, members, read, reported} = createTestEnvironment();
 		members.applyChanges(heartbeat(0, 'a', value));
 		t.equal(members.get('a'), undefined, 'no incarnation is known');
 		read(500, {b: 1});
@@ -186,7 +186,7 @@
 }
 
 tap.t.test('an unknown daemon is unresponsive since the first read', (t) => {
-	const {clock, members, read} = createWorld();
+	const {clock, members, read} = createTestEnvironment();
 	clock.at = 5000;
 	t.equal(members.getUnresponsiveMs('a'), 0, 'nothing was read yet');
 	read(5000, {b: 1});
@@ -202,7 +202,7 @@
 });
 
 tap.t.test('all daemons are unresponsive when reads show no change', (t) => {
-	const {members, read} = createWorld();
+	const {members, read} = createTestEnvironment();
 	read(0, {a: 1, b: 1});
 	for (let at = 700; at <= 2100; at += 700) {
 		read(at, {});
--- a/packages/daemon/src/jobs/shards/shard-lease-manager.test.ts
+++ b/packages/daemon/src/jobs/shards/shard-lease-manager.test.ts
@@ -19,7 +19,7 @@
 type Peers = Readonly<Record<string, Capacity | undefined>>;
 
 /** Creates a lease manager `self` among daemons that only send heartbeats. */
-const createWorld = (
+const createTestEnvironment = (
 	capacity: Capacity | undefined,
 	shards: readonly string[],
 	role: 'candidate' | 'observer' = 'candidate',
@@ -124,7 +124,7 @@
 	Array.from({length: count}, (_, index) => `s${index}`);
 
 tap.t.test('one check does not claim all free shards', async (t) => {
-	const {leaseManager, pass} = createWorld(small, names(4));
+	const {leaseManager, pass} = createTestEnvironment(small, names(4));
 	await pass(checkIntervalMs, {});
 	t.equal(leaseManager.listHeld().length, 1);
 	await pass(900, {});
@@ -150,14 +150,14 @@
 
 for (const [name, capacity, peers, wanted, ms] of claims) {
 	tap.t.test(`claims of ${name}`, async (t) => {
-		const {leaseManager, pass} = createWorld(capacity, ['s']);
+		const {leaseManager, pass} = createTestEnvironment(capacity, ['s']);
 		await pass(ms, peers);
 		t.equal(leaseManager.listHeld().length, wanted);
 	});
 }
 
 tap.t.test('a stopping daemon does not count as capable', async (t) => {
-	const {leaseManager, members, pass} = createWorld(small, ['s']);
+	const {leaseManager, members, pass} = createTestEnvironment(small, ['s']);
 	members.noteLeaving('a', 'i');
 	await pass(checkIntervalMs, {a: large});
 	t.ok(leaseManager.isHeld('s'));
@@ -177,7 +177,9 @@
 
 for (const [name, capacity, peers, isReturned] of returns) {
 	tap.t.test(`returns or keeps a shard beside ${name}`, async (t) => {
-		const {leaseManager, released, pass} = createWorld(capacity, ['s']);
+		const {leaseManager, released, pass} = createTestEnvironment(capacity, [
+			's',
+		]);
 		await pass(4000, {});
 		t.ok(leaseManager.isHeld('s'));
 		await pass(2500, peers);
@@ -189,7 +191,7 @@
 }
 
 tap.t.test('shards are returned one at a time, with a pause', async (t) => {
-	const {released, pass} = createWorld(small, names(3));
+	const {released, pass} = createTestEnvironment(small, names(3));
 	await pass(3000, {});
 	const peers = {a: large, b: large, c: large};
 	await pass(3500, peers);
@@ -202,7 +204,9 @@
 
 for (const fault of ['unavailable', 'lost-before', 'lost-after'] as const) {
 	tap.t.test(`a failed release is retried: ${fault}`, async (t) => {
-		const {clock, leaseManager, store, pass} = createWorld(small, ['s']);
+		const {clock, leaseManager, store, pass} = createTestEnvironment(small, [
+			's',
+		]);
 		await pass(4000, {});
 		store.setFault(() => (clock.at < 7300 ? fault : undefined));
 		await pass(3300, {a: large});
@@ -214,7 +218,9 @@
 }
 
 tap.t.test('a stop during a return releases the shard once', async (t) => {
-	const {clock, leaseManager, released, pass} = createWorld(small, ['s']);
+	const {clock, leaseManager, released, pass} = createTestEnvironment(small, [
+		's',
+	]);
 	await pass(4000, {});
 	await pass(2900, {a: large});
 	while (released.length === 0 && clock.at < 9000) {
@@ -249,9 +255,10 @@
 
 for (const {name, isReadSince, incarnation, held} of evidence) {
 	tap.t.test(`evidence against ${name}`, async (t) => {
-		const {clock, leaseManager, members, store, check} = createWorld(small, [
-			's0',
-		]);
+		const {clock, leaseManager, members, store, check} = createTestEnvironment(
+			small,
+			['s0'],
+		);
 		const lease = {
 			shard: 's0',
 			holder: {entry: 'a', incarnation: 'now'},
@@ -306,7 +313,7 @@
 
 for (const [name, capacity, peers, wanted, ms] of observerClaims) {
 	tap.t.test(`an observer ${name}`, async (t) => {
-		const {beats, leaseManager, pass} = createWorld(
+		const {beats, leaseManager, pass} = createTestEnvironment(
 			capacity,
 			['s'],
 			'observer',
@@ -318,7 +325,11 @@
 }
 
 tap.t.test('a holder without heartbeats becomes unresponsive', async (t) => {
-	const {leaseManager, store, pass} = createWorld(large, ['s'], 'observer');
+	const {leaseManager, store, pass} = createTestEnvironment(
+		large,
+		['s'],
+		'observer',
+	);
 	const lease = {
 		shard: 's',
 		holder: {entry: 'gone', incarnation: 'i'},
--- a/packages/daemon/src/jobs/shards/shard-lease-manager.ts
+++ b/packages/daemon/src/jobs/shards/shard-lease-manager.ts
@@ -27,7 +27,7 @@
 	readonly getAddress: () => string;
 	readonly members: Members;
 	readonly leases: LeaseCache;
-	/** Whether this daemon reads heartbeats and so may judge others' liveness. */
+	/** Whether this daemon reads heartbeats and so may detect failed holders. */
 	readonly mayClaim: () => boolean;
 	/**
 	 * Stores a recent heartbeat of this daemon; resolves to whether it is stored.
@@ -149,7 +149,7 @@
 	};
 
 	const claim = async (shard: string): Promise<void> => {
-		// Others judge a holder by its heartbeat, which must be stored first.
+		// A holder's heartbeat shows its liveness, so it must be stored first.
 		if (!(await deps.ensureHeartbeat())) {
 			logger.info('shard claim failed', {shard, reason: 'no heartbeat'});
 			return;
