--- a/packages/bench/src/benches/ownership/control.ts
+++ b/packages/bench/src/benches/ownership/control.ts
@@ -146,7 +146,7 @@
 			version,
 			unchangedMs: getUnchangedMs(control, entry, version),
 			unlistedMs: since === undefined ? 0 : now - since,
-			unheardBy: core.forgetEntry.countEntriesWithoutContact(
+			entriesWithoutContact: core.forgetEntry.countEntriesWithoutContact(
 				value,
 				observed,
 				settings,
--- a/packages/core/src/membership/forget-entry.ts
+++ b/packages/core/src/membership/forget-entry.ts
@@ -26,7 +26,7 @@
 	 * Number of registered entries without contact to it; see
 	 * `countEntriesWithoutContact`.
 	 */
-	readonly unheardBy: number;
+	readonly entriesWithoutContact: number;
 	/** Size of the quorum that the entry's row names. */
 	readonly quorum: number;
 };
@@ -60,8 +60,8 @@
 export type ForgetRefusal = 'renewed' | 'listed' | 'heard';
 
 /**
- * Builds the writes that remove an entry if all signs of life have been missing
- * for long enough.
+ * Builds the writes that remove an entry if there has been no evidence of its
+ * liveness for long enough.
  */
 export const forgetEntry = (
 	evidence: ForgetEvidence,
@@ -76,7 +76,7 @@
 		return fail('listed');
 	}
 
-	if (evidence.unheardBy * 2 <= evidence.quorum) {
+	if (evidence.entriesWithoutContact * 2 <= evidence.quorum) {
 		return fail('heard');
 	}
 
--- a/packages/daemon/src/jobs/shards/shard-keeper.ts
+++ b/packages/daemon/src/jobs/shards/shard-lease-manager.ts
@@ -19,7 +19,7 @@
 
 type ShardPlan = core.shardAssignment.ShardPlan;
 
-export type ShardKeeperDeps = {
+export type ShardLeaseManagerDeps = {
 	readonly store: RowStore;
 	readonly self: core.acknowledgement.EntryIncarnation;
 	/** Capacity of this machine; absent if not known. */
@@ -27,7 +27,7 @@
 	readonly getAddress: () => string;
 	readonly members: Members;
 	readonly leases: LeaseCache;
-	/** Whether this daemon reads heartbeats and so may judge others' liveness. */
+	/** Whether this daemon reads heartbeats and so may detect failed holders. */
 	readonly mayClaim: () => boolean;
 	/**
 	 * Stores a recent heartbeat of this daemon; resolves to whether it is stored.
@@ -52,7 +52,7 @@
 };
 
 /** Claims and releases shards of this daemon. */
-export type ShardKeeper = {
+export type ShardLeaseManager = {
 	readonly start: (reportFailure: ReportFailure) => Promise<void>;
 	readonly stop: () => Promise<void>;
 	/** Releases a shard, so that the next holder can claim it at once. */
@@ -71,7 +71,9 @@
 	readonly checkNow: () => void;
 };
 
-export const createShardKeeper = (deps: ShardKeeperDeps): ShardKeeper => {
+export const createShardLeaseManager = (
+	deps: ShardLeaseManagerDeps,
+): ShardLeaseManager => {
 	const {store, self, members, leases, now, logger} = deps;
 	const held = new Map<string, HeldShard>();
 	const freeSince = new Map<string, number>();
@@ -147,7 +149,7 @@
 	};
 
 	const claim = async (shard: string): Promise<void> => {
-		// Others judge a holder by its heartbeat, which must be stored first.
+		// A holder's heartbeat shows its liveness, so it must be stored first.
 		if (!(await deps.ensureHeartbeat())) {
 			logger.info('shard claim failed', {shard, reason: 'no heartbeat'});
 			return;
