--- a/packages/bench/src/benches/invariants/fault-pairs.ts
+++ b/packages/bench/src/benches/invariants/fault-pairs.ts
@@ -1,39 +1,47 @@
-/** The table of fault pairs, each on a world of its own. */
+/** Pairs of faults; each pair runs in its own test environment. */
 import {setTimeout as wait} from 'node:timers/promises';
 import type {Load} from './callers.js';
 import {killEntry, startEntry, stopEntry} from './entries.js';
 import {runContractChanges, runMoves, startWave} from './operators.js';
 import {now} from './recorder.js';
-import {showExecutor, type World} from './world.js';
+import {setListedState, type TestEnvironment} from './test-environment.js';
 
-/** Two faults that come together; times in milliseconds. */
+/** Two faults that occur together; times in milliseconds. */
 export type FaultPair = {
 	readonly name: string;
-	/** Operators that race for the contract. */
+	/** Number of operators that change the contract concurrently. */
 	readonly operators: number;
-	readonly run: (world: World, load: Load, lengthMs: number) => Promise<void>;
+	readonly run: (
+		environment: TestEnvironment,
+		load: Load,
+		lengthMs: number,
+	) => Promise<void>;
 };
 
-/** Longer than a lease. */
+/** Pause of an entry, longer than a lease. */
 const pausedMs = 6500;
 
-const outageDuringWave = async (world: World, load: Load, lengthMs: number) => {
-	await startWave(world, load, 'quote');
+const outageDuringWave = async (
+	environment: TestEnvironment,
+	load: Load,
+	lengthMs: number,
+) => {
+	await startWave(environment, load, 'quote');
 	await wait(0.15 * lengthMs);
-	world.faults.set({isDown: true});
+	environment.faults.set({isDown: true});
 	await wait(0.25 * lengthMs);
-	world.faults.set({isDown: false});
+	environment.faults.set({isDown: false});
 	await wait(0.5 * lengthMs);
 };
 
-const loseZone = (world: World, availabilityZone: string) => {
-	const lost = world.executors.filter(
+const loseZone = (environment: TestEnvironment, availabilityZone: string) => {
+	const lost = environment.executors.filter(
 		(each) => each.availabilityZone === availabilityZone,
 	);
 	for (const executor of lost) {
 		const {id: instance} = executor;
-		world.recorder.losses.push({at: now(), instance, isLost: true});
-		showExecutor(world, executor, 'leaving');
+		environment.recorder.losses.push({at: now(), instance, isLost: true});
+		setListedState(environment, executor, 'leaving');
 		executor.stop(false);
 	}
 
@@ -41,43 +49,43 @@
 		for (const executor of lost) {
 			const {id: instance} = executor;
 			await executor.listen();
-			world.recorder.losses.push({at: now(), instance, isLost: false});
-			showExecutor(world, executor, 'live');
+			environment.recorder.losses.push({at: now(), instance, isLost: false});
+			setListedState(environment, executor, 'live');
 		}
 	};
 };
 
-const silenceDuringLoss = async (
-	world: World,
+const hangDuringLoss = async (
+	environment: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ) => {
 	await wait(0.1 * lengthMs);
-	for (const executor of world.executors) {
+	for (const executor of environment.executors) {
 		if (executor.availabilityZone === 'zone-1') {
 			executor.silence();
 		}
 	}
 
-	const bringBack = loseZone(world, 'zone-0');
+	const restoreZone = loseZone(environment, 'zone-0');
 	await wait(0.1 * lengthMs);
-	await startWave(world, load, 'claims');
+	await startWave(environment, load, 'claims');
 	await wait(0.3 * lengthMs);
-	await bringBack();
+	await restoreZone();
 	await wait(0.4 * lengthMs);
 };
 
 const replaceDuringChange = async (
-	world: World,
+	environment: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ) => {
-	const moves = runMoves(world, load);
+	const moves = runMoves(environment, load);
 	for (const slot of [2, 0]) {
 		await wait(0.15 * lengthMs);
-		const id = world.slots[slot]?.id ?? `e${slot + 1}`;
-		await stopEntry(world, slot);
-		await startEntry(world, slot, id);
+		const id = environment.slots[slot]?.id ?? `e${slot + 1}`;
+		await stopEntry(environment, slot);
+		await startEntry(environment, slot, id);
 	}
 
 	await wait(0.5 * lengthMs);
@@ -85,40 +93,48 @@
 	await moves;
 };
 
-/** What an entry has decided reaches the store after its lease is over. */
-const pauseWrites = ({slots}: World, slot: number) => {
+/** Delays the calls of an entry to the store until its lease has expired. */
+const pauseWrites = ({slots}: TestEnvironment, slot: number) => {
 	const entry = slots[slot];
 	if (entry) {
-		entry.cut.heldUntil = now() + pausedMs;
+		entry.storeLink.heldUntil = now() + pausedMs;
 	}
 };
 
-const loseReplies = async (world: World, load: Load, lengthMs: number) => {
-	world.faults.set({replyLostShare: 0.05, requestLostShare: 0.02});
-	const moves = runMoves(world, load);
-	const wave = startWave(world, load, 'quote');
+const loseReplies = async (
+	environment: TestEnvironment,
+	load: Load,
+	lengthMs: number,
+) => {
+	environment.faults.set({replyLostShare: 0.05, requestLostShare: 0.02});
+	const moves = runMoves(environment, load);
+	const wave = startWave(environment, load, 'quote');
 	await wait(0.2 * lengthMs);
 	for (const slot of [0, 1]) {
-		pauseWrites(world, slot);
+		pauseWrites(environment, slot);
 		await wait(0.25 * lengthMs);
 	}
 
-	world.faults.set({replyLostShare: 0, requestLostShare: 0});
+	environment.faults.set({replyLostShare: 0, requestLostShare: 0});
 	await wait(0.2 * lengthMs);
 	load.isStopped = true;
 	await Promise.all([moves, wave]);
 };
 
-const killDuringClaims = async (world: World, load: Load, lengthMs: number) => {
-	await startWave(world, load, 'claims');
+const killDuringClaims = async (
+	environment: TestEnvironment,
+	load: Load,
+	lengthMs: number,
+) => {
+	await startWave(environment, load, 'claims');
 	await wait(0.3 * lengthMs);
-	await killEntry(world, 1);
+	await killEntry(environment, 1);
 	await wait(0.2 * lengthMs);
-	await startEntry(world, 1, 'e4');
+	await startEntry(environment, 1, 'e4');
 	await wait(0.4 * lengthMs);
 };
 
-/** All pairs; their load and their judges are the same. */
+/** All pairs; they share the load and the checkers. */
 export const faultPairs: readonly FaultPair[] = [
 	{
 		name: 'store outage during a wave',
@@ -128,7 +144,7 @@
 	{
 		name: 'silent connections while a zone is lost',
 		operators: 1,
-		run: silenceDuringLoss,
+		run: hangDuringLoss,
 	},
 	{
 		name: 'entry replaced during contract changes',
@@ -147,17 +163,17 @@
 	},
 ];
 
-/** Runs one pair with its operators until the time is over. */
+/** Runs one pair with its operators. */
 export const runFaultPair = async (
 	pair: FaultPair,
-	world: World,
+	environment: TestEnvironment,
 	load: Load,
 	lengthMs: number,
 ): Promise<void> => {
 	const operators = Array.from({length: pair.operators}, async () =>
-		runContractChanges(world, load),
+		runContractChanges(environment, load),
 	);
-	await pair.run(world, load, lengthMs);
+	await pair.run(environment, load, lengthMs);
 	load.isStopped = true;
 	await Promise.all(operators);
 };
--- a/packages/bench/src/benches/limits.ts
+++ b/packages/bench/src/benches/limits.ts
@@ -1,131 +1,146 @@
 /**
- * `bench limits`: ways to share the slots of executors between entries, on
- * even, skewed and bursty load with 2 of 9 entries lost and replaced.
+ * `bench limits`: strategies to share the slots of executors between entries,
+ * under even, skewed and bursty load with 2 of 9 entries lost and replaced.
  */
 import * as core from '@gullstand/core';
 import {check} from '../frame/check.js';
 import type {Bench, BenchOptions, Check, Figures} from '../frame/types.js';
-import {createCredits} from './limits/credit-way.js';
+import {createCreditStrategy} from './limits/credit-strategy.js';
 import * as loads from './limits/load.js';
 import * as settings from './limits/settings.js';
-import * as ways from './limits/simple-ways.js';
-import * as worlds from './limits/world.js';
+import * as strategies from './limits/simple-strategies.js';
+import * as simulations from './limits/simulation.js';
 
 const runMs = 60_000;
 const shortRunMs = 8000;
 const drainMs = 3000;
 
-const createWays = {
-	omniscient: ways.createOmniscient,
-	clairvoyant: ways.createClairvoyant,
-	static: ways.createStatic,
-	'power-of-two': ways.createTwoLocal,
-	'power-of-two-peers': ways.createTwoPeers,
-	credits: createCredits(core.creditMessages.defaultSettings),
+const strategyFactories = {
+	omniscient: strategies.createOmniscient,
+	clairvoyant: strategies.createClairvoyant,
+	static: strategies.createStatic,
+	'power-of-two': strategies.createPowerOfTwoLocal,
+	'power-of-two-peers': strategies.createPowerOfTwoPeers,
+	credits: createCreditStrategy(core.creditMessages.defaultSettings),
 } as const;
 
-type WayName = keyof typeof createWays;
+type StrategyName = keyof typeof strategyFactories;
 
 /**
- * How two entries are lost. Of a process that was `killed` its host closes all
- * connections and refuses new ones; from a `silent` one nothing comes.
+ * How two entries are lost. The host of a `killed` process closes its
+ * connections and refuses new ones; a `silent` process stops responding.
  */
 type Loss = 'none' | 'killed' | 'silent';
 
-/** Two entries die; the list shows it and two new ones after its lag. */
+/** Schedules the loss of two entries and their later replacement. */
 const scheduleLoss = (
-	world: worlds.World,
-	way: ways.Way,
+	simulation: simulations.Simulation,
+	strategy: strategies.Strategy,
 	first: readonly string[],
 	{atMs, loss}: {atMs: number; loss: Loss},
 ) => {
 	const lost = [first[2]!, first[5]!];
 	const added = ['entry-10', 'entry-11'];
 	const second = [...first.filter((each) => !lost.includes(each)), ...added];
-	world.lossAtMs = atMs;
-	worlds.schedule(world, atMs, () => {
+	simulation.lossAtMs = atMs;
+	simulations.schedule(simulation, atMs, () => {
 		for (const entry of lost) {
-			world.alive.delete(entry);
-			way.lose(entry);
+			simulation.alive.delete(entry);
+			strategy.removeEntry(entry);
 			if (loss === 'killed') {
-				worlds.closeAll(world, entry);
+				simulations.closeAll(simulation, entry);
 			}
 		}
 
-		world.serving = world.serving.filter((each) => !lost.includes(each));
+		simulation.serving = simulation.serving.filter(
+			(each) => !lost.includes(each),
+		);
 	});
 	const ended = new Set(loss === 'killed' ? lost : []);
 	if (loss === 'killed') {
 		const left = first.filter((each) => !lost.includes(each));
-		worlds.schedule(world, atMs + settings.refusedMs, () => {
-			for (const entry of left) {
-				way.learn(entry, left, ended);
-			}
-		});
+		simulations.schedule(
+			simulation,
+			atMs + settings.connectionRefusedAfterMs,
+			() => {
+				for (const entry of left) {
+					strategy.applyMembership(entry, left, ended);
+				}
+			},
+		);
 	}
 
-	worlds.schedule(world, atMs + settings.listLagMs, () => {
+	simulations.schedule(simulation, atMs + settings.listLagMs, () => {
 		for (const entry of added) {
-			world.alive.add(entry);
+			simulation.alive.add(entry);
 		}
 
 		for (const entry of second) {
-			const readMs = world.draw() * settings.listReadMs;
-			worlds.schedule(world, world.nowMs + readMs, () => {
-				way.learn(entry, second, ended);
+			const readMs = simulation.draw() * settings.listReadMs;
+			simulations.schedule(simulation, simulation.nowMs + readMs, () => {
+				strategy.applyMembership(entry, second, ended);
 			});
 		}
 	});
-	worlds.schedule(world, atMs + settings.listLagMs + settings.warmUpMs, () => {
-		world.serving = [...world.serving, ...added];
-	});
+	simulations.schedule(
+		simulation,
+		atMs + settings.listLagMs + settings.warmUpMs,
+		() => {
+			simulation.serving = [...simulation.serving, ...added];
+		},
+	);
 };
 
 const runOne = (
-	name: WayName,
+	name: StrategyName,
 	arrivals: readonly loads.Arrival[],
 	loss: Loss,
 	{seed, untilMs}: {seed: number; untilMs: number},
-): worlds.Counts => {
+): simulations.Counts => {
 	const first = Array.from(
 		{length: settings.entryCount},
 		(_, index) => `entry-${index + 1}`,
 	);
-	const world = worlds.createWorld(seed, first);
-	const way = createWays[name](world);
+	const simulation = simulations.createSimulation(seed, first);
+	const strategy = strategyFactories[name](simulation);
 	for (const entry of first) {
-		way.learn(entry, first, new Set());
+		strategy.applyMembership(entry, first, new Set());
 	}
 
 	if (loss !== 'none') {
-		scheduleLoss(world, way, first, {atMs: Math.floor(untilMs / 3), loss});
+		scheduleLoss(simulation, strategy, first, {
+			atMs: Math.floor(untilMs / 3),
+			loss,
+		});
 	}
 
-	const requests: worlds.Request[] = [];
+	const requests: simulations.Request[] = [];
 	const arriveNext = (index: number) => {
 		const arrival = arrivals[index];
 		if (!arrival) {
 			return;
 		}
 
-		worlds.schedule(world, arrival.atMs, () => {
-			const {serving} = world;
+		simulations.schedule(simulation, arrival.atMs, () => {
+			const {serving} = simulation;
 			const entry = serving[Math.floor(arrival.entryDraw * serving.length)]!;
 			const pool = settings.pools[arrival.pool]!;
 			const deadlineMs = arrival.atMs + pool.answerWithinMs;
 			const giveUpAtMs = settings.getGiveUpMs(pool, deadlineMs);
 			const request = {arrival, entry, deadlineMs, giveUpAtMs, done: false};
 			requests.push(request);
-			way.arrive(request);
+			strategy.arrive(request);
 			arriveNext(index + 1);
 		});
 	};
 
 	arriveNext(0);
-	worlds.runUntil(world, untilMs + drainMs);
-	world.counts.requests = requests.length;
-	world.counts.lostWithEntry = requests.filter((each) => !each.done).length;
-	return world.counts;
+	simulations.runUntil(simulation, untilMs + drainMs);
+	simulation.counts.requests = requests.length;
+	simulation.counts.lostWithEntry = requests.filter(
+		(each) => !each.done,
+	).length;
+	return simulation.counts;
 };
 
 const round = (value: number): number => Number(value.toPrecision(4));
@@ -135,7 +150,7 @@
 	0,
 );
 
-const toFigures = (counts: worlds.Counts, untilMs: number): Figures => ({
+const toFigures = (counts: simulations.Counts, untilMs: number): Figures => ({
 	requests: counts.requests,
 	late: counts.late,
 	latePercent: round((100 * counts.late) / counts.requests),
@@ -153,18 +168,18 @@
 	connectionsMax: counts.connectionsMax,
 });
 
-const allWays = Object.keys(createWays) as WayName[];
+const strategyNames = Object.keys(strategyFactories) as StrategyName[];
 
-/** Runs compared on one load, and the entries lost in them. */
-const scenarios: ReadonlyArray<{loss: Loss; names: readonly WayName[]}> = [
+/** The losses of entries and the strategies that are compared under them. */
+const scenarios: ReadonlyArray<{loss: Loss; names: readonly StrategyName[]}> = [
 	{loss: 'none', names: ['omniscient', 'credits']},
-	{loss: 'killed', names: allWays},
+	{loss: 'killed', names: strategyNames},
 	{loss: 'silent', names: ['omniscient', 'credits']},
 ];
 
 const createChecks = (
 	title: string,
-	credits: worlds.Counts,
+	credits: simulations.Counts,
 	ratio: number,
 ): readonly Check[] => {
 	const most = settings.slotsPerExecutor + credits.overshootMax;
@@ -185,18 +200,18 @@
 		const arrivals = loads.createArrivals(seed, load, untilMs);
 		for (const {loss, names} of scenarios) {
 			const title = `${load}, loss ${loss}`;
-			const byWay = new Map<WayName, worlds.Counts>();
+			const countsByStrategy = new Map<StrategyName, simulations.Counts>();
 			for (const name of names) {
 				const counts = runOne(name, arrivals, loss, {seed, untilMs});
-				byWay.set(name, counts);
+				countsByStrategy.set(name, counts);
 				baselines[`${title}: ${name}`] = toFigures(counts, untilMs);
 				log(`${title}, ${name}: late ${counts.late} of ${counts.requests}`);
 			}
 
-			const credits = byWay.get('credits')!;
-			const ratio = credits.late / byWay.get('omniscient')!.late;
+			const credits = countsByStrategy.get('credits')!;
+			const ratio = credits.late / countsByStrategy.get('omniscient')!.late;
 			figures[`${title}: late ratio`] = round(ratio);
-			const clairvoyant = byWay.get('clairvoyant');
+			const clairvoyant = countsByStrategy.get('clairvoyant');
 			if (clairvoyant) {
 				figures[`${title}: late ratio to clairvoyant`] = round(
 					credits.late / clairvoyant.late,
@@ -210,9 +225,9 @@
 	return {figures, baselines, checks};
 };
 
-/** Ways to share slots between entries. */
+/** The limits bench. */
 export const bench: Bench = {
 	name: 'limits',
-	summary: 'limits across entries: four ways and one omniscient queue',
+	summary: 'limits across entries: four strategies and one omniscient queue',
 	run,
 };
--- a/packages/bench/src/benches/overhead/gateway-worker.ts
+++ b/packages/bench/src/benches/overhead/gateway-worker.ts
@@ -1,11 +1,11 @@
-/** Thread with one gateway; reports its own processor time and heap. */
+/** Worker thread with one gateway; reports its processor time and heap. */
 import {writeFile} from 'node:fs/promises';
 import {Session} from 'node:inspector/promises';
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
 import {parentPort, workerData} from 'node:worker_threads';
 import {startGullstandGateway} from './gullstand-gateway.js';
-import type {GatewayData, Question, Ready, Usage} from './messages.js';
+import type {GatewayData, GatewayCommand, Ready, Usage} from './messages.js';
 import {startPlainGateway} from './plain-gateway.js';
 
 const {kind, upstreamPorts, profileFile} = workerData as GatewayData;
@@ -32,8 +32,8 @@
 const {port} = await start(upstreamPorts);
 const session = profileFile === undefined ? undefined : await startProfile();
 
-parentPort?.on('message', async (question: Question) => {
-	if (question === 'usage') {
+parentPort?.on('message', async (command: GatewayCommand) => {
+	if (command === 'usage') {
 		parentPort?.postMessage(getUsage());
 		return;
 	}
--- a/packages/bench/src/benches/placement/reports.ts
+++ b/packages/bench/src/benches/placement/reports.ts
@@ -1,7 +1,7 @@
-/** What happens and is counted each minute. */
+/** Periodic reports: updates estimates, moves jobs and counts figures. */
 import * as core from '@gullstand/core';
 import {placePending, relocate} from './placing.js';
-import {estimate, getUse, stop, type World} from './world.js';
+import {estimate, getUse, stop, type Simulation} from './simulation.js';
 
 const {placement} = core;
 
@@ -16,11 +16,11 @@
 
 const minTasksForSpread = 6;
 
-/** A worker over its memory evicts its youngest jobs. */
-const evictOverfull = (world: World, now: number) => {
-	for (const load of world.cluster.loads.values()) {
+/** Evicts the youngest jobs of workers that exceed their memory. */
+const evictOverMemory = (simulation: Simulation, now: number) => {
+	for (const load of simulation.cluster.loads.values()) {
 		const tasks = [...load.tasks.keys()]
-			.map((id) => world.running.get(id))
+			.map((id) => simulation.running.get(id))
 			.filter((task) => task !== undefined)
 			.toSorted((a, b) => b.startedAt - a.startedAt);
 		let memoryMb = tasks.reduce(
@@ -33,14 +33,14 @@
 			}
 
 			memoryMb -= getUse(task, now).memoryMb;
-			stop(world, task.job.id);
-			world.pending.set(task.job.id, task.job);
-			world.counts.evictions += 1;
+			stop(simulation, task.job.id);
+			simulation.pending.set(task.job.id, task.job);
+			simulation.counts.evictions += 1;
 		}
 	}
 };
 
-const account = ({cluster, running, counts}: World, now: number) => {
+const countUsage = ({cluster, running, counts}: Simulation, now: number) => {
 	const hours = reportEveryMs / hourMs;
 	for (const load of cluster.loads.values()) {
 		if (load.tasks.size === 0) {
@@ -61,8 +61,8 @@
 	}
 };
 
-const learn = (world: World, now: number) => {
-	const {running, histories, throttled, cluster} = world;
+const updateEstimates = (simulation: Simulation, now: number) => {
+	const {running, histories, throttled, cluster} = simulation;
 	for (const task of running.values()) {
 		const measuredAt = now - reportLagMs;
 		if (measuredAt < task.startedAt) {
@@ -77,17 +77,17 @@
 		});
 		histories.set(id, history);
 		if (!throttled.has(id)) {
-			placement.updateEstimate(cluster, id, estimate(world, task.job));
+			placement.updateEstimate(cluster, id, estimate(simulation, task.job));
 		}
 	}
 };
 
-/** A customer starves if it waits an hour in which nothing of it starts. */
-const noteWaiting = (world: World, now: number) => {
-	const {pending, cluster, quota, lastStarts, starved} = world;
+/** Records customers without a start for an hour while a job waits. */
+const recordStarved = (simulation: Simulation, now: number) => {
+	const {pending, cluster, quota, lastStarts, starved} = simulation;
 	for (const job of pending.values()) {
 		const used = placement.getCustomerUsage(cluster, job.customer);
-		const need = placement.addResources(used, estimate(world, job).mean);
+		const need = placement.addResources(used, estimate(simulation, job).mean);
 		const since = Math.max(job.submittedAt, lastStarts.get(job.customer) ?? 0);
 		if (placement.fitsInto(need, quota) && now - since > starvedMs) {
 			starved.add(job.customer);
@@ -95,7 +95,7 @@
 	}
 };
 
-const noteSpread = ({cluster, counts}: World) => {
+const recordSpread = ({cluster, counts}: Simulation) => {
 	for (const [key, count] of cluster.taskCounts) {
 		const [customer = '', kind] = key.split(' ');
 		const tasks = cluster.taskCounts.get(`${customer} all`) ?? 0;
@@ -105,13 +105,13 @@
 	}
 };
 
-/** One report of all workers. */
-export const report = (world: World, now: number) => {
-	account(world, now);
-	evictOverfull(world, now);
-	learn(world, now);
-	relocate(world, now);
-	placePending(world, now);
-	noteWaiting(world, now);
-	noteSpread(world);
+/** Processes one report of all workers. */
+export const report = (simulation: Simulation, now: number) => {
+	countUsage(simulation, now);
+	evictOverMemory(simulation, now);
+	updateEstimates(simulation, now);
+	relocate(simulation, now);
+	placePending(simulation, now);
+	recordStarved(simulation, now);
+	recordSpread(simulation);
 };
--- a/packages/bench/src/benches/rollout/entry.ts
+++ b/packages/bench/src/benches/rollout/entry.ts
@@ -1,31 +1,31 @@
-/** One entry: polls, takes offers, acknowledges. */
+/** Simulated entry: polls, applies deltas and acknowledges them. */
 import * as core from '@gullstand/core';
 import type {followedView, viewChange} from '@gullstand/core';
 import {getHeartbeatBytes} from '../agreement/heartbeat-bytes.js';
 import {
 	counterBytes,
 	send,
-	stayAwake,
+	waitWhilePaused,
 	type Entry,
-	type World,
-} from './world.js';
+	type Simulation,
+} from './simulation.js';
 
-/** Tells those who wait for it what is in force. */
-export const sendAcknowledgements = (world: World, entry: Entry) => {
+/** Sends the acknowledgement to the entries that wait for it. */
+export const sendAcknowledgements = (simulation: Simulation, entry: Entry) => {
 	const {view} = entry.followed;
 	entry.sequence += 1;
 	const router = {routedRevision: view.revision, inFlight: new Map()};
 	const ack = core.acknowledgement.createAcknowledgement(
-		entry.life,
+		entry.incarnation,
 		entry.sequence,
 		{view, router},
 	);
-	entry.heard.set(ack.entry, ack);
+	entry.receivedAcknowledgements.set(ack.entry, ack);
 	for (const index of entry.awaitedBy) {
-		const peer = world.nodes[index]!;
-		void send(world, peer, JSON.stringify(ack).length, () => {
-			const known = peer.heard.get(ack.entry);
-			peer.heard.set(
+		const peer = simulation.nodes[index]!;
+		void send(simulation, peer, JSON.stringify(ack).length, () => {
+			const known = peer.receivedAcknowledgements.get(ack.entry);
+			peer.receivedAcknowledgements.set(
 				ack.entry,
 				known
 					? core.acknowledgement.chooseNewerAcknowledgement(known, ack)
@@ -35,7 +35,7 @@
 	}
 };
 
-const countReverted = (
+const countReversions = (
 	before: followedView.FollowedView,
 	after: followedView.FollowedView,
 ): number => {
@@ -48,9 +48,9 @@
 	return count;
 };
 
-/** Puts deltas in force. */
+/** Applies deltas and acknowledges them. */
 export const applyDeltas = (
-	world: World,
+	simulation: Simulation,
 	entry: Entry,
 	deltas: readonly viewChange.ViewDelta[],
 ) => {
@@ -60,36 +60,36 @@
 		deltas,
 	);
 	entry.followed = followed;
-	entry.reverted += countReverted(before, followed);
+	entry.reverted += countReversions(before, followed);
 	if (applied.length > 0) {
-		sendAcknowledgements(world, entry);
+		sendAcknowledgements(simulation, entry);
 	}
 
 	if (refusal?.kind === 'gap') {
-		void poll(world, entry);
+		void poll(simulation, entry);
 	}
 };
 
-const readLog = async (world: World, entry: Entry) => {
-	world.counts.reads += 1;
+const readLog = async (simulation: Simulation, entry: Entry) => {
+	simulation.counts.reads += 1;
 	const {revision} = entry.followed.view;
-	const deltas = await world.link(() => world.log.slice(revision));
+	const deltas = await simulation.link(() => simulation.log.slice(revision));
 	if (deltas.ok) {
-		world.counts.storeBytes += JSON.stringify(deltas.value).length;
-		await stayAwake(world, entry);
-		applyDeltas(world, entry, deltas.value);
+		simulation.counts.storeBytes += JSON.stringify(deltas.value).length;
+		await waitWhilePaused(simulation, entry);
+		applyDeltas(simulation, entry, deltas.value);
 	}
 };
 
-const poll = async (world: World, entry: Entry) => {
+const poll = async (simulation: Simulation, entry: Entry) => {
 	if (entry.isPolling) {
 		return;
 	}
 
 	entry.isPolling = true;
-	world.counts.reads += 1;
-	world.counts.storeBytes += counterBytes;
-	const {link, log} = world;
+	simulation.counts.reads += 1;
+	simulation.counts.storeBytes += counterBytes;
+	const {link, log} = simulation;
 	const reply = await link(() => log.length);
 	const applied = entry.followed.view.revision;
 	if (reply.ok) {
@@ -99,7 +99,7 @@
 			reply.value,
 		);
 		if (verdict.kind === 'newer') {
-			await readLog(world, entry);
+			await readLog(simulation, entry);
 		}
 	}
 
@@ -107,31 +107,31 @@
 };
 
 /** Starts the periodic work of an entry. */
-export const startEntry = (world: World, entry: Entry) => {
-	const {clock, random, counts} = world;
-	const periods = core.periods.getPeriods(world.entries);
-	const heartbeatBytes = getHeartbeatBytes(world.entries);
+export const startEntry = (simulation: Simulation, entry: Entry) => {
+	const {clock, random, counts} = simulation;
+	const periods = core.periods.getPeriods(simulation.entries);
+	const heartbeatBytes = getHeartbeatBytes(simulation.entries);
 	const repeat = async (periodMs: number, step: () => Promise<void>) => {
 		await clock.sleep(random() * periodMs);
-		while (!world.isDone) {
-			await stayAwake(world, entry);
+		while (!simulation.isDone) {
+			await waitWhilePaused(simulation, entry);
 			await step();
 			await clock.sleep(periodMs * (0.75 + 0.5 * random()));
 		}
 	};
 
-	void repeat(periods.viewPollMs, async () => poll(world, entry));
+	void repeat(periods.viewPollMs, async () => poll(simulation, entry));
 	void repeat(periods.heartbeatMs, async () => {
 		counts.writes += 1;
 		counts.storeBytes += heartbeatBytes;
 	});
 	void repeat(periods.watchMs, async () => {
-		const neighbours = Math.min(
+		const monitored = Math.min(
 			core.monitoredPeers.monitoredPeerCount,
-			world.entries - 1,
+			simulation.entries - 1,
 		);
-		// The membership row is read with them.
-		counts.reads += neighbours + 1;
-		counts.storeBytes += neighbours * heartbeatBytes + counterBytes;
+		// The membership row is read with the rows of the monitored peers.
+		counts.reads += monitored + 1;
+		counts.storeBytes += monitored * heartbeatBytes + counterBytes;
 	});
 };
--- a/packages/bench/src/benches/rollout/operator.ts
+++ b/packages/bench/src/benches/rollout/operator.ts
@@ -1,88 +1,98 @@
-/** Racing operators, and what waits until a change is in force. */
+/** Concurrent operators, and the wait until a change is in force. */
 import * as core from '@gullstand/core';
 import type {Contract, registration, viewChange} from '@gullstand/core';
 import {drawBelow, drawExponential} from '../../frame/random.js';
 import {applyDeltas, sendAcknowledgements} from './entry.js';
-import {createContract, send, type Entry, type World} from './world.js';
+import {
+	createContract,
+	send,
+	type Entry,
+	type Simulation,
+} from './simulation.js';
 
 /** Customers whose contracts are changed. */
 export const customers = ['north', 'south', 'east', 'west', 'centre'];
 
-/** The row of a registered entry that has acknowledged nothing. */
+/** Creates the row of an entry that has acknowledged nothing. */
 export const createRegistration = ({
-	life,
+	incarnation,
 }: Entry): registration.Registration => ({
 	address: '',
 	availabilityZone: '',
 	upMs: 0,
 	heard: [],
 	quorum: [],
-	acknowledged: {...life, sequence: 0, inForce: 0, holding: []},
+	acknowledged: {...incarnation, sequence: 0, inForce: 0, holding: []},
 });
 
 const isInForce = (
-	{registrations}: World,
-	{heard}: Entry,
+	{registrations}: Simulation,
+	{receivedAcknowledgements}: Entry,
 	revision: number,
 ): boolean =>
 	core.pendingAcknowledgements.listPendingAcknowledgements(
 		registrations,
-		heard,
+		receivedAcknowledgements,
 		{revision},
 	).length === 0;
 
-/** Offers a change to every peer again until all have acknowledged. */
+/** Resends a change to the peers until all have acknowledged it. */
 const announce = async (
-	world: World,
+	simulation: Simulation,
 	index: number,
 	delta: viewChange.ViewDelta,
 ) => {
-	const {clock, nodes} = world;
+	const {clock, nodes} = simulation;
 	const entry = nodes[index]!;
 	const acceptedAt = clock.now();
-	let offeredAt = Number.NEGATIVE_INFINITY;
-	applyDeltas(world, entry, [delta]);
-	while (!isInForce(world, entry, delta.revision)) {
-		if (clock.now() - offeredAt >= offerAgainMs) {
-			offeredAt = clock.now();
+	let sentAt = Number.NEGATIVE_INFINITY;
+	applyDeltas(simulation, entry, [delta]);
+	while (!isInForce(simulation, entry, delta.revision)) {
+		if (clock.now() - sentAt >= resendMs) {
+			sentAt = clock.now();
 			const bytes = JSON.stringify(delta).length;
-			for (const peer of listWaitedFor(world, entry, delta.revision)) {
-				void send(world, peer, bytes, () => {
+			for (const peer of listPendingPeers(simulation, entry, delta.revision)) {
+				void send(simulation, peer, bytes, () => {
 					peer.awaitedBy.add(index);
-					applyDeltas(world, peer, [delta]);
-					sendAcknowledgements(world, peer);
+					applyDeltas(simulation, peer, [delta]);
+					sendAcknowledgements(simulation, peer);
 				});
 			}
 		}
 
-		// The longer it has taken, the coarser the measurement may be.
+		// Checks with a resolution of 2 % of the elapsed time, at least 1 ms.
 		await clock.sleep(Math.max(1, (clock.now() - acceptedAt) / 50));
 	}
 
-	world.inForceMs.push(clock.now() - acceptedAt);
+	simulation.inForceMs.push(clock.now() - acceptedAt);
 	for (const peer of nodes) {
 		peer.awaitedBy.delete(index);
 	}
 };
 
-const offerAgainMs = 500;
+const resendMs = 500;
 
-const listWaitedFor = ({nodes}: World, entry: Entry, revision: number) =>
+const listPendingPeers = (
+	{nodes}: Simulation,
+	entry: Entry,
+	revision: number,
+) =>
 	nodes.filter(
 		(peer) =>
 			peer !== entry &&
-			(entry.heard.get(peer.life.entry)?.inForce ?? 0) < revision,
+			(entry.receivedAcknowledgements.get(peer.incarnation.entry)?.inForce ??
+				0) < revision,
 	);
 
 type Attempt = 'accepted' | 'refused' | 'unknown';
 
-/** One attempt of one change; a race for the counter alone is tried again. */
+/** Attempts one change; a conflict on the contract row refuses it. */
 const commit = async (
-	world: World,
+	simulation: Simulation,
 	id: string,
 	customer: string,
 ): Promise<Attempt> => {
-	const {data, link, log, counts} = world;
+	const {data, link, log, counts} = simulation;
 	counts.reads += 1;
 	const read = await link(() => data.read<Contract>('contract', customer)!);
 	if (!read.ok) {
@@ -93,7 +103,7 @@
 	const when = {kind: 'version', version: read.value.version} as const;
 	counts.writes += 1;
 	const reply = await link(() => {
-		// The counter and the log move with the row, in one transaction.
+		// The log is updated with the row, in one transaction.
 		const isCommitted = data.commit([
 			{kind: 'put', table: 'contract', key: customer, value: contract, when},
 		]);
@@ -103,7 +113,7 @@
 				id,
 				previousId: log.at(-1)?.id ?? '',
 				author: 'ann',
-				committedAt: world.clock.now(),
+				committedAt: simulation.clock.now(),
 				changes: [{kind: 'put-contract', contract}],
 			});
 		}
@@ -117,11 +127,14 @@
 	return reply.value ? 'accepted' : 'refused';
 };
 
-const readBack = async (world: World, id: string): Promise<Attempt> => {
+const readBack = async (
+	simulation: Simulation,
+	id: string,
+): Promise<Attempt> => {
 	for (;;) {
-		world.counts.reads += 1;
-		const found = await world.link(() =>
-			world.log.some((delta) => delta.id === id),
+		simulation.counts.reads += 1;
+		const found = await simulation.link(() =>
+			simulation.log.some((delta) => delta.id === id),
 		);
 		if (found.ok) {
 			return found.value ? 'accepted' : 'refused';
@@ -129,15 +142,16 @@
 	}
 };
 
-/** Changes contracts until enough are accepted. */
-export const runOperator = async (world: World, name: number) => {
-	const {clock, random, acceptedIds, counts, log} = world;
-	for (let index = 0; acceptedIds.size < world.changes; index += 1) {
-		await clock.sleep(drawExponential(random, world.meanGapMs));
+/** Changes contracts until enough changes are accepted. */
+export const runOperator = async (simulation: Simulation, name: number) => {
+	const {clock, random, acceptedIds, counts, log} = simulation;
+	for (let index = 0; acceptedIds.size < simulation.changes; index += 1) {
+		await clock.sleep(drawExponential(random, simulation.meanGapMs));
 		const id = `o${name}-${index}`;
 		const customer = customers[drawBelow(random, customers.length)]!;
-		const attempt = await commit(world, id, customer);
-		const outcome = attempt === 'unknown' ? await readBack(world, id) : attempt;
+		const attempt = await commit(simulation, id, customer);
+		const outcome =
+			attempt === 'unknown' ? await readBack(simulation, id) : attempt;
 		if (outcome === 'refused') {
 			counts.refused += 1;
 			continue;
@@ -145,6 +159,10 @@
 
 		acceptedIds.add(id);
 		const delta = log.find((each) => each.id === id)!;
-		void announce(world, drawBelow(random, world.nodes.length), delta);
+		void announce(
+			simulation,
+			drawBelow(random, simulation.nodes.length),
+			delta,
+		);
 	}
 };
