--- a/packages/bench/src/checkers/checkers.test.ts
+++ b/packages/bench/src/checkers/checkers.test.ts
@@ -1,7 +1,7 @@
 /** Each checker accepts correct records and reports broken ones. */
 import * as tap from 'tap';
 import type {Contract, Instance, InstanceState, Service} from '@gullstand/core';
-import {checkedProperties} from '../checkers/checkers.js';
+import {checkedProperties} from './checkers.js';
 import {
 	emptyRecords,
 	type AnswerRecord,
--- a/packages/bench/src/checkers/checkers.ts
+++ b/packages/bench/src/checkers/checkers.ts
@@ -1,7 +1,7 @@
 /** The invariants of the system, each with its checker. */
-import * as change from '../checkers/change-checkers.js';
-import * as instance from '../checkers/instance-checkers.js';
-import * as request from '../checkers/request-checkers.js';
+import * as change from './change-checkers.js';
+import * as instance from './instance-checkers.js';
+import * as request from './request-checkers.js';
 import type {Checker} from './records.js';
 
 /** A property, its checker and a description of the records it reads. */
--- a/packages/core/src/failure-attribution/failure-attribution.test.ts
+++ b/packages/core/src/failure-attribution/failure-attribution.test.ts
@@ -7,7 +7,7 @@
 	type FailureAttribution,
 	type AttributionEvent,
 	type AttributionVerdict,
-} from '../failure-attribution/failure-attribution.js';
+} from './failure-attribution.js';
 
 const apply = (events: readonly AttributionEvent[]) => {
 	let attribution: FailureAttribution = emptyAttribution;
--- a/packages/core/src/job-phases/job-phases.test.ts
+++ b/packages/core/src/job-phases/job-phases.test.ts
@@ -3,14 +3,14 @@
  * write them.
  */
 import * as tap from 'tap';
-import * as jobLegs from '../job-phases/index.js';
+import * as jobPhases from './index.js';
 
 const id = '0a17ce1d69eaa20e';
 const shard = 'service/s';
 
 type Line = readonly [at: number, message: string, fields: object];
 
-const toLines = (lines: readonly Line[]): readonly jobLegs.LogLine[] =>
+const toLines = (lines: readonly Line[]): readonly jobPhases.LogLine[] =>
 	lines.map(([at, message, fields]) => ({
 		at,
 		message,
@@ -64,7 +64,7 @@
 type Case = {
 	readonly name: string;
 	readonly lines: readonly Line[];
-	readonly cause: jobLegs.MissCause | undefined;
+	readonly cause: jobPhases.MissCause | undefined;
 };
 
 const cases: readonly Case[] = [
@@ -203,13 +203,13 @@
 
 for (const {name, lines, cause} of cases) {
 	tap.t.test(name, async (t) => {
-		const all = jobLegs.readJobs(toLines(lines.toReversed()));
-		t.equal(jobLegs.findMissCause(all, all.jobs.get(id)!), cause);
+		const all = jobPhases.readJobs(toLines(lines.toReversed()));
+		t.equal(jobPhases.findMissCause(all, all.jobs.get(id)!), cause);
 	});
 }
 
 tap.t.test('the phases add up to the duration of a job', async (t) => {
-	const all = jobLegs.readJobs(
+	const all = jobPhases.readJobs(
 		toLines([
 			call(110, 'ok'),
 			acceptance(130),
@@ -219,7 +219,7 @@
 			end(1520),
 		]),
 	);
-	t.same(jobLegs.getPhases(all.jobs.get(id)!), {
+	t.same(jobPhases.getPhases(all.jobs.get(id)!), {
 		accept: 10,
 		tell: 20,
 		firstStart: 70,
@@ -231,7 +231,7 @@
 
 tap.t.test('the summary weights jobs by their work', async (t) => {
 	const other = 'ffffffffffffffff';
-	const all = jobLegs.readJobs(
+	const all = jobPhases.readJobs(
 		toLines([
 			call(10, 'ok'),
 			acceptance(12),
@@ -241,7 +241,7 @@
 			acceptance(14, {job: 'eeeeeeeeeeeeeeee', isLasting: true}),
 		]),
 	);
-	t.same(jobLegs.summarizeQueues(all), [
+	t.same(jobPhases.summarizeQueues(all), [
 		{queue: 'q', jobs: 2, inTime: 1, lost: {unfinished: 0.2}},
 	]);
 });
