--- a/packages/bench/src/frame/types.ts
+++ b/packages/bench/src/frame/types.ts
@@ -1,4 +1,4 @@
-/** Types of a bench and of its result; see docs/design/benches.md. */
+/** Types of a bench and of its result. */
 
 /** Settings of one run. */
 export type BenchOptions = {
--- a/spec/ledger.pml
+++ b/spec/ledger.pml
@@ -22,7 +22,7 @@
  * mutation reboot_incarnation (two-planners) breaks budget_kept: the reboot does not name the life that it is meant for
  * mutation reboot_after_commit (two-planners) breaks budget_kept: reboots before the reservation is known to be committed
  * mutation loss_counts (loss) breaks loss_first: what is lost is not counted
- * mutation recovery_row (loss) breaks ledger_matches: recordRecovery does not look at the instance's row
+ * mutation recovery_row (loss) breaks ledger_matches: markRecovered does not look at the instance's row
  * mutation move_counts (mover) breaks budget_kept: a move drains the instance without reserving
  * mutation move_ledgers (mover) breaks ledger_matches: commitMove leaves the instance in the old pool's ledger
  */
@@ -189,7 +189,7 @@
 		if
 		:: ledgerVersion[pool[i]] < MAX_LEDGER && (BOOKED(pool[i], i) == SERVING ||
 			BOOKED(pool[i], i) == BOOKED_AWAY) ->
-			BOOKED(pool[i], i) = LOST; /* recordLoss, convertToLoss */
+			BOOKED(pool[i], i) = LOST; /* markLost, convertAwayToLost */
 			ledgerVersion[pool[i]]++;
 			check()
 		:: BOOKED(pool[i], i) == LOST && !down[i] && ledgerVersion[pool[i]] < MAX_LEDGER &&
@@ -197,7 +197,7 @@
 			!away[i] &&
 #endif
 			true ->
-			BOOKED(pool[i], i) = SERVING; /* recordRecovery */
+			BOOKED(pool[i], i) = SERVING; /* markRecovered */
 			ledgerVersion[pool[i]]++;
 			check()
 		:: else
